--- a/core/fanout/bench_test.go
+++ b/core/fanout/bench_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// BenchmarkBranches is what a hub of a domain with 110 other gateways does with every batch.
+// BenchmarkBranches measures what a hub of a domain with 110 other gateways does with every batch.
 func BenchmarkBranches(b *testing.B) {
 	var receivers []netip.AddrPort
 	for i := range 110 {
-		receivers = append(receivers, addrOf(i+1))
+		receivers = append(receivers, testAddr(i+1))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		Branches(addrOf(0), receivers)
+		Branches(testAddr(0), receivers)
 	}
 }
--- a/core/fanout/fanout_test.go
+++ b/core/fanout/fanout_test.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-func addrOf(i int) netip.AddrPort {
+func testAddr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
 }
 
-func membersOf(n int, isHeard func(i int) bool) []Member {
+func testMembers(n int, isLive func(i int) bool) []Member {
 	var list []Member
 	for i := range n {
-		list = append(list, Member{Addr: addrOf(i), Domain: 1, IsHeard: isHeard(i)})
+		list = append(list, Member{Addr: testAddr(i), Domain: 1, IsHeard: isLive(i)})
 	}
 	return list
 }
 
-// Guards against gateways that report to hubs which others do not take for hubs.
-func TestAllGatewaysHaveTheSameHubs(t *testing.T) {
-	all := membersOf(111, func(int) bool { return true })
+// Guards against gateways that report to hubs which other gateways do not take for hubs.
+func TestAllGatewaysSelectSameHubs(t *testing.T) {
+	all := testMembers(111, func(int) bool { return true })
 	hubs, listed := Hubs(all)
 	if len(hubs) != hubsPerDomain || len(listed) != 0 {
-		t.Fatalf("%d hubs, %d listed", len(hubs), len(listed))
+		t.Fatalf("%d hubs, %d listed members", len(hubs), len(listed))
 	}
-	var turned []Member
+	var reversed []Member
 	for i := range all {
-		turned = append(turned, all[len(all)-1-i])
+		reversed = append(reversed, all[len(all)-1-i])
 	}
-	if other, _ := Hubs(turned); other[0] != hubs[0] || other[1] != hubs[1] {
-		t.Errorf("hubs %v and %v", hubs, other)
+	if other, _ := Hubs(reversed); other[0] != hubs[0] || other[1] != hubs[1] {
+		t.Errorf("hubs %v, and %v for the reversed list", hubs, other)
 	}
-	without := membersOf(111, func(i int) bool { return addrOf(i) != hubs[0] })
-	next, listed := Hubs(without)
+	withoutFirst := testMembers(111, func(i int) bool { return testAddr(i) != hubs[0] })
+	next, listed := Hubs(withoutFirst)
 	if next[0] != hubs[1] || len(listed) != 1 || listed[0] != hubs[0] {
-		t.Errorf("after the first has fallen silent the hubs are %v, listed before them %v", next, listed)
+		t.Errorf("with a silent first hub the hubs are %v, the listed members %v", next, listed)
 	}
 }
 
-// Guards against duties for all at the gateways with the least processor time.
-func TestGatewaysWithMoreProcessorTimeGoFirst(t *testing.T) {
-	all := membersOf(60, func(int) bool { return true })
+// Guards against assigning all tasks to the gateways with the least processor time.
+func TestGatewaysWithMoreCapacityRankFirst(t *testing.T) {
+	all := testMembers(60, func(int) bool { return true })
 	for i := range all {
 		all[i].Capacity = CapacityOf(0.144)
 		if i%3 == 0 {
@@ -58,111 +58,113 @@
 			t.Errorf("a gateway with %d tenths of a core has rank %d", m.Capacity, rank)
 		}
 		if m.Addr == hubs[0] && i%3 != 0 {
-			t.Error("a small gateway is the first hub")
+			t.Error("a gateway with less processor time is the first hub")
 		}
 	}
 	if len(ranks) != len(all) {
 		t.Errorf("%d ranks for %d gateways", len(ranks), len(all))
 	}
 	if CapacityOf(1000) != 255 || CapacityOf(-1) != 0 {
-		t.Error("capacities are not bounded")
+		t.Error("CapacityOf does not limit its result")
 	}
 }
 
-// Each receiver is told once, and nobody tells more than the square root of all.
-func TestBranchesReachAllOnce(t *testing.T) {
-	for _, n := range []int{0, 1, flatReceivers, flatReceivers + 1, 110, 400} {
+// Each receiver gets a batch once, and no gateway sends to more than about the square root of all receivers.
+func TestBranchesReachEachReceiverOnce(t *testing.T) {
+	for _, n := range []int{0, 1, maxFlatReceivers, maxFlatReceivers + 1, 110, 400} {
 		var receivers []netip.AddrPort
 		for i := range n {
-			receivers = append(receivers, addrOf(i+1))
+			receivers = append(receivers, testAddr(i+1))
 		}
-		told := make(map[netip.AddrPort]int)
-		branches := Branches(addrOf(0), receivers)
+		reached := make(map[netip.AddrPort]int)
+		branches := Branches(testAddr(0), receivers)
 		for _, b := range branches {
-			told[b.First]++
+			reached[b.First]++
 			for _, r := range b.Rest {
-				told[r]++
+				reached[r]++
 			}
 			if len(b.Rest) > 20 {
-				t.Errorf("%d receivers: one passes on to %d", n, len(b.Rest))
+				t.Errorf("%d receivers: one forwards to %d", n, len(b.Rest))
 			}
 		}
-		if len(told) != n || len(branches) > max(flatReceivers, 20) {
-			t.Errorf("%d receivers: %d told, by %d branches", n, len(told), len(branches))
+		if len(reached) != n || len(branches) > max(maxFlatReceivers, 20) {
+			t.Errorf("%d receivers: %d reached, by %d branches", n, len(reached), len(branches))
 		}
-		for r, times := range told {
+		for r, times := range reached {
 			if times != 1 {
-				t.Errorf("%v is told %d times", r, times)
+				t.Errorf("%v is reached %d times", r, times)
 			}
 		}
 	}
 }
 
-// counts are reports that hold a number; what was not passed on is added to the next one.
-func newCounts() *Table[int] {
+// newCountTable returns a table of reports that hold a number. A number that was not forwarded is added to
+// the next one.
+func newCountTable() *Table[int] {
 	return NewTable(time.Second, func(undelivered, next int) int { return undelivered + next })
 }
 
-func TestATablePassesOnWhatIsNew(t *testing.T) {
+func TestTableReturnsOnlyNewReports(t *testing.T) {
 	now := time.Unix(0, 0)
 	report := func(seq uint64, isIdle bool, n int) Origin[int] {
 		return Origin[int]{ID: 1, Domain: 2, Seq: seq, Heard: now, IsIdle: isIdle, Report: n}
 	}
-	tb := newCounts()
+	table := newCountTable()
 	for _, step := range []struct {
-		name       string
-		put        Origin[int]
-		isPassedOn bool
-		want       []int
+		name        string
+		put         Origin[int]
+		isForwarded bool
+		want        []int
 	}{
-		{"an idle gateway is no news", report(1, true, 0), true, nil},
-		{"news", report(2, false, 5), true, []int{5}},
-		{"the same again", report(2, false, 5), true, nil},
-		{"an older one", report(1, false, 9), true, nil},
-		{"news that another hub passes on", report(3, false, 6), false, nil},
+		{"a first idle report is not forwarded", report(1, true, 0), true, nil},
+		{"a report with content", report(2, false, 5), true, []int{5}},
+		{"the same report again", report(2, false, 5), true, nil},
+		{"an older report", report(1, false, 9), true, nil},
+		{"a report that another hub forwards", report(3, false, 6), false, nil},
 		{"idle again", report(4, true, 0), true, []int{0}},
 		{"still idle", report(5, true, 0), true, nil},
 	} {
-		tb.Put(step.put, step.isPassedOn)
+		table.Put(step.put, step.isForwarded)
 		var got []int
-		for _, o := range tb.Changes() {
+		for _, o := range table.Changes() {
 			got = append(got, o.Report)
 		}
 		if len(got) != len(step.want) || len(got) > 0 && got[0] != step.want[0] {
-			t.Errorf("%s: passes on %v, want %v", step.name, got, step.want)
+			t.Errorf("%s: forwards %v, want %v", step.name, got, step.want)
 		}
 	}
-	tb.Put(report(6, false, 1), true)
-	tb.Put(report(7, false, 2), false)
-	if list := tb.Changes(); len(list) != 1 || list[0].Report != 3 || list[0].Seq != 7 {
-		t.Errorf("two reports before the next batch are passed on as %+v", list)
+	table.Put(report(6, false, 1), true)
+	table.Put(report(7, false, 2), false)
+	if list := table.Changes(); len(list) != 1 || list[0].Report != 3 || list[0].Seq != 7 {
+		t.Errorf("two reports before the next batch are forwarded as %+v", list)
 	}
 }
 
-// Guards against gateways that live on in tables after they have gone, and against signs that bring back what is over.
-func TestATableForgetsSilentGateways(t *testing.T) {
+// Guards against gateways that stay in the table after they have stopped, and against heartbeats that bring
+// back a report that is no longer in effect.
+func TestTableDropsSilentGateways(t *testing.T) {
 	now := time.Unix(0, 0)
-	tb := newCounts()
-	tb.Put(Origin[int]{ID: 1, Seq: 3, Heard: now, Report: 4}, true)
-	tb.Vouch(Origin[int]{ID: 1, Seq: 2, Heard: now.Add(500 * time.Millisecond), IsIdle: true})
-	tb.Vouch(Origin[int]{ID: 2, Heard: now, HasStopped: true})
-	if list := tb.Vouched(); len(list) != 2 || len(tb.Vouched()) != 0 {
-		t.Errorf("vouched for %+v", list)
+	table := newCountTable()
+	table.Put(Origin[int]{ID: 1, Seq: 3, Heard: now, Report: 4}, true)
+	table.Vouch(Origin[int]{ID: 1, Seq: 2, Heard: now.Add(500 * time.Millisecond), IsIdle: true})
+	table.Vouch(Origin[int]{ID: 2, Heard: now, HasStopped: true})
+	if list := table.Vouched(); len(list) != 2 || len(table.Vouched()) != 0 {
+		t.Errorf("heartbeats of %+v", list)
 	}
 	now = now.Add(1200 * time.Millisecond)
-	list := tb.Refresh(now, 0)
+	list := table.Refresh(now, 0)
 	if len(list) != 1 || list[0].ID != 1 || list[0].IsIdle || list[0].Report != 4 {
-		t.Errorf("known %+v, want the report of the first gateway", list)
+		t.Errorf("live %+v, want the report of the first gateway", list)
 	}
-	tb.Stop(1)
-	if list := tb.Refresh(now, 0); !list[0].HasStopped {
-		t.Error("a gateway that has stopped is told as if it lived")
+	table.Stop(1)
+	if list := table.Refresh(now, 0); !list[0].HasStopped {
+		t.Error("a stopped gateway is returned as live")
 	}
-	tb.Vouch(Origin[int]{ID: 1, Seq: 4, Heard: now, IsIdle: true})
-	if list := tb.Refresh(now, 0); !list[0].IsIdle || list[0].Report != 0 || list[0].HasStopped {
-		t.Errorf("known %+v, want an idle gateway", list)
+	table.Vouch(Origin[int]{ID: 1, Seq: 4, Heard: now, IsIdle: true})
+	if list := table.Refresh(now, 0); !list[0].IsIdle || list[0].Report != 0 || list[0].HasStopped {
+		t.Errorf("live %+v, want an idle gateway", list)
 	}
-	if list := tb.Refresh(now.Add(time.Minute), 0); len(list) != 0 || tb.Len() != 0 {
-		t.Errorf("%d gateways after a minute", len(list))
+	if list := table.Refresh(now.Add(time.Minute), 0); len(list) != 0 || table.Len() != 0 {
+		t.Errorf("%d gateways are left after a minute", len(list))
 	}
 }
--- a/core/fanout/overlay.go
+++ b/core/fanout/overlay.go
@@ -1,8 +1,11 @@
-// Package fanout spreads small reports among the gateways of a large fleet. Each gateway tells two hubs of its failure domain, which gather
-// what comes within a few milliseconds, tell it to all gateways of the domain along a tree, and to the hubs of the other domains. What a
-// gateway sends and hears a second then does not depend on the size of the fleet; what a report holds does.
+// Package fanout spreads small reports among the gateways of a large fleet. Each gateway reports to two hubs
+// of its failure domain. A hub collects the reports that arrive within a few milliseconds and sends them as
+// one batch to all gateways of its domain, along a tree, and to the hubs of the other domains. The number of
+// datagrams that a gateway sends and receives a second then does not depend on the size of the fleet; the
+// size of a batch does.
 //
-// The package decides who sends what to whom. It does no I/O; callers lock it and pass the time in.
+// The package decides which gateway sends to which. It does no I/O and reads no clock: callers provide the
+// locking and pass the time in.
 package fanout
 
 import (
@@ -15,35 +18,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// hubsPerDomain is how many gateways of a domain are told each report. Each of them passes half of the reports on at once, and repeats
-// what counts of all of them every now and then: the loss of one delays half of the reports until it is noticed.
+// hubsPerDomain is how many gateways of a domain receive each report. Each of them forwards half of the
+// reports at once and repeats the state of all gateways with each refresh: the loss of one hub delays half of
+// the reports until it is detected.
 const hubsPerDomain = 2
 
-// flatReceivers is how many receivers a hub tells by itself. With more of them it tells some, which tell the others.
-const flatReceivers = 8
+// maxFlatReceivers is the largest number of receivers to which a hub sends directly. With more of them it
+// sends to some, which forward to the others.
+const maxFlatReceivers = 8
 
-// Domain names a failure domain.
+// Domain is the numeric identifier of a failure domain.
 type Domain uint32
 
-// Capacity is the processor time of a gateway, in tenths of a core.
+// Capacity is the processor time available to a gateway, in tenths of a core.
 type Capacity uint8
 
-// CapacityOf is the capacity of a process that may use some cores.
+// CapacityOf converts a number of cores into a Capacity. The result is rounded and limited to the range of
+// the type.
 func CapacityOf(cores float64) Capacity {
 	return Capacity(max(0, min(math.MaxUint8, math.Round(10*cores))))
 }
 
-// Member is a gateway as another one knows it.
+// Member is a gateway as seen by another gateway.
 type Member struct {
 	Addr     netip.AddrPort
 	Domain   Domain
 	Capacity Capacity
-	// IsHeard says that it has been heard of a moment ago, by itself or through a hub. Others are listed, and may be gone.
+	// IsHeard is set if the gateway was seen recently, directly or through a hub. Other members are only
+	// listed and may have stopped.
 	IsHeard bool
 }
 
-// weight orders gateways, the same way at all of them.
-func weight(addr netip.AddrPort, salt uint64) uint64 {
+// hashAddr returns the hash by which gateways are ordered. It is the same at all gateways; each salt gives
+// another order.
+func hashAddr(addr netip.AddrPort, salt uint64) uint64 {
 	ip := addr.Addr().As16()
 	var key [26]byte
 	copy(key[:], ip[:])
@@ -52,19 +60,20 @@
 	return xxhash.Sum64(key[:])
 }
 
-// Hubs returns the hubs among the members of one domain, those with the most processor time first, and listed members that would be hubs if they were heard: they may
-// be, without knowing the gateway that asks.
+// Hubs selects the hubs among the members of one domain: those with the most processor time first. It also
+// returns the listed members that would be hubs if they had been seen recently: they may act as hubs and not have the
+// calling gateway in their view yet.
 func Hubs(members []Member) (hubs, listed []netip.AddrPort) {
-	type weighed struct {
+	type hashedMember struct {
 		Member
-		weight uint64
+		hash uint64
 	}
-	list := make([]weighed, 0, len(members))
+	list := make([]hashedMember, 0, len(members))
 	for _, m := range members {
-		list = append(list, weighed{m, weight(m.Addr, 0)})
+		list = append(list, hashedMember{m, hashAddr(m.Addr, 0)})
 	}
-	slices.SortFunc(list, func(a, b weighed) int {
-		return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(b.weight, a.weight), a.Addr.Compare(b.Addr))
+	slices.SortFunc(list, func(a, b hashedMember) int {
+		return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(b.hash, a.hash), a.Addr.Compare(b.Addr))
 	})
 	for _, m := range list {
 		switch {
@@ -79,50 +88,52 @@
 	return hubs, listed
 }
 
-// Rank is how many of the others go before a gateway when some of all have a duty: those with more processor time do.
+// Rank returns how many of the others come before a gateway when only some gateways are assigned a task.
+// Gateways with more processor time come first.
 func Rank(self Member, others []Member) int {
-	const salt = 2 // other gateways than the hubs
-	own := weight(self.Addr, salt)
+	const salt = 2 // gives another order than that of the hubs
+	ownHash := hashAddr(self.Addr, salt)
 	rank := 0
 	for _, m := range others {
-		if cmp.Or(cmp.Compare(m.Capacity, self.Capacity), cmp.Compare(weight(m.Addr, salt), own), self.Addr.Compare(m.Addr)) > 0 {
+		if cmp.Or(cmp.Compare(m.Capacity, self.Capacity), cmp.Compare(hashAddr(m.Addr, salt), ownHash), self.Addr.Compare(m.Addr)) > 0 {
 			rank++
 		}
 	}
 	return rank
 }
 
-// Branch is a receiver and those that it passes on to.
+// Branch is a receiver and the gateways to which it forwards.
 type Branch struct {
 	First netip.AddrPort
 	Rest  []netip.AddrPort
 }
 
-// Branches divides the receivers of a hub so that nobody sends to more than about the square root of their number. Each hub divides them
-// in its own way: who is missed under one of them because another receiver was lost hears the other.
+// Branches divides the receivers of a hub so that no gateway sends to more than about the square root of
+// their number. Each hub divides them differently: a gateway that one hub misses because its forwarder was
+// lost still receives the batch of the other hub.
 func Branches(hub netip.AddrPort, receivers []netip.AddrPort) []Branch {
 	n := len(receivers)
-	if n <= flatReceivers {
+	if n <= maxFlatReceivers {
 		branches := make([]Branch, 0, n)
 		for _, r := range receivers {
 			branches = append(branches, Branch{First: r})
 		}
 		return branches
 	}
-	salt := weight(hub, 1)
-	// Each is hashed once: hubs divide their receivers with every batch.
-	type weighed struct {
-		addr   netip.AddrPort
-		weight uint64
+	salt := hashAddr(hub, 1)
+	// Each address is hashed once: hubs divide their receivers with every batch.
+	type hashedAddr struct {
+		addr netip.AddrPort
+		hash uint64
 	}
-	ordered := make([]weighed, 0, n)
+	ordered := make([]hashedAddr, 0, n)
 	for _, r := range receivers {
-		ordered = append(ordered, weighed{r, weight(r, salt)})
+		ordered = append(ordered, hashedAddr{r, hashAddr(r, salt)})
 	}
-	slices.SortFunc(ordered, func(a, b weighed) int { return cmp.Compare(a.weight, b.weight) })
+	slices.SortFunc(ordered, func(a, b hashedAddr) int { return cmp.Compare(a.hash, b.hash) })
 	addrs := make([]netip.AddrPort, 0, n)
-	for _, w := range ordered {
-		addrs = append(addrs, w.addr)
+	for _, h := range ordered {
+		addrs = append(addrs, h.addr)
 	}
 	size := int(math.Ceil(math.Sqrt(float64(n))))
 	var branches []Branch
--- a/core/fanout/sim_test.go
+++ b/core/fanout/sim_test.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-var simSizes = flag.Bool("fanout.sizes", false, "simulate all sizes of fleets, for the tables of the documentation")
+var simAllSizes = flag.Bool("fanout.sizes", false, "simulate all fleet sizes that the tables of the documentation list")
 
-// Times of the model, as in the product.
+// Parameters of the simulation. They match those of the product.
 const (
-	simRefresh   = 200 * time.Millisecond // between two reports without a change, and two of a hub's
-	simHubGap    = 5 * time.Millisecond   // between two batches of a hub
-	simTTL       = 700 * time.Millisecond
-	simPerPeer   = 500 * time.Microsecond // pause of a gateway that tells all by itself, for each receiver
-	simInDomain  = 100 * time.Microsecond // one way
-	simAcross    = 1400 * time.Microsecond
-	simDomains   = 5
-	simChanges   = 1.7 // of the loads of one gateway a second
-	simLost      = 0.005
-	simTime      = 3 * time.Second
-	simWarmUp    = time.Second
-	simLook      = 37 * time.Millisecond
-	simListeners = 8 // gateways whose views are followed
+	simRefreshInterval     = 200 * time.Millisecond // between reports without a change, and between refreshes of a hub
+	simMinHubInterval      = 5 * time.Millisecond   // between two batches of a hub
+	simTTL                 = 700 * time.Millisecond
+	simSendIntervalPerPeer = 500 * time.Microsecond // pause of a gateway without hubs, for each receiver
+	simDomainLatency       = 100 * time.Microsecond // one way
+	simCrossDomainLatency  = 1400 * time.Microsecond
+	simDomains             = 5
+	simChangesPerSecond    = 1.7 // of the loads of one gateway
+	simLossRate            = 0.005
+	simDuration            = 3 * time.Second
+	simWarmUp              = time.Second
+	simSampleInterval      = 37 * time.Millisecond
+	simObservers           = 8 // gateways whose views are measured
 )
 
 type simEvent struct {
@@ -50,40 +50,40 @@
 	return e
 }
 
-// simFleet is a fleet of gateways that tell each other of their loads.
+// simFleet is a simulated fleet of gateways that exchange their loads.
 type simFleet struct {
-	hasHubs bool
-	rng     *rand.Rand
-	now     time.Duration
-	queue   simQueue
-	events  int
-	all     []*simGateway
-	byAddr  map[netip.AddrPort]*simGateway
-	ages    []time.Duration // of changes when they came to be known by a listener
-	// missed is how often, of so many looks, a gateway that lives counted as gone.
-	missed, looks int
+	hasHubs      bool
+	rng          *rand.Rand
+	now          time.Duration
+	queue        simQueue
+	events       int
+	all          []*simGateway
+	byAddr       map[netip.AddrPort]*simGateway
+	changeDelays []time.Duration // from a load change to its arrival at an observer
+	// falselyExpired is in how many of the samples a live gateway counted as expired.
+	falselyExpired, samples int
 }
 
-// simReport is a report: when the loads in it were those of the gateway.
-type simReport struct{ made time.Duration }
+// simReport is a report. It holds only the time of the sender's last load change.
+type simReport struct{ changedAt time.Duration }
 
 type simGateway struct {
-	f      *simFleet
-	id     ID
-	member Member
-	isDead bool
-	seq    uint64
-	made   time.Duration // of the last change
-	table  *Table[simReport]
-	isSending,
-	isDue bool // there is something to tell once isSending is over
-	hubDue      bool
-	sent, heard int
-	isListener  bool
-	hubSent     time.Duration   // when the last batch was sent
-	known       []uint64        // newest seq of each gateway
-	knownMade   []time.Duration // and its last change that is known
-	last        []time.Duration // when each was last heard of
+	fleet     *simFleet
+	id        ID
+	member    Member
+	isDead    bool
+	seq       uint64
+	changedAt time.Duration // time of the last load change
+	table     *Table[simReport]
+	isPaused,
+	isSendDue bool // a report is to be sent once isPaused is reset
+	isFlushDue     bool
+	sent, received int
+	isObserver     bool
+	lastFlush      time.Duration   // when the last batch was sent
+	knownSeq       []uint64        // newest sequence number of each gateway
+	knownChangedAt []time.Duration // time of the last load change received from each gateway
+	lastSeen       []time.Duration // when each gateway was last seen
 }
 
 func newSimFleet(n int, hasHubs bool, seed uint64) *simFleet {
@@ -91,26 +91,26 @@
 	for i := range n {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i % simDomains), byte(i >> 8), byte(i)}), 7000)
 		g := &simGateway{
-			f: f, id: ID(i), member: Member{Addr: addr, Domain: Domain(i % simDomains), IsHeard: true}, isListener: i%(n/simListeners) == 1,
-			known: make([]uint64, n), knownMade: make([]time.Duration, n), last: make([]time.Duration, n),
+			fleet: f, id: ID(i), member: Member{Addr: addr, Domain: Domain(i % simDomains), IsHeard: true}, isObserver: i%(n/simObservers) == 1,
+			knownSeq: make([]uint64, n), knownChangedAt: make([]time.Duration, n), lastSeen: make([]time.Duration, n),
 			table: NewTable(simTTL, func(_, next simReport) simReport { return next }),
 		}
 		f.all = append(f.all, g)
 		f.byAddr[addr] = g
 	}
 	for _, g := range f.all {
-		f.after(time.Duration(f.rng.Float64()*float64(simRefresh)), g.refresh)
-		f.after(time.Duration(f.rng.Float64()*float64(simRefresh)), g.hubRefresh)
-		f.after(f.untilChange(), g.change)
+		f.schedule(time.Duration(f.rng.Float64()*float64(simRefreshInterval)), g.refreshReport)
+		f.schedule(time.Duration(f.rng.Float64()*float64(simRefreshInterval)), g.refreshHub)
+		f.schedule(f.drawChangeDelay(), g.changeLoads)
 	}
 	return f
 }
 
-func (f *simFleet) untilChange() time.Duration {
-	return time.Duration(f.rng.ExpFloat64() / simChanges * float64(time.Second))
+func (f *simFleet) drawChangeDelay() time.Duration {
+	return time.Duration(f.rng.ExpFloat64() / simChangesPerSecond * float64(time.Second))
 }
 
-func (f *simFleet) after(d time.Duration, run func()) {
+func (f *simFleet) schedule(d time.Duration, run func()) {
 	f.events++
 	heap.Push(&f.queue, simEvent{f.now + d, f.events, run})
 }
@@ -124,75 +124,76 @@
 	f.now = until
 }
 
-// send delivers a datagram, if it is not lost.
-func (g *simGateway) send(to *simGateway, take func()) {
+// send delivers a datagram unless it is lost.
+func (g *simGateway) send(to *simGateway, deliver func()) {
 	g.sent++
-	delay := simInDomain
+	delay := simDomainLatency
 	if g.member.Domain != to.member.Domain {
-		delay = simAcross
+		delay = simCrossDomainLatency
 	}
-	if g.f.rng.Float64() < simLost {
+	if g.fleet.rng.Float64() < simLossRate {
 		return
 	}
-	g.f.after(delay, func() {
+	g.fleet.schedule(delay, func() {
 		if !to.isDead {
-			to.heard++
-			take()
+			to.received++
+			deliver()
 		}
 	})
 }
 
-func (g *simGateway) change() {
+func (g *simGateway) changeLoads() {
 	if g.isDead {
 		return
 	}
-	g.made = g.f.now
-	g.f.after(g.f.untilChange(), g.change)
-	g.tell()
+	g.changedAt = g.fleet.now
+	g.fleet.schedule(g.fleet.drawChangeDelay(), g.changeLoads)
+	g.sendReport()
 }
 
-func (g *simGateway) refresh() {
+func (g *simGateway) refreshReport() {
 	if g.isDead {
 		return
 	}
-	g.f.after(simRefresh, g.refresh)
-	g.tell()
+	g.fleet.schedule(simRefreshInterval, g.refreshReport)
+	g.sendReport()
 }
 
-// tell reports to peers, now or once the pause after the report before is over.
-func (g *simGateway) tell() {
-	if g.isSending {
-		g.isDue = true
+// sendReport sends a report now, or once the pause after the previous report is over.
+func (g *simGateway) sendReport() {
+	if g.isPaused {
+		g.isSendDue = true
 		return
 	}
 	g.seq++
 	n := 0
-	if g.f.hasHubs {
-		n = g.tellHubs()
+	if g.fleet.hasHubs {
+		n = g.sendToHubs()
 	} else {
-		n = g.tellAll()
-	}
-	g.isSending = true
-	g.f.after(max(3*time.Millisecond, time.Duration(n)*simPerPeer), func() {
-		g.isSending = false
-		if g.isDue && !g.isDead {
-			g.isDue = false
-			g.tell()
+		n = g.sendDirect()
+	}
+	g.isPaused = true
+	g.fleet.schedule(max(3*time.Millisecond, time.Duration(n)*simSendIntervalPerPeer), func() {
+		g.isPaused = false
+		if g.isSendDue && !g.isDead {
+			g.isSendDue = false
+			g.sendReport()
 		}
 	})
 }
 
-// tellAll tells those of the own domain, and one of each other domain, who passes the report on.
-func (g *simGateway) tellAll() int {
+// sendDirect sends a report to all gateways of the own domain and to one relay in each other domain. It
+// returns the number of receivers.
+func (g *simGateway) sendDirect() int {
 	n := 0
 	relays := make([][]*simGateway, simDomains)
-	for _, to := range g.f.all {
+	for _, to := range g.fleet.all {
 		switch {
-		case to == g || g.isGone(to):
+		case to == g || g.isExpired(to):
 		case to.member.Domain == g.member.Domain:
 			n++
-			seq, made := g.seq, g.made
-			g.send(to, func() { to.learn(g.id, seq, made, to.f.now) })
+			seq, changedAt := g.seq, g.changedAt
+			g.send(to, func() { to.applyReport(g.id, seq, changedAt, to.fleet.now) })
 		default:
 			relays[to.member.Domain] = append(relays[to.member.Domain], to)
 		}
@@ -203,106 +204,106 @@
 		}
 		n++
 		to := list[(int(g.id)+int(g.seq%2))%len(list)]
-		seq, made := g.seq, g.made
-		g.send(to, func() { to.passOn(g.id, seq, made) })
+		seq, changedAt := g.seq, g.changedAt
+		g.send(to, func() { to.relayReport(g.id, seq, changedAt) })
 	}
 	return n
 }
 
-func (g *simGateway) passOn(id ID, seq uint64, made time.Duration) {
-	g.learn(id, seq, made, g.f.now)
-	for _, to := range g.f.all {
-		if to != g && to.member.Domain == g.member.Domain && !g.isGone(to) {
-			g.send(to, func() { to.learn(id, seq, made, to.f.now) })
+func (g *simGateway) relayReport(id ID, seq uint64, changedAt time.Duration) {
+	g.applyReport(id, seq, changedAt, g.fleet.now)
+	for _, to := range g.fleet.all {
+		if to != g && to.member.Domain == g.member.Domain && !g.isExpired(to) {
+			g.send(to, func() { to.applyReport(id, seq, changedAt, to.fleet.now) })
 		}
 	}
 }
 
-func (g *simGateway) isGone(to *simGateway) bool {
-	return g.f.now > simTTL && g.f.now-g.last[to.id] > simTTL
+func (g *simGateway) isExpired(to *simGateway) bool {
+	return g.fleet.now > simTTL && g.fleet.now-g.lastSeen[to.id] > simTTL
 }
 
-// members returns the gateways of a domain as this one knows them.
+// members returns the gateways of a domain as seen by g.
 func (g *simGateway) members(d Domain) []Member {
 	var list []Member
-	for _, m := range g.f.all {
+	for _, m := range g.fleet.all {
 		if m.member.Domain == d {
-			list = append(list, Member{Addr: m.member.Addr, Domain: d, IsHeard: m == g || !g.isGone(m)})
+			list = append(list, Member{Addr: m.member.Addr, Domain: d, IsHeard: m == g || !g.isExpired(m)})
 		}
 	}
 	return list
 }
 
-func (g *simGateway) tellHubs() int {
+func (g *simGateway) sendToHubs() int {
 	hubs, _ := Hubs(g.members(g.member.Domain))
 	for i, addr := range hubs {
-		to := g.f.byAddr[addr]
-		o := Origin[simReport]{ID: g.id, Domain: g.member.Domain, Seq: g.seq, Heard: at(g.f.now), Report: simReport{g.made}}
-		isPassedOn := g.seq%uint64(len(hubs)) == uint64(i)
+		to := g.fleet.byAddr[addr]
+		o := Origin[simReport]{ID: g.id, Domain: g.member.Domain, Seq: g.seq, Heard: simTime(g.fleet.now), Report: simReport{g.changedAt}}
+		isForwarded := g.seq%uint64(len(hubs)) == uint64(i)
 		if to == g {
-			g.gather(o, isPassedOn)
+			g.putReport(o, isForwarded)
 			continue
 		}
 		g.send(to, func() {
-			o.Heard = at(to.f.now)
-			to.learn(o.ID, o.Seq, o.Report.made, to.f.now)
-			to.gather(o, isPassedOn)
+			o.Heard = simTime(to.fleet.now)
+			to.applyReport(o.ID, o.Seq, o.Report.changedAt, to.fleet.now)
+			to.putReport(o, isForwarded)
 		})
 	}
 	return len(hubs)
 }
 
-func at(d time.Duration) time.Time { return time.Unix(0, 0).Add(d) }
+func simTime(d time.Duration) time.Time { return time.Unix(0, 0).Add(d) }
 
-// gather takes a report into the hub's table.
-func (g *simGateway) gather(o Origin[simReport], isPassedOn bool) {
-	g.table.Put(o, isPassedOn)
-	if isPassedOn {
-		g.flushSoon()
+// putReport stores a report in the hub's table.
+func (g *simGateway) putReport(o Origin[simReport], isForwarded bool) {
+	g.table.Put(o, isForwarded)
+	if isForwarded {
+		g.scheduleFlush()
 	}
 }
 
-// flushSoon has the hub tell what is new.
-func (g *simGateway) flushSoon() {
-	if g.hubDue {
+// scheduleFlush schedules the next batch of the hub, unless one is scheduled already.
+func (g *simGateway) scheduleFlush() {
+	if g.isFlushDue {
 		return
 	}
-	g.hubDue = true
-	g.f.after(max(0, g.hubSent+simHubGap-g.f.now), func() {
-		g.hubDue = false
-		g.hubSent = g.f.now
+	g.isFlushDue = true
+	g.fleet.schedule(max(0, g.lastFlush+simMinHubInterval-g.fleet.now), func() {
+		g.isFlushDue = false
+		g.lastFlush = g.fleet.now
 		if !g.isDead {
-			g.spread(g.table.Changes(), g.table.Vouched())
+			g.sendBatch(g.table.Changes(), g.table.Vouched())
 		}
 	})
 }
 
-func (g *simGateway) hubRefresh() {
+func (g *simGateway) refreshHub() {
 	if g.isDead {
 		return
 	}
-	g.f.after(simRefresh, g.hubRefresh)
-	if list := g.table.Refresh(at(g.f.now), g.member.Domain); len(list) > 0 {
-		g.spread(nil, list)
+	g.fleet.schedule(simRefreshInterval, g.refreshHub)
+	if list := g.table.Refresh(simTime(g.fleet.now), g.member.Domain); len(list) > 0 {
+		g.sendBatch(nil, list)
 	}
 }
 
-// spread tells the own domain, and of its own reports the hubs of the others.
-func (g *simGateway) spread(changes, signs []Origin[simReport]) {
-	if len(changes) == 0 && len(signs) == 0 {
+// sendBatch sends a batch to the own domain, and its entries of the own domain to a hub of each other domain.
+func (g *simGateway) sendBatch(changes, heartbeats []Origin[simReport]) {
+	if len(changes) == 0 && len(heartbeats) == 0 {
 		return
 	}
 	isOther := func(o Origin[simReport]) bool { return o.Domain != g.member.Domain }
 	ownChanges := slices.DeleteFunc(slices.Clone(changes), isOther)
-	ownSigns := slices.DeleteFunc(slices.Clone(signs), isOther)
-	rank := slices.IndexFunc(first(Hubs(g.members(g.member.Domain))), func(a netip.AddrPort) bool { return a == g.member.Addr })
+	ownHeartbeats := slices.DeleteFunc(slices.Clone(heartbeats), isOther)
+	rank := slices.IndexFunc(hubsOf(Hubs(g.members(g.member.Domain))), func(a netip.AddrPort) bool { return a == g.member.Addr })
 	for d := range Domain(simDomains) {
-		hubs := first(Hubs(g.members(d)))
-		if d == g.member.Domain || len(hubs) == 0 || len(ownChanges) == 0 && len(ownSigns) == 0 {
+		hubs := hubsOf(Hubs(g.members(d)))
+		if d == g.member.Domain || len(hubs) == 0 || len(ownChanges) == 0 && len(ownHeartbeats) == 0 {
 			continue
 		}
-		to := g.f.byAddr[hubs[max(0, rank)%len(hubs)]]
-		g.send(to, func() { to.takeBatch(ownChanges, ownSigns, true) })
+		to := g.fleet.byAddr[hubs[max(0, rank)%len(hubs)]]
+		g.send(to, func() { to.applyBatch(ownChanges, ownHeartbeats, true) })
 	}
 	var receivers []netip.AddrPort
 	for _, m := range g.members(g.member.Domain) {
@@ -311,124 +312,126 @@
 		}
 	}
 	for _, b := range Branches(g.member.Addr, receivers) {
-		to := g.f.byAddr[b.First]
+		to := g.fleet.byAddr[b.First]
 		g.send(to, func() {
 			for _, addr := range b.Rest {
-				next := g.f.byAddr[addr]
-				to.send(next, func() { next.takeBatch(changes, signs, false) })
+				next := g.fleet.byAddr[addr]
+				to.send(next, func() { next.applyBatch(changes, heartbeats, false) })
 			}
-			to.takeBatch(changes, signs, false)
+			to.applyBatch(changes, heartbeats, false)
 		})
 	}
 }
 
-func first(hubs, _ []netip.AddrPort) []netip.AddrPort { return hubs }
+func hubsOf(hubs, _ []netip.AddrPort) []netip.AddrPort { return hubs }
 
-func (g *simGateway) takeBatch(changes, signs []Origin[simReport], isHub bool) {
+func (g *simGateway) applyBatch(changes, heartbeats []Origin[simReport], isHub bool) {
 	for _, o := range changes {
-		g.learn(o.ID, o.Seq, o.Report.made, o.Heard.Sub(at(0)))
+		g.applyReport(o.ID, o.Seq, o.Report.changedAt, o.Heard.Sub(simTime(0)))
 		if isHub {
-			g.gather(o, true)
+			g.putReport(o, true)
 		}
 	}
-	for _, o := range signs {
-		g.learn(o.ID, o.Seq, o.Report.made, o.Heard.Sub(at(0)))
+	for _, o := range heartbeats {
+		g.applyReport(o.ID, o.Seq, o.Report.changedAt, o.Heard.Sub(simTime(0)))
 		if isHub {
 			g.table.Vouch(o)
-			g.flushSoon()
+			g.scheduleFlush()
 		}
 	}
 }
 
-// look counts the gateways that a listener takes for gone though they live.
-func (f *simFleet) look() {
-	f.after(simLook, f.look)
+// sampleViews counts the live gateways that count as expired at an observer.
+func (f *simFleet) sampleViews() {
+	f.schedule(simSampleInterval, f.sampleViews)
 	for _, g := range f.all {
-		if !g.isListener || g.isDead {
+		if !g.isObserver || g.isDead {
 			continue
 		}
 		for _, other := range f.all {
-			f.looks++
-			if other != g && !other.isDead && g.isGone(other) {
-				f.missed++
+			f.samples++
+			if other != g && !other.isDead && g.isExpired(other) {
+				f.falselyExpired++
 			}
 		}
 	}
 }
 
-// learn takes in the report of a gateway, last heard of at a time.
-func (g *simGateway) learn(id ID, seq uint64, made, heard time.Duration) {
-	g.last[id] = max(g.last[id], heard)
-	if seq <= g.known[id] || id == g.id {
+// applyReport applies the report of a gateway that was last seen at the given time.
+func (g *simGateway) applyReport(id ID, seq uint64, changedAt, seenAt time.Duration) {
+	g.lastSeen[id] = max(g.lastSeen[id], seenAt)
+	if seq <= g.knownSeq[id] || id == g.id {
 		return
 	}
-	g.known[id] = seq
-	if made > g.knownMade[id] && made > simWarmUp && g.isListener {
-		g.f.ages = append(g.f.ages, g.f.now-made)
+	g.knownSeq[id] = seq
+	if changedAt > g.knownChangedAt[id] && changedAt > simWarmUp && g.isObserver {
+		g.fleet.changeDelays = append(g.fleet.changeDelays, g.fleet.now-changedAt)
 	}
-	g.knownMade[id] = max(g.knownMade[id], made)
+	g.knownChangedAt[id] = max(g.knownChangedAt[id], changedAt)
 }
 
-// simResult is what a fleet has cost and come to.
+// simResult holds the traffic and the delays of a simulation.
 type simResult struct {
-	sent, heard, mostSent, mostHeard float64 // a second and gateway
-	mean, late                       time.Duration
-	missed                           float64 // share of the gateways that count as gone though they live
+	sent, received, maxSent, maxReceived float64 // datagrams per second and gateway
+	meanDelay, p99Delay                  time.Duration
+	falselyExpiredShare                  float64 // share of the samples in which a live gateway counts as expired
 }
 
 func simulate(n int, hasHubs bool) simResult {
 	f := newSimFleet(n, hasHubs, uint64(n))
 	f.run(simWarmUp)
-	f.look()
+	f.sampleViews()
 	for _, g := range f.all {
-		g.sent, g.heard = 0, 0
+		g.sent, g.received = 0, 0
 	}
-	f.run(simTime)
-	seconds := (simTime - simWarmUp).Seconds()
+	f.run(simDuration)
+	seconds := (simDuration - simWarmUp).Seconds()
 	var r simResult
 	for _, g := range f.all {
-		sent, heard := float64(g.sent)/seconds, float64(g.heard)/seconds
+		sent, received := float64(g.sent)/seconds, float64(g.received)/seconds
 		r.sent += sent / float64(n)
-		r.heard += heard / float64(n)
-		r.mostSent, r.mostHeard = max(r.mostSent, sent), max(r.mostHeard, heard)
+		r.received += received / float64(n)
+		r.maxSent, r.maxReceived = max(r.maxSent, sent), max(r.maxReceived, received)
 	}
-	slices.Sort(f.ages)
+	slices.Sort(f.changeDelays)
 	var sum time.Duration
-	for _, a := range f.ages {
-		sum += a
+	for _, d := range f.changeDelays {
+		sum += d
 	}
-	r.missed = float64(f.missed) / float64(f.looks)
-	r.mean, r.late = sum/time.Duration(len(f.ages)), f.ages[len(f.ages)*99/100]
+	r.falselyExpiredShare = float64(f.falselyExpired) / float64(f.samples)
+	r.meanDelay, r.p99Delay = sum/time.Duration(len(f.changeDelays)), f.changeDelays[len(f.changeDelays)*99/100]
 	return r
 }
 
-// Guards against reports whose number, for one gateway, grows with the fleet, and against hubs that make them late.
-func TestReportsOfOneGatewayDoNotGrowWithTheFleet(t *testing.T) {
+// Guards against a number of datagrams per gateway that grows with the fleet, and against hubs that make
+// reports so late that live gateways expire.
+func TestReportsPerGatewayDoNotGrowWithFleet(t *testing.T) {
 	sizes := []int{88, 294}
-	if *simSizes {
+	if *simAllSizes {
 		sizes = []int{28, 88, 294, 556, 1112}
 	}
-	// So many are below the size from which on the product has hubs.
+	// 88 gateways are below the size from which the product uses hubs.
 	small := simulate(88, false)
 	for _, n := range sizes {
 		direct, hubs := simResult{}, simulate(n, true)
-		if n <= 600 && *simSizes {
+		if n <= 600 && *simAllSizes {
 			direct = simulate(n, false)
 		}
-		t.Logf("%5d gateways: hubs: sent %5.0f, most %5.0f, heard %5.0f, most %5.0f, missed %.5f, age %v, late %v; all by themselves: sent %5.0f, heard %5.0f, age %v, late %v",
-			n, hubs.sent, hubs.mostSent, hubs.heard, hubs.mostHeard, hubs.missed, hubs.mean.Round(100*time.Microsecond), hubs.late.Round(100*time.Microsecond),
-			direct.sent, direct.heard, direct.mean.Round(100*time.Microsecond), direct.late.Round(100*time.Microsecond))
-		if hubs.missed > 0.0001 {
-			t.Errorf("%d gateways: %.5f of them count as gone", n, hubs.missed)
+		t.Logf("%5d gateways: with hubs: sent/s %5.0f, max %5.0f, received/s %5.0f, max %5.0f, falsely expired %.5f, delay mean %v, p99 %v; without hubs: sent/s %5.0f, received/s %5.0f, delay mean %v, p99 %v",
+			n, hubs.sent, hubs.maxSent, hubs.received, hubs.maxReceived, hubs.falselyExpiredShare, hubs.meanDelay.Round(100*time.Microsecond), hubs.p99Delay.Round(100*time.Microsecond),
+			direct.sent, direct.received, direct.meanDelay.Round(100*time.Microsecond), direct.p99Delay.Round(100*time.Microsecond))
+		if hubs.falselyExpiredShare > 0.0001 {
+			t.Errorf("%d gateways: %.5f of the samples show a live gateway as expired", n, hubs.falselyExpiredShare)
 		}
-		if n > 88 && hubs.heard > 1.3*small.heard {
-			t.Errorf("%d gateways hear %.0f datagrams a second, 88 hear %.0f", n, hubs.heard, small.heard)
+		if n > 88 && hubs.received > 1.3*small.received {
+			t.Errorf("%d gateways receive %.0f datagrams a second each, 88 receive %.0f", n, hubs.received, small.received)
 		}
 	}
 }
 
-// Guards against gateways that are missed for long, or live on for long, after the first hub of each domain is lost at once.
-func TestTheLossOfHubsIsMadeGood(t *testing.T) {
+// Guards against live gateways that stay expired, or lost ones that stay live, after the first hub of each
+// domain is lost at the same time.
+func TestViewsRecoverAfterHubLoss(t *testing.T) {
 	const gateways, lostAt = 294, simWarmUp
 	f := newSimFleet(gateways, true, 3)
 	f.run(lostAt)
@@ -439,32 +442,32 @@
 		g.isDead = true
 		lost[g.id] = true
 	}
-	view := func() (missed, living int) {
+	countErrors := func() (expired, live int) {
 		for _, g := range f.all {
-			if !g.isListener || g.isDead {
+			if !g.isObserver || g.isDead {
 				continue
 			}
 			for _, other := range f.all {
 				switch {
 				case other == g:
-				case lost[other.id] && !g.isGone(other):
-					living++
-				case !lost[other.id] && g.isGone(other):
-					missed++
+				case lost[other.id] && !g.isExpired(other):
+					live++
+				case !lost[other.id] && g.isExpired(other):
+					expired++
 				}
 			}
 		}
-		return missed, living
+		return expired, live
 	}
-	var mostMissed int
-	for after := simLook; after < 2*simTTL; after += simLook {
+	var maxExpired int
+	for after := simSampleInterval; after < 2*simTTL; after += simSampleInterval {
 		f.run(lostAt + after)
-		missed, _ := view()
-		mostMissed = max(mostMissed, missed)
+		expired, _ := countErrors()
+		maxExpired = max(maxExpired, expired)
 	}
-	missed, living := view()
-	t.Logf("%d of %d views of others were missing at the most", mostMissed, simListeners*gateways)
-	if missed > 0 || living > 0 {
-		t.Errorf("%v after the loss %d gateways that live are missed, %d that are lost count as living", 2*simTTL, missed, living)
+	expired, live := countErrors()
+	t.Logf("at most %d of %d views showed a live gateway as expired", maxExpired, simObservers*gateways)
+	if expired > 0 || live > 0 {
+		t.Errorf("%v after the loss %d live gateways count as expired, %d lost ones as live", 2*simTTL, expired, live)
 	}
 }
--- a/core/fanout/table.go
+++ b/core/fanout/table.go
@@ -2,83 +2,88 @@
 
 import "time"
 
-// ID stands for the name of a gateway's start.
+// ID identifies one start of a gateway's process; it is a short form of the gateway's name.
 type ID uint32
 
-// Origin is what a hub knows of the gateway that a report comes from.
+// Origin is what a hub holds about the gateway that a report comes from.
 type Origin[R any] struct {
 	ID     ID
 	Domain Domain
-	// Seq is the number of Report at its origin.
+	// Seq is the sequence number of Report at its origin.
 	Seq uint64
-	// Heard is when the origin last told a hub something, by this process's clock.
+	// Heard is when a hub last received something from the origin, by this process's clock.
 	Heard time.Time
-	// Contact is when the platform's store last answered the origin, and HasDetour says that its own way there is lost.
+	// Contact is when the platform's store last answered the origin. HasDetour is set if the origin has lost
+	// its own connection to the store.
 	Contact   time.Time
 	HasDetour bool
-	// IsIdle says that the report holds nothing that others need to know.
+	// IsIdle is set if the report holds nothing that other gateways need.
 	IsIdle bool
-	// HasStopped says that the origin's process is known to have stopped.
+	// HasStopped is set if the origin's process is known to have stopped.
 	HasStopped bool
 	Report     R
 }
 
-// Table is what a hub has gathered: the newest report of each gateway of its domain, and what the hubs of the others have told.
+// Table holds what a hub has collected: the newest report of each gateway of its domain, and what the hubs of
+// the other domains have sent.
 type Table[R any] struct {
 	ttl   time.Duration
 	merge func(undelivered, next R) R
 	rows  map[ID]*row[R]
-	// changed are the rows whose reports are to be passed on, vouched those of which the hub of another domain has told a sign of life.
-	changed, vouched []*row[R]
+	// changes are the rows whose reports are to be forwarded, heartbeats the rows for which the hub of
+	// another domain has sent a heartbeat.
+	changes, heartbeats []*row[R]
 }
 
 type row[R any] struct {
 	Origin[R]
-	isChanged bool // it is in Table.changed
-	isVouched bool // it is in Table.vouched
+	isChangePending    bool // the row is in Table.changes
+	isHeartbeatPending bool // the row is in Table.heartbeats
 }
 
-// NewTable returns an empty table. It drops gateways that have been silent for ttl. merge takes what was not passed on yet of a report
-// into the next one of the same origin.
+// NewTable returns an empty table. Refresh drops gateways that have been silent for longer than ttl. merge
+// combines a report that was not forwarded yet with the next one of the same origin.
 func NewTable[R any](ttl time.Duration, merge func(undelivered, next R) R) *Table[R] {
 	return &Table[R]{ttl: ttl, merge: merge, rows: make(map[ID]*row[R])}
 }
 
-// Put takes in a report. One that is not newer only counts as a sign of life. isPassedOn has the next Changes return it; a report that only
-// repeats that its origin is idle is not passed on.
-func (t *Table[R]) Put(o Origin[R], isPassedOn bool) {
-	r := t.row(o)
-	r.note(o)
+// Put stores a report. One that is not newer than the stored report only counts as a heartbeat. isForwarded
+// makes the next call of Changes return the report; a report that only repeats that its origin is idle is not
+// forwarded.
+func (t *Table[R]) Put(o Origin[R], isForwarded bool) {
+	r := t.ensureRow(o)
+	r.recordLiveness(o)
 	if o.Seq <= r.Seq {
 		return
 	}
-	hasNews := !r.IsIdle || !o.IsIdle
-	if r.isChanged {
+	hasChange := !r.IsIdle || !o.IsIdle
+	if r.isChangePending {
 		o.Report = t.merge(r.Report, o.Report)
 	}
 	r.Seq, r.Report, r.IsIdle = o.Seq, o.Report, o.IsIdle
-	if isPassedOn && hasNews && !r.isChanged {
-		r.isChanged = true
-		t.changed = append(t.changed, r)
+	if isForwarded && hasChange && !r.isChangePending {
+		r.isChangePending = true
+		t.changes = append(t.changes, r)
 	}
 }
 
-// Vouch takes in that the hub of another domain has heard of a gateway.
+// Vouch records a heartbeat of a gateway that the hub of another domain has sent.
 func (t *Table[R]) Vouch(o Origin[R]) {
-	r := t.row(o)
-	r.note(o)
-	if !r.isVouched {
-		r.isVouched = true
-		t.vouched = append(t.vouched, r)
+	r := t.ensureRow(o)
+	r.recordLiveness(o)
+	if !r.isHeartbeatPending {
+		r.isHeartbeatPending = true
+		t.heartbeats = append(t.heartbeats, r)
 	}
 	if o.IsIdle && o.Seq >= r.Seq {
-		var none R
-		r.Seq, r.IsIdle, r.Report = o.Seq, true, none
+		var empty R
+		r.Seq, r.IsIdle, r.Report = o.Seq, true, empty
 	}
 }
 
-// row returns the row of an origin. Until its first report it counts as idle.
-func (t *Table[R]) row(o Origin[R]) *row[R] {
+// ensureRow returns the row of an origin and adds it if it is missing. A new row counts as idle until its
+// first report.
+func (t *Table[R]) ensureRow(o Origin[R]) *row[R] {
 	r, ok := t.rows[o.ID]
 	if !ok {
 		r = &row[R]{Origin: Origin[R]{ID: o.ID, Domain: o.Domain, IsIdle: true}}
@@ -87,46 +92,47 @@
 	return r
 }
 
-// note takes in a sign of life.
-func (r *row[R]) note(o Origin[R]) {
+// recordLiveness updates the fields that say when the origin was last seen, unless o is older.
+func (r *row[R]) recordLiveness(o Origin[R]) {
 	if o.Heard.After(r.Heard) {
 		r.Heard, r.Contact, r.HasDetour, r.HasStopped = o.Heard, o.Contact, o.HasDetour, o.HasStopped
 	}
 }
 
-// Stop notes that a gateway's process has stopped.
+// Stop marks a gateway's process as stopped.
 func (t *Table[R]) Stop(id ID) {
 	if r, ok := t.rows[id]; ok {
 		r.HasStopped = true
 	}
 }
 
-// Len is the number of gateways in the table.
+// Len returns the number of gateways in the table.
 func (t *Table[R]) Len() int { return len(t.rows) }
 
-// Vouched returns the gateways for which the hubs of other domains have vouched since the last call.
+// Vouched returns the gateways for which hubs of other domains have sent heartbeats since the last call.
 func (t *Table[R]) Vouched() []Origin[R] {
-	list := make([]Origin[R], 0, len(t.vouched))
-	for _, r := range t.vouched {
-		r.isVouched = false
+	list := make([]Origin[R], 0, len(t.heartbeats))
+	for _, r := range t.heartbeats {
+		r.isHeartbeatPending = false
 		list = append(list, r.Origin)
 	}
-	t.vouched = t.vouched[:0]
+	t.heartbeats = t.heartbeats[:0]
 	return list
 }
 
-// Changes returns the reports to be passed on that came since the last call.
+// Changes returns the reports to be forwarded that were stored since the last call.
 func (t *Table[R]) Changes() []Origin[R] {
-	list := make([]Origin[R], 0, len(t.changed))
-	for _, r := range t.changed {
-		r.isChanged = false
+	list := make([]Origin[R], 0, len(t.changes))
+	for _, r := range t.changes {
+		r.isChangePending = false
 		list = append(list, r.Origin)
 	}
-	t.changed = t.changed[:0]
+	t.changes = t.changes[:0]
 	return list
 }
 
-// Refresh returns what is known of the gateways of a domain that live, and drops all that are silent.
+// Refresh returns the entries of the live gateways of one domain, and drops all silent gateways from the
+// table.
 func (t *Table[R]) Refresh(now time.Time, d Domain) []Origin[R] {
 	list := make([]Origin[R], 0, len(t.rows))
 	for id, r := range t.rows {
