--- a/internal/loadshare/batch.go
+++ b/internal/loadshare/batch.go
@@ -13,71 +13,72 @@
 	"arbutusramp/core/quarantine"
 )
 
-// batch is what a hub tells of many gateways at once. Its receiver passes the content on as it is.
+// batch is a message of a hub about many gateways. Its receiver forwards the content unchanged to the
+// addresses in Forward.
 type batch struct {
 	_       struct{} `cbor:",toarray"`
 	Forward []netip.AddrPort
 	Content cbor.RawMessage
 }
 
-// content is what a batch holds.
-type content struct {
+// batchContent is the content of a batch.
+type batchContent struct {
 	_      struct{}       `cbor:",toarray"`
-	Hub    netip.AddrPort // who has put it together
-	Intros []intro
-	News   []news
-	Signs  []byte // see appendSign
+	Hub    netip.AddrPort // the hub that has built the batch
+	Intros []peerInfo
+	News   []relayedReport
+	Signs  []byte // see appendHeartbeat
 }
 
-// intro tells which gateway an id stands for.
-type intro struct {
+// peerInfo describes the gateway that an id stands for.
+type peerInfo struct {
 	_      struct{} `cbor:",toarray"`
 	Name   fleet.Peer
 	Addr   netip.AddrPort
 	Domain digest
-	// Capacity is its processor time.
+	// Capacity is the gateway's processor time.
 	Capacity fanout.Capacity
 }
 
-// news is a gateway's newest report.
-type news struct {
+// relayedReport is a gateway's newest report as a hub forwards it.
+type relayedReport struct {
 	_          struct{} `cbor:",toarray"`
 	ID         fanout.ID
 	Seq        uint64
-	Loads      []line
+	Loads      []targetLoad
 	Items      int
 	Due        int64
 	Suspects   []digest
 	IsFirst    bool
-	Admitted   []count
+	Admitted   []admittedCount
 	Quarantine []quarantine.Message
 }
 
-// isBatch tells a batch from a report: the one is an array, the other a map.
+// isBatch tells a batch from a report: a batch is a CBOR array, a report a map.
 func isBatch(data []byte) bool {
 	const majorArray = 4
 	return len(data) > 0 && data[0]>>5 == majorArray
 }
 
-func newsOf(id fanout.ID, r report) news {
-	return news{
+func newRelayedReport(id fanout.ID, r report) relayedReport {
+	return relayedReport{
 		ID: id, Seq: r.Seq, Loads: r.Loads, Items: r.Items, Due: r.Due, Suspects: r.Suspects, IsFirst: r.IsFirst, Admitted: r.Admitted, Quarantine: r.Quarantine,
 	}
 }
 
-// isIdle says whether the news hold nothing that others need to know.
-func (n news) isIdle() bool {
-	return len(n.Loads) == 0 && n.Items == 0 && len(n.Suspects) == 0 && len(n.Admitted) == 0 && len(n.Quarantine) == 0
+// isIdle reports whether the report holds nothing that other gateways need.
+func (r relayedReport) isIdle() bool {
+	return len(r.Loads) == 0 && r.Items == 0 && len(r.Suspects) == 0 && len(r.Admitted) == 0 && len(r.Quarantine) == 0
 }
 
-// mergeNews keeps, of news that were not passed on, what the next report does not repeat.
-func mergeNews(undelivered, next news) news {
-	told := make(map[string]bool, len(next.Admitted))
+// mergeReports adds to the next report what it does not repeat of a report that was not forwarded.
+func mergeReports(undelivered, next relayedReport) relayedReport {
+	isReported := make(map[string]bool, len(next.Admitted))
 	for _, c := range next.Admitted {
-		told[c.Workspace] = true
+		isReported[c.Workspace] = true
 	}
 	for _, c := range undelivered.Admitted {
-		if !told[c.Workspace] {
+		if !isReported[c.Workspace] {
 			next.Admitted = append(next.Admitted, c)
 		}
 	}
@@ -85,40 +86,40 @@
 	return next
 }
 
-// sign is a sign of life of a gateway.
-type sign struct {
-	id         fanout.ID
-	seq        uint16        // the low bits of the number of its newest report
-	age        time.Duration // since it was heard
-	contact    time.Duration // since the store answered it; maxContactAge and more is not told
-	isIdle     bool
-	hasStopped bool
-	hasDetour  bool // its own way to the store is lost
+// heartbeat is a liveness record of a gateway as hubs send it.
+type heartbeat struct {
+	id           fanout.ID
+	seq          uint16        // the low 16 bits of the number of its newest report
+	age          time.Duration // time since the gateway was last seen
+	contactAge   time.Duration // time since the store answered it; limited to maxEncodedContactAge
+	isIdle       bool
+	hasStopped   bool
+	hasLostStore bool // it has lost its own connection to the store
 }
 
-// How a sign is encoded.
+// Encoding of a heartbeat.
 const (
-	signBytes     = 9
-	ageUnit       = 8 * time.Millisecond
-	contactUnit   = 20 * time.Millisecond
-	maxAge        = 255 * ageUnit
-	maxContactAge = 255 * contactUnit
-	flagIdle      = 1
-	flagStopped   = 2
-	flagDetour    = 4
+	heartbeatBytes       = 9
+	ageUnit              = 8 * time.Millisecond
+	contactAgeUnit       = 20 * time.Millisecond
+	maxEncodedAge        = 255 * ageUnit
+	maxEncodedContactAge = 255 * contactAgeUnit
+	flagIdle             = 1
+	flagStopped          = 2
+	flagLostStore        = 4
 )
 
-func appendSign(data []byte, s sign) []byte {
-	data = binary.LittleEndian.AppendUint32(data, uint32(s.id))
-	data = binary.LittleEndian.AppendUint16(data, s.seq)
-	return append(data, units(s.age, ageUnit), units(s.contact, contactUnit), s.flags())
+func appendHeartbeat(data []byte, h heartbeat) []byte {
+	data = binary.LittleEndian.AppendUint32(data, uint32(h.id))
+	data = binary.LittleEndian.AppendUint16(data, h.seq)
+	return append(data, toUnits(h.age, ageUnit), toUnits(h.contactAge, contactAgeUnit), h.flags())
 }
 
-// units is a time in units, rounded up and bounded.
-func units(d, unit time.Duration) byte { return byte(min(255, max(0, (d+unit-1)/unit))) }
+// toUnits converts a duration to units, rounded up and limited to the range of a byte.
+func toUnits(d, unit time.Duration) byte { return byte(min(255, max(0, (d+unit-1)/unit))) }
 
-func (s sign) flags() (flags byte) {
-	for flag, isSet := range map[byte]bool{flagIdle: s.isIdle, flagStopped: s.hasStopped, flagDetour: s.hasDetour} {
+func (h heartbeat) flags() (flags byte) {
+	for flag, isSet := range map[byte]bool{flagIdle: h.isIdle, flagStopped: h.hasStopped, flagLostStore: h.hasLostStore} {
 		if isSet {
 			flags |= flag
 		}
@@ -126,61 +127,61 @@
 	return flags
 }
 
-// decodeSigns reads signs. Error: errs.BadFrame.
-func decodeSigns(data []byte) ([]sign, error) {
-	if len(data)%signBytes != 0 {
-		return nil, errs.Newf(errs.BadFrame, "%d bytes are no whole number of signs", len(data))
+// decodeHeartbeats decodes heartbeats. Error: errs.BadFrame.
+func decodeHeartbeats(data []byte) ([]heartbeat, error) {
+	if len(data)%heartbeatBytes != 0 {
+		return nil, errs.Newf(errs.BadFrame, "%d bytes are not a whole number of heartbeats", len(data))
 	}
-	list := make([]sign, 0, len(data)/signBytes)
-	for ; len(data) > 0; data = data[signBytes:] {
+	list := make([]heartbeat, 0, len(data)/heartbeatBytes)
+	for ; len(data) > 0; data = data[heartbeatBytes:] {
 		flags := data[8]
-		list = append(list, sign{
+		list = append(list, heartbeat{
 			id: fanout.ID(binary.LittleEndian.Uint32(data)), seq: binary.LittleEndian.Uint16(data[4:]),
-			age: time.Duration(data[6]) * ageUnit, contact: time.Duration(data[7]) * contactUnit,
-			isIdle: flags&flagIdle != 0, hasStopped: flags&flagStopped != 0, hasDetour: flags&flagDetour != 0,
+			age: time.Duration(data[6]) * ageUnit, contactAge: time.Duration(data[7]) * contactAgeUnit,
+			isIdle: flags&flagIdle != 0, hasStopped: flags&flagStopped != 0, hasLostStore: flags&flagLostStore != 0,
 		})
 	}
 	return list, nil
 }
 
-// decodeBatch reads a batch. Error: errs.BadFrame.
-func decodeBatch(data []byte) (batch, content, []sign, error) {
+// decodeBatch decodes a batch, its content and the heartbeats in it. Error: errs.BadFrame.
+func decodeBatch(data []byte) (batch, batchContent, []heartbeat, error) {
 	var b batch
-	var c content
+	var c batchContent
 	if err := cbor.Unmarshal(data, &b); err != nil {
-		return b, c, nil, errs.Newf(errs.BadFrame, "a batch of load reports: %v", err)
+		return b, c, nil, errs.Newf(errs.BadFrame, "decode a batch of load reports: %v", err)
 	}
 	if err := cbor.Unmarshal(b.Content, &c); err != nil {
-		return b, c, nil, errs.Newf(errs.BadFrame, "the content of a batch of load reports: %v", err)
+		return b, c, nil, errs.Newf(errs.BadFrame, "decode the content of a batch of load reports: %v", err)
 	}
-	signs, err := decodeSigns(c.Signs)
+	heartbeats, err := decodeHeartbeats(c.Signs)
 	if err == nil && !c.Hub.IsValid() {
-		err = errs.New(errs.BadFrame, "a batch of load reports without a hub")
+		err = errs.New(errs.BadFrame, "a batch of load reports names no hub")
 	}
-	return b, c, signs, err
+	return b, c, heartbeats, err
 }
 
-// Bounds of one batch: it stays below maxBatch bytes but for unusually long reports.
+// Limits of one batch. They keep it below 16 KiB unless reports are unusually long.
 const (
-	maxIntros = 64
-	maxNews   = 128
-	maxSigns  = 768
+	maxPeerInfos  = 64
+	maxReports    = 128
+	maxHeartbeats = 768
 )
 
-// split divides what a hub has to tell into contents of a bounded size.
-func split(hub netip.AddrPort, intros []intro, list []news, signs []sign) []content {
-	var contents []content
-	for len(intros) > 0 || len(list) > 0 || len(signs) > 0 {
-		c := content{Hub: hub}
-		n := min(maxIntros, len(intros))
-		c.Intros, intros = intros[:n], intros[n:]
-		n = min(maxNews, len(list))
+// splitContents divides what a hub has to send into contents of a bounded size.
+func splitContents(hub netip.AddrPort, infos []peerInfo, list []relayedReport, heartbeats []heartbeat) []batchContent {
+	var contents []batchContent
+	for len(infos) > 0 || len(list) > 0 || len(heartbeats) > 0 {
+		c := batchContent{Hub: hub}
+		n := min(maxPeerInfos, len(infos))
+		c.Intros, infos = infos[:n], infos[n:]
+		n = min(maxReports, len(list))
 		c.News, list = list[:n], list[n:]
-		n = min(maxSigns, len(signs))
-		for _, s := range signs[:n] {
-			c.Signs = appendSign(c.Signs, s)
+		n = min(maxHeartbeats, len(heartbeats))
+		for _, h := range heartbeats[:n] {
+			c.Signs = appendHeartbeat(c.Signs, h)
 		}
-		signs = signs[n:]
+		heartbeats = heartbeats[n:]
 		contents = append(contents, c)
 	}
 	return contents
--- a/internal/loadshare/bench_test.go
+++ b/internal/loadshare/bench_test.go
@@ -13,9 +13,9 @@
 	"arbutusramp/internal/fleetview"
 )
 
-// BenchmarkTakeReport is what one report of a peer costs a gateway among 88 with 44 targets in an overload, while it runs batch items. It hears
-// some hundred of them a second.
-func BenchmarkTakeReport(b *testing.B) {
+// BenchmarkHandleReport measures the cost of one report of a peer at a gateway among 88 with 44 targets under
+// overload, while it runs batch items. Such a gateway receives some hundred reports a second.
+func BenchmarkHandleReport(b *testing.B) {
 	const peers, targets, atOnce = 87, 44, 3
 	view := fleetview.New(fleet.Options{Self: "self", PeerTTL: time.Minute})
 	var list []serving.Target
@@ -23,11 +23,11 @@
 		list = append(list, serving.Target{ID: fmt.Sprintf("i-%08x", i), Service: "llm", Slots: 7})
 	}
 	view.Put(list, nil)
-	share, err := New(testOptions("self", view))
+	sharer, err := New(testOptions("self", view))
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer share.conn.Close()
+	defer sharer.conn.Close()
 	for range atOnce {
 		if _, ok := view.StartBatch("llm", 0, nil, func() {}); !ok {
 			b.Fatal("no room")
@@ -40,7 +40,7 @@
 			loads[list[(i+k)%targets].ID] = fleet.Load{Online: 1 + i%2}
 		}
 		seq++
-		data, err := cbor.Marshal(report{From: fleet.Peer(fmt.Sprintf("peer-%d", i%peers)), Seq: seq, Loads: linesOf(loads), Domain: 1})
+		data, err := cbor.Marshal(report{From: fleet.Peer(fmt.Sprintf("peer-%d", i%peers)), Seq: seq, Loads: encodeLoads(loads), Domain: 1})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -52,6 +52,6 @@
 	}
 	b.ResetTimer()
 	for i := range b.N {
-		share.take(reports[i], netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i % peers)}), 7000))
+		sharer.handleDatagram(reports[i], netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i % peers)}), 7000))
 	}
 }
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -19,7 +19,8 @@
 	"arbutusramp/internal/quotas"
 )
 
-// testOptions are those of a share named self that loses nothing.
+// testOptions returns the options of a gateway named self, with a fake quarantine and a working connection to
+// the store.
 func testOptions(self fleet.Peer, v *fleetview.View) Options {
 	return Options{
 		Addr: "127.0.0.1:0", Self: self, Domain: "d", View: v, Quotas: quotas.New(string(self), quota.Options{ClaimTTL: time.Minute}, metrics.NewRegistry()),
@@ -28,46 +29,49 @@
 	}
 }
 
-// fakeQuarantine tells what it has once, and keeps what it is told.
+// fakeQuarantine returns its pending records once, and stores the records that are applied.
 type fakeQuarantine struct {
-	tells   []quarantine.Record
-	told    []quarantine.Record
-	started int // peers
+	pending      []quarantine.Record
+	applied      []quarantine.Record
+	startedPeers int // calls of PeerStarted
 }
 
-func (q *fakeQuarantine) PeerStarted() { q.started++ }
+func (q *fakeQuarantine) PeerStarted() { q.startedPeers++ }
 
 func (q *fakeQuarantine) ToTell() []quarantine.Record {
-	tells := q.tells
-	q.tells = nil
-	return tells
+	records := q.pending
+	q.pending = nil
+	return records
 }
 
-func (q *fakeQuarantine) Apply(records []quarantine.Record) { q.told = append(q.told, records...) }
+func (q *fakeQuarantine) Apply(records []quarantine.Record) {
+	q.applied = append(q.applied, records...)
+}
 
-// Guards against gateways that do not hear of the requests under which targets have crashed elsewhere.
-func TestRecordsOfTheQuarantineReachPeers(t *testing.T) {
-	a, _ := newShare(t, "a")
-	b, _ := newShare(t, "b")
+// Guards against gateways that do not receive the records of requests under which targets of others have
+// crashed.
+func TestQuarantineRecordsReachPeers(t *testing.T) {
+	a, _ := newTestSharer(t, "a")
+	b, _ := newTestSharer(t, "b")
 	defer a.conn.Close()
 	defer b.conn.Close()
 	a.AddPeer(b.Addr().String(), "", 0)
 	record := quarantine.Record{Content: quarantine.Fingerprint{1}, Seen: time.UnixMilli(5), Crashes: []quarantine.Crash{{Target: 7, At: time.UnixMilli(4)}}}
-	heard := &fakeQuarantine{}
-	a.quarantine, b.quarantine = &fakeQuarantine{tells: []quarantine.Record{record}}, heard
-	a.broadcast(1)
-	buf := make([]byte, maxDatagram)
+	received := &fakeQuarantine{}
+	a.quarantine, b.quarantine = &fakeQuarantine{pending: []quarantine.Record{record}}, received
+	a.sendReport(1)
+	buf := make([]byte, maxDatagramBytes)
 	n, from, err := b.conn.ReadFromUDPAddrPort(buf)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.take(buf[:n], from)
-	if !reflect.DeepEqual(heard.told, []quarantine.Record{record}) || heard.started != 1 {
-		t.Errorf("heard %+v of %d peers, want %+v of one", heard.told, heard.started, record)
+	b.handleDatagram(buf[:n], from)
+	if !reflect.DeepEqual(received.applied, []quarantine.Record{record}) || received.startedPeers != 1 {
+		t.Errorf("received %+v from %d peers, want %+v from one", received.applied, received.startedPeers, record)
 	}
 }
 
-func newShare(t testing.TB, self fleet.Peer) (*Share, *fleetview.View) {
+func newTestSharer(t testing.TB, self fleet.Peer) (*Share, *fleetview.View) {
 	t.Helper()
 	v := fleetview.New(fleet.Options{Self: self, PeerTTL: PeerTTL})
 	v.Put([]serving.Target{{ID: "t", Service: "s", Slots: 1}}, nil)
@@ -78,123 +82,124 @@
 	return s, v
 }
 
-// One gateway's request takes the only slot; another's batch item then finds no room.
-func TestGatewaysHearOfEachOthersLoads(t *testing.T) {
-	a, viewA := newShare(t, "a")
-	b, viewB := newShare(t, "b")
-	b.AddPeer(a.Addr().String(), "", 0) // a learns of b by its reports
+// A request at one gateway takes the only slot, so that a batch item at another one finds no free slot.
+func TestGatewaysExchangeLoads(t *testing.T) {
+	a, viewA := newTestSharer(t, "a")
+	b, viewB := newTestSharer(t, "b")
+	b.AddPeer(a.Addr().String(), "", 0) // a adds b on its first report
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan error, 2)
-	go func() { over <- a.Run(ctx) }()
-	go func() { over <- b.Run(ctx) }()
+	done := make(chan error, 2)
+	go func() { done <- a.Run(ctx) }()
+	go func() { done <- b.Run(ctx) }()
 	r, ok := viewA.StartOnline("s", nil)
 	if !ok {
 		t.Fatal("no target")
 	}
-	await(t, viewB, false)
+	awaitRoom(t, viewB, false)
 	r.Done()
-	await(t, viewB, true)
+	awaitRoom(t, viewB, true)
 	cancel()
 	for range 2 {
-		if err := <-over; err != nil {
+		if err := <-done; err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// await waits until a batch item finds room, or none.
-func await(t *testing.T, v *fleetview.View, room bool) {
+// awaitRoom waits until a batch item finds a free slot, or until it finds none.
+func awaitRoom(t *testing.T, v *fleetview.View, wantRoom bool) {
 	t.Helper()
 	for {
 		r, ok := v.StartBatch("s", 0, nil, func() {})
 		if ok {
 			r.Done()
 		}
-		if ok == room {
+		if ok == wantRoom {
 			return
 		}
 		<-v.Freed()
 	}
 }
 
-func TestReportsOutOfOrderAreLeftOut(t *testing.T) {
-	s, v := newShare(t, "a")
+func TestOutOfOrderReportsAreIgnored(t *testing.T) {
+	s, v := newTestSharer(t, "a")
 	defer s.conn.Close()
 	from := netip.MustParseAddrPort("127.0.0.1:9")
-	tell := func(name fleet.Peer, seq uint64, online int) {
-		data, err := cbor.Marshal(report{From: name, Seq: seq, Loads: []line{{Target: digestOf("t"), Online: online}}})
+	deliver := func(name fleet.Peer, seq uint64, online int) {
+		data, err := cbor.Marshal(report{From: name, Seq: seq, Loads: []targetLoad{{Target: newDigest("t"), Online: online}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.take(data, from)
+		s.handleDatagram(data, from)
 	}
-	room := func() bool {
+	hasRoom := func() bool {
 		r, ok := v.StartBatch("s", 0, nil, func() {})
 		if ok {
 			r.Done()
 		}
 		return ok
 	}
-	tell("b", 5, 1)
-	tell("b", 4, 0)
-	if room() {
+	deliver("b", 5, 1)
+	deliver("b", 4, 0)
+	if hasRoom() {
 		t.Error("an older report replaced a newer one")
 	}
-	tell("b", 6, 0)
-	if !room() {
-		t.Error("a newer report changed nothing")
+	deliver("b", 6, 0)
+	if !hasRoom() {
+		t.Error("a newer report has not been applied")
 	}
-	tell("b", 7, 1)
-	tell("b-restarted", 1, 0)
-	if room() {
-		t.Error("the old process's load must count until it lapses: its requests may still run")
+	deliver("b", 7, 1)
+	deliver("b-restarted", 1, 0)
+	if hasRoom() {
+		t.Error("the load of the old process does not count until it expires, though its requests may still run")
 	}
-	s.take([]byte("garbage"), from)
+	s.handleDatagram([]byte("garbage"), from)
 }
 
-func TestSilentPeersAreSentToRarelyAndThenNotAtAll(t *testing.T) {
-	s, _ := newShare(t, "a")
+func TestSilentPeersAreSentToRarelyAndThenRemoved(t *testing.T) {
+	s, _ := newTestSharer(t, "a")
 	defer s.conn.Close()
 	s.AddPeer("127.0.0.1:9", "", 0)
 	s.AddPeer(s.Addr().String(), "", 0)
 	s.AddPeer("nonsense", "", 0)
 	now := time.Now()
-	if n := len(s.receivers(now, 0)); n != 1 {
+	if n := len(s.selectReceivers(now, 0)); n != 1 {
 		t.Errorf("%d peers are due, want the other one", n)
 	}
-	quiet := now.Add(quietAfter + time.Second)
-	if len(s.receivers(quiet, 0)) != 1 || len(s.receivers(quiet.Add(quietGap/2), 0)) != 0 || len(s.receivers(quiet.Add(2*quietGap), 0)) != 1 {
-		t.Error("a silent peer is not sent to once in quietGap")
+	silent := now.Add(silentAfter + time.Second)
+	if len(s.selectReceivers(silent, 0)) != 1 || len(s.selectReceivers(silent.Add(silentSendInterval/2), 0)) != 0 || len(s.selectReceivers(silent.Add(2*silentSendInterval), 0)) != 1 {
+		t.Error("a silent peer is not sent to once in silentSendInterval")
 	}
-	if len(s.receivers(now.Add(2*forgetAfter), 0)) != 0 || s.Peers() != 0 {
-		t.Error("a peer that is silent for good is not forgotten")
+	if len(s.selectReceivers(now.Add(2*removeAfter), 0)) != 0 || s.Peers() != 0 {
+		t.Error("a peer that stays silent is not removed")
 	}
 }
 
-// A peer is of use for reaching the store only if it is live, has reached the store itself a moment ago, and has not
-// lost its own way since.
-func TestReachingNamesPeersThatReachTheStoreThemselves(t *testing.T) {
-	s, _ := newShare(t, "self")
+// A peer can give access to the store only if it is live, has reached the store itself recently, and has not
+// lost its own connection since.
+func TestPeersWithStoreListsPeersWithDirectContact(t *testing.T) {
+	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
 	reports := map[string]report{
 		"127.0.0.1:1": {From: "fresh", Seq: 1, ContactAge: 10},
-		"127.0.0.1:2": {From: "stale", Seq: 1, ContactAge: reachedWithin.Milliseconds() + 10},
+		"127.0.0.1:2": {From: "stale", Seq: 1, ContactAge: storeReachableWithin.Milliseconds() + 10},
 		"127.0.0.1:3": {From: "detours", Seq: 1, ContactAge: 10, Detours: true},
 		"127.0.0.1:4": {From: "silent", Seq: 1, ContactAge: 10},
 	}
 	for addr, r := range reports {
-		s.heard(netip.MustParseAddrPort(addr), r)
+		s.noteReport(netip.MustParseAddrPort(addr), r)
 	}
-	s.AddPeer("127.0.0.1:5", "", 0) // known by its address alone
-	s.peers[netip.MustParseAddrPort("127.0.0.1:4")].heard = time.Now().Add(-2 * PeerTTL)
+	s.AddPeer("127.0.0.1:5", "", 0) // only the address is known
+	s.peers[netip.MustParseAddrPort("127.0.0.1:4")].lastSeen = time.Now().Add(-2 * PeerTTL)
 	if got := s.PeersWithStore(); len(got) != 1 || got[0] != "127.0.0.1:1" {
-		t.Errorf("reaching %v", got)
+		t.Errorf("peers with access to the store: %v", got)
 	}
 }
 
-// Traffic between domains that grows with the square of the fleet: two gateways of each other domain get the reports by turns, all others none.
-func TestOneGatewayOfEachOtherDomainIsTold(t *testing.T) {
-	s, _ := newShare(t, "self")
+// Guards against traffic between domains that grows with the square of the fleet: two gateways of each other
+// domain take turns in receiving the reports, all others get none.
+func TestOneRelayPerOtherDomainReceivesReport(t *testing.T) {
+	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
 	const domains, each = 4, 7
 	addr := func(domain, i int) netip.AddrPort {
@@ -203,63 +208,63 @@
 	for d := range domains {
 		for i := range each {
 			name := fleet.Peer(addr(d, i).String())
-			s.heard(addr(d, i), report{From: name, Seq: 1, Domain: digestOf([]string{"d", "e", "f", "g"}[d])})
+			s.noteReport(addr(d, i), report{From: name, Seq: 1, Domain: newDigest([]string{"d", "e", "f", "g"}[d])})
 		}
 	}
-	told := make(map[netip.AddrPort]int)
+	received := make(map[netip.AddrPort]int)
 	const reports = 10
 	for n := range uint64(reports) {
-		list := s.receivers(time.Now(), n)
+		list := s.selectReceivers(time.Now(), n)
 		if len(list) != each+domains-1 {
 			t.Fatalf("%d receivers", len(list))
 		}
 		for _, r := range list {
-			told[r.addr]++
-			if own := r.addr.Addr().As4()[1] == 0; own == r.passOn {
-				t.Errorf("%v, pass on: %v", r.addr, r.passOn)
+			received[r.addr]++
+			if own := r.addr.Addr().As4()[1] == 0; own == r.isRelay {
+				t.Errorf("%v is a relay: %v", r.addr, r.isRelay)
 			}
 		}
 	}
-	if len(told) != each+relays*(domains-1) {
-		t.Errorf("%d gateways were told directly", len(told))
+	if len(received) != each+relaysPerDomain*(domains-1) {
+		t.Errorf("%d gateways received reports directly", len(received))
 	}
-	for ap, n := range told {
-		if want := reports / relays; ap.Addr().As4()[1] != 0 && n != want {
-			t.Errorf("%v was told %d times, want %d", ap, n, want)
+	for ap, n := range received {
+		if want := reports / relaysPerDomain; ap.Addr().As4()[1] != 0 && n != want {
+			t.Errorf("%v received %d reports, want %d", ap, n, want)
 		}
 	}
-	lost := s.receivers(time.Now(), 0)
+	lost := s.selectReceivers(time.Now(), 0)
 	for _, r := range lost {
-		if r.passOn {
-			s.peers[r.addr].heard = time.Now().Add(-2 * PeerTTL)
+		if r.isRelay {
+			s.peers[r.addr].lastSeen = time.Now().Add(-2 * PeerTTL)
 		}
 	}
-	passes := 0
-	for _, r := range s.receivers(time.Now(), 0) {
-		if r.passOn {
-			passes++
+	relays := 0
+	for _, r := range s.selectReceivers(time.Now(), 0) {
+		if r.isRelay {
+			relays++
 		}
 	}
-	if passes != domains-1 {
-		t.Errorf("after the loss of those who pass reports on, %d others do, want one for each domain", passes)
+	if relays != domains-1 {
+		t.Errorf("after the loss of the relays there are %d others, want one for each domain", relays)
 	}
 }
 
-// A report that is passed on counts as its sender's, and comes to all of the domain, but not back.
-func TestAReportIsPassedOn(t *testing.T) {
+// A forwarded report counts as a report of its sender. It reaches the whole domain and is not sent back.
+func TestRelayForwardsReport(t *testing.T) {
 	origin := netip.MustParseAddrPort("127.0.0.1:9")
-	relay, _ := newShare(t, "relay")
+	relay, _ := newTestSharer(t, "relay")
 	defer relay.conn.Close()
-	other, view := newShare(t, "other")
+	other, view := newTestSharer(t, "other")
 	defer other.conn.Close()
-	relay.heard(other.Addr(), report{From: "other", Seq: 1, Domain: relay.domain})
-	r := report{From: "sender", Seq: 3, Domain: digestOf("far"), Loads: []line{{Target: digestOf("t"), Online: 1}}, PassOn: true}
+	relay.noteReport(other.Addr(), report{From: "other", Seq: 1, Domain: relay.domain})
+	r := report{From: "sender", Seq: 3, Domain: newDigest("far"), Loads: []targetLoad{{Target: newDigest("t"), Online: 1}}, PassOn: true}
 	data, err := cbor.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	relay.take(data, origin)
-	buf := make([]byte, maxDatagram)
+	relay.handleDatagram(data, origin)
+	buf := make([]byte, maxDatagramBytes)
 	if err := other.conn.SetReadDeadline(time.Now().Add(time.Minute)); err != nil {
 		t.Fatal(err)
 	}
@@ -267,34 +272,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other.take(buf[:n], from)
+	other.handleDatagram(buf[:n], from)
 	p, ok := other.peers[origin]
-	if !ok || p.name != "sender" || p.seq != 3 || p.domain != digestOf("far") {
+	if !ok || p.name != "sender" || p.seq != 3 || p.domain != newDigest("far") {
 		t.Errorf("%+v", p)
 	}
-	if _, room := view.StartBatch("s", 0, nil, func() {}); room {
-		t.Error("the load that was passed on does not count")
+	if _, hasRoom := view.StartBatch("s", 0, nil, func() {}); hasRoom {
+		t.Error("the load in the forwarded report does not count")
 	}
-	if got := other.domainPeers(time.Now(), origin); len(got) != 0 {
-		t.Errorf("the other one passes on to %v", got)
+	if got := other.domainPeersExcept(time.Now(), origin); len(got) != 0 {
+		t.Errorf("the other gateway forwards to %v", got)
 	}
 }
 
-// What one gateway sends another hears, and both count it.
+// A datagram is counted by its sender and has the size that the peer receives.
 func TestTrafficIsCounted(t *testing.T) {
-	a, _ := newShare(t, "a")
-	b, _ := newShare(t, "b")
+	a, _ := newTestSharer(t, "a")
+	b, _ := newTestSharer(t, "b")
 	a.AddPeer(b.Addr().String(), "", 0)
-	if n := a.broadcast(1); n != 1 {
-		t.Fatalf("told %d gateways", n)
+	if n := a.sendReport(1); n != 1 {
+		t.Fatalf("sent to %d gateways", n)
 	}
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	n, _, err := b.conn.ReadFromUDPAddrPort(buf)
 	if err != nil {
 		t.Fatal(err)
 	}
 	own := &a.Traffic().Own
 	if own.Datagrams() != 1 || own.Bytes() != int64(n) {
-		t.Errorf("%d datagrams of %d bytes are counted, one of %d was sent", own.Datagrams(), own.Bytes(), n)
+		t.Errorf("%d datagrams of %d bytes are counted, want one of %d", own.Datagrams(), own.Bytes(), n)
 	}
 }
--- a/internal/loadshare/probe.go
+++ b/internal/loadshare/probe.go
@@ -10,60 +10,62 @@
 )
 
 const (
-	// probeAfter is the silence after which a peer is asked whether its process still runs: all live ones report more often.
+	// probeAfter is the silence after which a peer is probed: all live peers report more often.
 	probeAfter = 250 * time.Millisecond
-	// probeInterval is the pause between two looks at the peers, and probeGap that between two probes of one peer.
-	probeInterval = 100 * time.Millisecond
-	probeGap      = 400 * time.Millisecond
-	// probeTimeout bounds a probe: a host that lives refuses a connection within a few milliseconds.
+	// probeInterval is the time between two passes over the peers, and probeRepeatInterval that between two
+	// probes of one peer.
+	probeInterval       = 100 * time.Millisecond
+	probeRepeatInterval = 400 * time.Millisecond
+	// probeTimeout limits a probe: a live host refuses a connection within a few milliseconds.
 	probeTimeout = 150 * time.Millisecond
-	// maxProbes bounds the probes of one look.
-	maxProbes = 8
+	// maxProbesPerPass limits the number of probes in one pass.
+	maxProbesPerPass = 8
 )
 
-// probePeers finds out which silent peers have stopped: their hosts refuse connections, while those of peers that are cut off do
-// not answer. A stopped peer admits no requests, so that its part of the quotas falls to the others at once.
+// probePeers detects which silent peers have stopped: their hosts refuse connections, while those of peers
+// that are cut off do not answer. A stopped peer admits no requests, so its share of the quotas goes to the
+// other gateways at once.
 func (s *Share) probePeers(ctx context.Context) error {
 	for sleep.For(ctx, probeInterval) {
-		for _, addr := range s.silentPeers(time.Now()) {
-			if hasStopped(ctx, addr) {
+		for _, addr := range s.peersToProbe(time.Now()) {
+			if isProcessStopped(ctx, addr) {
 				s.log.Info("peer has stopped", "addr", addr.String())
 				s.quotas.Forget(addr.String())
-				s.noteStopped(addr)
+				s.markPeerStopped(addr)
 			}
 		}
 	}
 	return nil
 }
 
-// noteStopped has others know, by this gateway as a hub, that the process of a peer has stopped.
-func (s *Share) noteStopped(addr netip.AddrPort) {
+// markPeerStopped marks a peer's process as stopped in what this gateway sends as a hub.
+func (s *Share) markPeerStopped(addr netip.AddrPort) {
 	s.mu.Lock()
 	p, ok := s.peers[addr]
 	s.mu.Unlock()
 	if ok {
-		s.hub.stop(p.id)
+		s.hub.markStopped(p.id)
 	}
 }
 
-// silentPeers returns the peers that are due to be probed.
-func (s *Share) silentPeers(now time.Time) []netip.AddrPort {
+// peersToProbe returns the peers that are due for a probe, and marks them as probed.
+func (s *Share) peersToProbe(now time.Time) []netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []netip.AddrPort
 	for ap, p := range s.peers {
-		silent := now.Sub(p.direct)
-		if p.name == "" || silent < probeAfter || silent > quietAfter || now.Sub(p.probed) < probeGap || len(list) == maxProbes {
+		silentFor := now.Sub(p.lastSeenDirect)
+		if p.name == "" || silentFor < probeAfter || silentFor > silentAfter || now.Sub(p.lastProbed) < probeRepeatInterval || len(list) == maxProbesPerPass {
 			continue
 		}
-		p.probed = now
+		p.lastProbed = now
 		list = append(list, ap)
 	}
 	return list
 }
 
-// hasStopped reports whether the host of a peer lives and no process listens there.
-func hasStopped(ctx context.Context, addr netip.AddrPort) bool {
+// isProcessStopped reports whether the host of a peer is live and no process listens there.
+func isProcessStopped(ctx context.Context, addr netip.AddrPort) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return tcpprobe.IsRefused(ctx, addr.String())
--- a/internal/loadshare/receive.go
+++ b/internal/loadshare/receive.go
@@ -10,135 +10,140 @@
 	"arbutusramp/internal/fleetview"
 )
 
-// takeBatch takes in what a hub tells, and passes it on to those that the hub names.
-func (s *Share) takeBatch(data []byte, from netip.AddrPort) {
-	b, c, signs, err := decodeBatch(data)
+// handleBatch applies a batch of a hub and forwards it to the gateways that the batch names.
+func (s *Share) handleBatch(data []byte, from netip.AddrPort) {
+	b, c, heartbeats, err := decodeBatch(data)
 	if err != nil {
-		s.log.Warn("batch of load reports can't be read", "from", from.String(), "error", err)
+		s.log.Warn("cannot decode batch of load reports", "from", from.String(), "error", err)
 		return
 	}
 	if len(b.Forward) > 0 {
 		s.sendBatch(batch{Content: b.Content}, b.Forward...)
 	}
-	s.introduce(c.Intros)
-	s.noteHub(c.Hub)
-	list := s.newsFrom(c, signs)
+	s.applyPeerInfos(c.Intros)
+	s.markHubSeen(c.Hub)
+	list := s.applyContent(c, heartbeats)
 	if len(list) > 0 {
 		s.view.ApplyNews(list)
 	}
 }
 
-// introduce makes gateways known by what a hub tells of them.
-func (s *Share) introduce(intros []intro) {
+// applyPeerInfos adds the gateways that a hub describes.
+func (s *Share) applyPeerInfos(infos []peerInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	for _, i := range intros {
-		if i.Addr == s.Addr() || i.Name == "" {
+	for _, info := range infos {
+		if info.Addr == s.Addr() || info.Name == "" {
 			continue
 		}
-		// A hub that has not heard of a restart yet still introduces the start before.
-		if p, ok := s.peers[i.Addr]; ok && p.name != "" && p.name != i.Name && now.Sub(p.heard) < PeerTTL {
+		// A hub that has not received a report of a restarted process yet still describes the previous start.
+		if p, ok := s.peers[info.Addr]; ok && p.name != "" && p.name != info.Name && now.Sub(p.lastSeen) < PeerTTL {
 			continue
 		}
-		p := s.named(i.Addr, i.Name)
-		p.domain, p.capacity = i.Domain, i.Capacity
+		p := s.upsertPeer(info.Addr, info.Name)
+		p.domain, p.capacity = info.Domain, info.Capacity
 	}
 }
 
-// noteHub notes that a hub lives.
-func (s *Share) noteHub(addr netip.AddrPort) {
+// markHubSeen records that a hub is live.
+func (s *Share) markHubSeen(addr netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p, ok := s.peers[addr]; ok {
-		p.heard, p.direct = time.Now(), time.Now()
+		p.lastSeen, p.lastSeenDirect = time.Now(), time.Now()
 	}
 }
 
-// newsFrom notes what a hub tells of peers, and returns what of it the view of the fleet takes in. A hub of another domain tells what this
-// gateway, as a hub, has to pass on.
-func (s *Share) newsFrom(c content, signs []sign) []fleetview.PeerNews {
+// applyContent applies the reports and heartbeats of a hub to the peers, and returns the updates for the view
+// of the fleet. What a hub of another domain sends is also put into this gateway's own table as a hub, to be
+// distributed.
+func (s *Share) applyContent(c batchContent, heartbeats []heartbeat) []fleetview.PeerNews {
 	now := time.Now()
-	ids := s.targetNames()
+	ids := s.targetIDs()
 	var list []fleetview.PeerNews
 	s.mu.Lock()
 	hub, isKnown := s.peers[c.Hub]
-	isAcross := isKnown && hub.domain != s.domain
-	var reports []heardReport
-	for _, n := range c.News {
-		p := s.peerOf(n.ID)
-		if p == nil || n.Seq <= p.seq {
+	isCrossDomain := isKnown && hub.domain != s.domain
+	var reports []peerReport
+	for _, r := range c.News {
+		p := s.lookUpPeer(r.ID)
+		if p == nil || r.Seq <= p.seq {
 			continue
 		}
-		p.seq = n.Seq
-		p.heard = now
-		reports = append(reports, heardReport{p.addr, p.name, n})
+		p.seq = r.Seq
+		p.lastSeen = now
+		reports = append(reports, peerReport{p.addr, p.name, r})
 		list = append(list, fleetview.PeerNews{From: p.name, Report: &fleet.Report{
-			Loads: loadsOf(n.Loads, ids), Suspects: idsOf(n.Suspects, ids), Demand: fleet.Demand{Items: n.Items, Due: n.Due}, Contact: p.contact,
+			Loads: decodeLoads(r.Loads, ids), Suspects: resolveTargets(r.Suspects, ids), Demand: fleet.Demand{Items: r.Items, Due: r.Due}, Contact: p.lastStoreContact,
 		}})
-		if isAcross {
-			s.hub.gather(p.origin(n, now), true)
+		if isCrossDomain {
+			s.hub.putReport(p.hubEntry(r, now), true)
 		}
 	}
-	var alive []heardReport
-	for _, g := range signs {
-		p := s.peerOf(g.id)
+	var liveReports []peerReport
+	for _, h := range heartbeats {
+		p := s.lookUpPeer(h.id)
 		if p == nil {
 			continue
 		}
-		list = append(list, s.noteSign(now, p, g, isAcross))
-		if g.hasStopped {
+		list = append(list, s.applyHeartbeat(now, p, h, isCrossDomain))
+		if h.hasStopped {
 			s.quotas.Forget(p.addr.String())
 		} else {
-			alive = append(alive, heardReport{addr: p.addr, name: p.name})
+			liveReports = append(liveReports, peerReport{addr: p.addr, name: p.name})
 		}
 	}
 	s.mu.Unlock()
-	s.applyReports(append(reports, alive...))
+	s.applyAdmissionsAndRecords(append(reports, liveReports...))
 	return list
 }
 
-// peerOf returns the peer for which an id stands; nil if it is not known. The caller holds the lock.
-func (s *Share) peerOf(id fanout.ID) *peer {
+// lookUpPeer returns the peer that an id stands for. If there is none it returns nil and notes the id, to
+// request a peerInfo. The caller holds the lock.
+func (s *Share) lookUpPeer(id fanout.ID) *peer {
 	p, ok := s.byID[id]
-	if !ok && id != idOf(s.self) && len(s.unknown) < maxUnknown {
-		s.unknown[id] = struct{}{}
+	if !ok && id != gatewayID(s.self) && len(s.unknownIDs) < maxUnknownIDs {
+		s.unknownIDs[id] = struct{}{}
 	}
 	return p
 }
 
-// heardReport is a report that a hub has passed on.
-type heardReport struct {
+// peerReport is a report forwarded by a hub, with the peer that it comes from.
+type peerReport struct {
 	addr netip.AddrPort
 	name fleet.Peer
-	news
+	relayedReport
 }
 
-// applyReports hands on what reports hold beside loads.
-func (s *Share) applyReports(list []heardReport) {
+// applyAdmissionsAndRecords applies what reports contain besides loads: quarantine records and admitted
+// requests.
+func (s *Share) applyAdmissionsAndRecords(list []peerReport) {
 	for _, r := range list {
-		s.quarantine.Apply(s.recordsOf(r.Quarantine, r.addr))
-		s.quotas.Apply(r.addr.String(), quota.Report{Start: string(r.name), IsFirst: r.IsFirst, Counts: countsFrom(r.Admitted), Delay: hubDelay})
+		s.quarantine.Apply(s.decodeRecords(r.Quarantine, r.addr))
+		s.quotas.Apply(r.addr.String(), quota.Report{Start: string(r.name), IsFirst: r.IsFirst, Counts: decodeCounts(r.Admitted), Delay: maxHubDelay})
 	}
 }
 
-// noteSign takes in a sign of life. The caller holds the lock.
-func (s *Share) noteSign(now time.Time, p *peer, g sign, isAcross bool) fleetview.PeerNews {
-	heard := now.Add(-g.age)
-	if heard.After(p.heard) {
-		p.heard = heard
-		p.contact, p.hasDetour = now.Add(-g.contact), g.hasDetour
+// applyHeartbeat records a heartbeat and returns the update for the view of the fleet. The caller holds the
+// lock.
+func (s *Share) applyHeartbeat(now time.Time, p *peer, h heartbeat, isCrossDomain bool) fleetview.PeerNews {
+	seenAt := now.Add(-h.age)
+	if seenAt.After(p.lastSeen) {
+		p.lastSeen = seenAt
+		p.lastStoreContact, p.hasLostStore = now.Add(-h.contactAge), h.hasLostStore
 	}
-	// A sign of an older report, which another hub has overtaken, says nothing of the loads.
-	newer := int16(g.seq - uint16(p.seq))
-	isIdle := g.isIdle && newer >= 0
+	// A heartbeat of an older report, which a newer one has overtaken through another hub, does not describe
+	// the loads.
+	seqAhead := int16(h.seq - uint16(p.seq))
+	isIdle := h.isIdle && seqAhead >= 0
 	if isIdle {
-		p.seq += uint64(newer)
+		p.seq += uint64(seqAhead)
 	}
-	if isAcross {
-		o := p.origin(news{ID: p.id, Seq: p.seq}, heard)
-		o.IsIdle, o.HasStopped = isIdle, g.hasStopped
-		s.hub.vouch(o)
+	if isCrossDomain {
+		o := p.hubEntry(relayedReport{ID: p.id, Seq: p.seq}, seenAt)
+		o.IsIdle, o.HasStopped = isIdle, h.hasStopped
+		s.hub.putHeartbeat(o)
 	}
-	return fleetview.PeerNews{From: p.name, Sign: fleet.Sign{Heard: heard, Contact: now.Add(-g.contact), IsIdle: isIdle}}
+	return fleetview.PeerNews{From: p.name, Sign: fleet.Sign{Heard: seenAt, Contact: now.Add(-h.contactAge), IsIdle: isIdle}}
 }
--- a/internal/loadshare/traffic.go
+++ b/internal/loadshare/traffic.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// Flow counts datagrams and their bytes.
+// Flow counts datagrams and their bytes. It may be used by several goroutines at once.
 type Flow struct{ datagrams, bytes atomic.Int64 }
 
 func (f *Flow) add(bytes int) {
@@ -10,18 +10,19 @@
 	f.bytes.Add(int64(bytes))
 }
 
-// Datagrams is how many there were since the process's start.
+// Datagrams returns the number of datagrams since the start of the process.
 func (f *Flow) Datagrams() int64 { return f.datagrams.Load() }
 
-// Bytes is how many bytes they had, without the headers of the network.
+// Bytes returns the number of bytes in them, without network headers.
 func (f *Flow) Bytes() int64 { return f.bytes.Load() }
 
-// Traffic is what a process sends and hears of load reports, by purpose: what it costs to know the fleet's loads.
+// Traffic counts the load reports that a process sends and receives, by purpose: the cost of distributing the
+// fleet's loads.
 type Traffic struct {
-	Own      Flow // its own reports, each to one receiver
-	PassedOn Flow // reports of other failure domains, passed on within its own
+	Own      Flow // its own reports, counted once for each receiver
+	PassedOn Flow // reports of other gateways that it forwards, as a relay or as a hub
 	Heard    Flow
 }
 
-// Traffic returns the counts of this process, which go on.
+// Traffic returns the counters of this process. They continue to change.
 func (s *Share) Traffic() *Traffic { return &s.traffic }
