--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -1,10 +1,12 @@
-// Package shed is admission control: it decides what becomes of requests while there are more of them than the targets can answer in time.
+// Package shed implements admission control: it decides what happens to requests while more of them arrive
+// than the targets can answer in time.
 //
-// Engines take requests in the order of arrival, so in an overload of a few seconds every request would wait in their queues until the
-// overload is over, and all would be late. The controller keeps these queues as short as a request may wait and still be in time. A
-// first attempt beyond that is told at once when to retry. A second attempt is queued rather than rejected, because callers
-// retry once; it goes on as soon as there is room that nobody needs who can still be in time. Requests that cannot be sent before their
-// caller's timeout are rejected immediately.
+// Engines serve requests in order of arrival. In an overload of a few seconds every request would therefore
+// wait in the engines' queues until the overload ends, and all of them would be late. The controller keeps
+// these queues no longer than a request can wait and still meet its latency goal. A first attempt beyond that
+// is rejected immediately with a time to retry after. A second attempt is queued rather than rejected,
+// because callers retry only once. It is sent as soon as there is capacity that no request able to meet its
+// goal needs. Requests that cannot be sent before their caller's timeout are rejected immediately.
 package shed
 
 import (
@@ -14,44 +16,48 @@
 )
 
 const (
-	// waitShare is how much of its goal a request may wait for a slot: the rest is for reading its prompt, 50 to
-	// 70 ms of 300.
-	waitShare = 0.75
-	// LeftShare bounds the time to come back: callers honour one of up to what they still wait, divided by this.
+	// maxWaitShare is the share of its goal that a request may wait for a slot. The rest is for prefilling
+	// the prompt, which takes 50 to 70 ms of a goal of 300 ms.
+	maxWaitShare = 0.75
+	// LeftShare limits the retry time: callers honour one of up to their remaining time divided by LeftShare.
 	LeftShare = 3
-	// minRetryHolds is the shortest time to come back, in times that a request holds its slot: sooner the targets are as
-	// full as before.
-	minRetryHolds = 1.5
-	// queuedWaitShare is how much of the wait that is allowed to requests in time is allowed to queued ones.
+	// minRetryHoldTimes is the shortest retry time, as a multiple of the time for which a request holds a
+	// slot. Earlier than that the targets are as full as before.
+	minRetryHoldTimes = 1.5
+	// queuedWaitShare is the wait allowed to queued requests, as a share of the wait allowed to requests that
+	// can meet their goal.
 	queuedWaitShare = 0.34
-	// queueTimeShare is how much of the time that its caller stays a request is queued at most. Then it is sent whatever the queues
-	// are, so that nobody waits for nothing in an overload that lasts: it must still get its first event.
-	queueTimeShare = 0.75
-	// leastRate bounds how few queued requests are expected to go on, as a share of the gateway's pace: with none an overload that
-	// has passed would still be taken for one.
-	leastRate = 0.1
-	// rateWeight is the weight of a new observation in the mean of the time between two queued requests that go on.
-	rateWeight = 0.2
+	// maxQueueTimeShare is the longest time that a request is queued, as a share of the time for which its
+	// caller waits. After that it is sent however long the engines' queues are: it must still get its first
+	// event, even in a lasting overload.
+	maxQueueTimeShare = 0.75
+	// minDequeueRateShare is the lowest expected rate of dequeued requests, as a share of the gateway's start
+	// rate. With an expected rate of zero, an overload that has ended would still count as one.
+	minDequeueRateShare = 0.1
+	// gapWeight is the weight of a new observation in the mean time between two dequeued requests.
+	gapWeight = 0.2
 )
 
-// Request is what decides on a request.
+// Request holds the input of a decision on one request.
 type Request struct {
 	Wait           time.Duration // expected until a slot is free for it
-	Hold           time.Duration // how long requests hold a slot; 0 is not known
-	Pace           float64       // requests a second that this gateway may start; 0 is not known
-	Goal           time.Duration // an answer after that is late; 0 is no goal
-	Remaining      time.Duration // what its caller still waits; 0 is not known
-	InitialTimeout time.Duration // what callers of its route wait when they first come; 0 is not known
-	IdleTimeout    time.Duration // how long its caller waits without a sign of an answer; 0 is as long as Remaining
-	HigherRanks    int           // ranks of requests for the same targets that are more urgent
+	Hold           time.Duration // how long requests hold a slot; 0 if unknown
+	Pace           float64       // requests per second that this gateway may start; 0 if unknown
+	Goal           time.Duration // latency goal: an answer after it is late; 0 for none
+	Remaining      time.Duration // time until the caller gives up; 0 if unknown
+	InitialTimeout time.Duration // how long callers of the route wait on their first attempt; 0 if unknown
+	IdleTimeout    time.Duration // how long the caller waits without receiving an event; 0 for as long as Remaining
+	HigherRanks    int           // number of more urgent ranks among requests for the same targets
 }
 
-// inTime is how long the request may wait for a slot and still be in time. Less urgent requests leave the queue to others.
-func (r Request) inTime() time.Duration {
-	return time.Duration(waitShare * float64(r.Goal) / float64(1+r.HigherRanks))
+// maxWait is how long the request may wait for a slot and still meet its goal. Less urgent requests may wait
+// less, which leaves the engines' queues to more urgent requests.
+func (r Request) maxWait() time.Duration {
+	return time.Duration(maxWaitShare * float64(r.Goal) / float64(1+r.HigherRanks))
 }
 
-// isFirstAttempt reports whether the caller has not tried before: a second attempt has less time left than callers have at first.
+// isFirstAttempt reports whether the caller has not tried before: on a second attempt less than the initial
+// timeout remains.
 func (r Request) isFirstAttempt() bool {
 	return r.InitialTimeout > 0 && r.Remaining >= r.InitialTimeout
 }
@@ -62,126 +68,129 @@
 	if stay == 0 || r.Remaining > 0 && r.Remaining < stay {
 		stay = r.Remaining
 	}
-	return time.Duration(queueTimeShare * float64(stay))
+	return time.Duration(maxQueueTimeShare * float64(stay))
 }
 
-// retryAfter is when its caller should come back: once a slot is expected to be free, not sooner than engines have become free, and no
-// later than callers honour. Times of callers who came one after the other are as far apart as these were.
+// retryAfter is when the caller should retry: once a slot is expected to be free, not before engines have had
+// time to free slots, and no later than callers honour. Callers that arrive one after the other get retry
+// times as far apart as their arrivals.
 func (r Request) retryAfter() time.Duration {
-	return min(r.Remaining/LeftShare, max(r.Wait, time.Duration(minRetryHolds*float64(r.Hold))))
+	return min(r.Remaining/LeftShare, max(r.Wait, time.Duration(minRetryHoldTimes*float64(r.Hold))))
 }
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict uint8
 
 const (
-	// Send passes it on to a target.
+	// Send passes the request to a target.
 	Send Verdict = iota
-	// RetryLater tells its caller when to retry.
+	// RetryLater rejects the request with a time to retry after.
 	RetryLater
-	// Queue keeps it until there is room.
+	// Queue keeps the request until there is capacity.
 	Queue
-	// Reject tells its caller that it cannot be served.
+	// Reject rejects the request as one that cannot be served.
 	Reject
 )
 
 // String implements fmt.Stringer.
 func (v Verdict) String() string { return [...]string{"send", "come back", "hold", "refuse"}[v] }
 
-// Decision is the verdict on a request that has come.
+// Decision is the verdict on an arriving request.
 type Decision struct {
 	Verdict Verdict
-	After   time.Duration  // with RetryLater
-	Queued  *QueuedRequest // with Queue
+	After   time.Duration  // set with RetryLater
+	Queued  *QueuedRequest // set with Queue
 }
 
-// QueuedRequest is a request that waits for room.
-type QueuedRequest struct{ until time.Time }
+// QueuedRequest is a request that waits for capacity.
+type QueuedRequest struct{ expiresAt time.Time }
 
-// Controller decides on the requests of one service at one gateway. It does no I/O and is not safe for concurrent use.
+// Controller decides on the requests of one service at one gateway. It does no I/O and is not safe for
+// concurrent use.
 type Controller struct {
-	// Off are the mechanisms that are switched off.
+	// Off is the set of disabled mechanisms.
 	Off policy.Off
 
-	queue  []*QueuedRequest // in the order of arrival
-	gap    time.Duration    // mean time between two queued requests that go on; 0 is not known
-	wentOn time.Time        // when the last one went on, or the first of those that are queued came
+	queue       []*QueuedRequest // in order of arrival
+	dequeueGap  time.Duration    // mean time between two dequeued requests; 0 if unknown
+	lastDequeue time.Time        // when a request was last dequeued or the queue last became non-empty
 }
 
-// Arrive decides on a request that has just come.
-func (d *Controller) Arrive(now time.Time, r Request) Decision {
+// Arrive decides on a request that has just arrived.
+func (c *Controller) Arrive(now time.Time, r Request) Decision {
 	switch {
-	case r.Goal == 0 || r.Wait <= r.inTime():
+	case r.Goal == 0 || r.Wait <= r.maxWait():
 		return Decision{Verdict: Send}
-	case r.isFirstAttempt() && d.Off.Allows(policy.ComeBack):
+	case r.isFirstAttempt() && c.Off.Allows(policy.ComeBack):
 		return Decision{Verdict: RetryLater, After: r.retryAfter()}
-	case r.isFirstAttempt() || !d.Off.Allows(policy.Hold):
+	case r.isFirstAttempt() || !c.Off.Allows(policy.Hold):
 		return Decision{Verdict: Send}
-	case len(d.queue) >= d.limit(now, r):
+	case len(c.queue) >= c.maxQueued(now, r):
 		return Decision{Verdict: Reject}
 	}
-	t := &QueuedRequest{until: now.Add(r.maxQueueTime())}
-	if len(d.queue) == 0 {
-		d.wentOn = now
+	q := &QueuedRequest{expiresAt: now.Add(r.maxQueueTime())}
+	if len(c.queue) == 0 {
+		c.lastDequeue = now
 	}
-	d.queue = append(d.queue, t)
-	return Decision{Verdict: Queue, Queued: t}
+	c.queue = append(c.queue, q)
+	return Decision{Verdict: Queue, Queued: q}
 }
 
-// limit is how many requests may be queued: as many as are expected to go on while their callers stay.
-func (d *Controller) limit(now time.Time, r Request) int {
-	return max(1, int(d.rate(now, r.Pace)*r.maxQueueTime().Seconds()))
+// maxQueued is how many requests may be queued: as many as are expected to be sent before their callers give
+// up.
+func (c *Controller) maxQueued(now time.Time, r Request) int {
+	return max(1, int(c.dequeueRate(now, r.Pace)*r.maxQueueTime().Seconds()))
 }
 
-// rate is how many queued requests a second are expected to go on.
-func (d *Controller) rate(now time.Time, pace float64) float64 {
-	gap := d.gap
-	if len(d.queue) > 0 {
-		gap = max(gap, now.Sub(d.wentOn))
+// dequeueRate is how many queued requests per second are expected to be sent.
+func (c *Controller) dequeueRate(now time.Time, startRate float64) float64 {
+	gap := c.dequeueGap
+	if len(c.queue) > 0 {
+		gap = max(gap, now.Sub(c.lastDequeue))
 	}
 	if gap <= 0 {
-		return pace
+		return startRate
 	}
-	return max(1/gap.Seconds(), leastRate*pace)
+	return max(1/gap.Seconds(), minDequeueRateShare*startRate)
 }
 
-// Recheck decides anew on a queued request: Send or Queue.
-func (d *Controller) Recheck(now time.Time, t *QueuedRequest, r Request) Verdict {
-	if !now.Before(t.until) {
-		return Send // its caller is about to leave: the engine's queue is the last chance
+// Recheck decides again on a queued request; the verdict is Send or Queue.
+func (c *Controller) Recheck(now time.Time, q *QueuedRequest, r Request) Verdict {
+	if !now.Before(q.expiresAt) {
+		return Send // the caller is about to give up: waiting in the engine's queue is the last chance
 	}
-	if !d.IsFirst(t) {
+	if !c.IsFirst(q) {
 		return Queue
 	}
-	if float64(r.Wait) <= queuedWaitShare*float64(r.inTime()) {
+	if float64(r.Wait) <= queuedWaitShare*float64(r.maxWait()) {
 		return Send
 	}
 	return Queue
 }
 
-// IsFirst reports whether a queued request is the first in the order of arrival.
-func (d *Controller) IsFirst(t *QueuedRequest) bool { return len(d.queue) > 0 && d.queue[0] == t }
+// IsFirst reports whether a queued request is the first in order of arrival.
+func (c *Controller) IsFirst(q *QueuedRequest) bool { return len(c.queue) > 0 && c.queue[0] == q }
 
-// IsExpired reports whether a request has been queued for as long as its caller stays.
-func (t *QueuedRequest) IsExpired(now time.Time) bool { return !now.Before(t.until) }
+// IsExpired reports whether the request has reached its maximum queue time.
+func (q *QueuedRequest) IsExpired(now time.Time) bool { return !now.Before(q.expiresAt) }
 
-// Dequeue takes out a queued request that goes on, or whose caller has left. One that goes on without room tells nothing of how
-// many may be queued.
-func (d *Controller) Dequeue(now time.Time, t *QueuedRequest, isAdmitted bool) {
-	for i, other := range d.queue {
-		if other == t {
-			d.queue = append(d.queue[:i:i], d.queue[i+1:]...)
+// Dequeue removes a queued request that is sent or whose caller has left. An expired request that is sent
+// without free capacity does not count as an observation of the dequeue rate.
+func (c *Controller) Dequeue(now time.Time, q *QueuedRequest, isAdmitted bool) {
+	for i, other := range c.queue {
+		if other == q {
+			c.queue = append(c.queue[:i:i], c.queue[i+1:]...)
 			break
 		}
 	}
-	if !isAdmitted || t.IsExpired(now) {
+	if !isAdmitted || q.IsExpired(now) {
 		return
 	}
-	gap := now.Sub(d.wentOn)
-	d.wentOn = now
-	if d.gap == 0 {
-		d.gap = gap
+	gap := now.Sub(c.lastDequeue)
+	c.lastDequeue = now
+	if c.dequeueGap == 0 {
+		c.dequeueGap = gap
 		return
 	}
-	d.gap += time.Duration(rateWeight * float64(gap-d.gap))
+	c.dequeueGap += time.Duration(gapWeight * float64(gap-c.dequeueGap))
 }
--- a/core/shed/timeouts.go
+++ b/core/shed/timeouts.go
@@ -6,80 +6,84 @@
 )
 
 const (
-	// seenFirst is how many requests of a route must have come before its callers' time is known: right after
-	// a start most of them are on their second attempt.
-	seenFirst = 10
-	// typicalShare is how many of a route's requests must say the same time for it to be that of callers who first come: those
-	// who come back have been away for different times.
+	// minSamples is how many requests of a route must arrive before its callers' timeout counts as known:
+	// right after a start most of them are second attempts.
+	minSamples = 10
+	// typicalShare is the share of a route's requests that must have the same remaining time for it to count
+	// as the timeout of first attempts. Callers that retry have been away for different times.
 	typicalShare = 0.2
-	// bucketWidth is how far times may differ that are the same.
+	// bucketWidth is the width of a bucket of remaining times that count as equal.
 	bucketWidth = 50 * time.Millisecond
-	// forgetAfter is how many requests of a route are counted before all counts are halved: callers change.
-	forgetAfter = 400
-	// maxRoutes bounds what is kept. Routes come and go; with more, all are learned anew.
+	// maxSamples is how many requests of a route are counted before all counts are halved, because callers
+	// change.
+	maxSamples = 400
+	// maxRoutes bounds the number of tracked routes. Routes come and go; beyond the bound all are learned
+	// anew.
 	maxRoutes = 4096
 )
 
-// CallerTimeouts learns for each route how long its callers wait when they first come: the longest time that many of them say. One
-// caller with more time than all others changes nothing. It is safe for concurrent use.
+// CallerTimeouts estimates for each route how long its callers wait on their first attempt: the longest time
+// that many of them report. A single caller with a longer time does not change the estimate. It is safe for
+// concurrent use.
 type CallerTimeouts struct {
 	mu     sync.Mutex
 	routes map[string]*routeTimeouts
 }
 
 type routeTimeouts struct {
-	seen  int
-	times map[time.Duration]int // how many have said a time, in steps of bucketWidth
+	samples int
+	counts  map[time.Duration]int // requests by remaining time, in steps of bucketWidth
 }
 
-// NewCallerTimeouts returns one that knows nothing yet.
+// NewCallerTimeouts returns a CallerTimeouts without samples.
 func NewCallerTimeouts() *CallerTimeouts {
 	return &CallerTimeouts{routes: make(map[string]*routeTimeouts)}
 }
 
-// Note takes in what a caller of a route still waits, and returns what callers of that route wait at first; 0 while that is not known.
-func (p *CallerTimeouts) Note(route string, left time.Duration) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r, ok := p.routes[route]
+// Note records the remaining time of a caller of a route, and returns how long callers of that route wait on
+// their first attempt; 0 while that is unknown.
+func (c *CallerTimeouts) Note(route string, remaining time.Duration) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r, ok := c.routes[route]
 	if !ok {
-		if len(p.routes) >= maxRoutes {
-			clear(p.routes)
+		if len(c.routes) >= maxRoutes {
+			clear(c.routes)
 		}
-		r = &routeTimeouts{times: make(map[time.Duration]int)}
-		p.routes[route] = r
+		r = &routeTimeouts{counts: make(map[time.Duration]int)}
+		c.routes[route] = r
 	}
-	r.note(left)
-	if r.seen < seenFirst {
+	r.add(remaining)
+	if r.samples < minSamples {
 		return 0
 	}
 	return r.typical()
 }
 
-func (r *routeTimeouts) note(left time.Duration) {
-	if left <= 0 {
+func (r *routeTimeouts) add(remaining time.Duration) {
+	if remaining <= 0 {
 		return
 	}
-	r.seen++
-	r.times[left.Truncate(bucketWidth)]++
-	if r.seen < forgetAfter {
+	r.samples++
+	r.counts[remaining.Truncate(bucketWidth)]++
+	if r.samples < maxSamples {
 		return
 	}
-	r.seen = 0
-	for t, n := range r.times {
-		r.times[t] = n / 2
-		r.seen += n / 2
+	r.samples = 0
+	for timeout, n := range r.counts {
+		r.counts[timeout] = n / 2
+		r.samples += n / 2
 		if n < 2 {
-			delete(r.times, t)
+			delete(r.counts, timeout)
 		}
 	}
 }
 
-// typical is the longest time that many have said; 0 if none was.
+// typical is the longest time that many callers have reported; 0 if there is none.
 func (r *routeTimeouts) typical() time.Duration {
 	longest := time.Duration(0)
-	for t, n := range r.times {
-		if t > longest && float64(n) >= typicalShare*float64(r.seen) {
+	for t, n := range r.counts {
+		if t > longest && float64(n) >= typicalShare*float64(r.samples) {
 			longest = t
 		}
 	}
--- a/core/shed/timeouts_test.go
+++ b/core/shed/timeouts_test.go
@@ -6,51 +6,53 @@
 	"time"
 )
 
-// Symptom: callers that had been sent away were sent away again and gave up. Sequence: a process starts; the first that it
-// hears are callers on their second attempt. Cause: it took their shorter time for that of callers who come first.
-func TestPatienceIsKnownOnlyAfterSomeCallers(t *testing.T) {
+// Guards against callers that are rejected on their second attempt and give up. That happens when the first
+// callers after the start of a process are second attempts, and their shorter remaining time is taken for the
+// timeout of first attempts.
+func TestCallerTimeoutRequiresMinSamples(t *testing.T) {
 	p := NewCallerTimeouts()
-	for i := range seenFirst - 1 {
+	for i := range minSamples - 1 {
 		if got := p.Note("r", 4*time.Second); got != 0 {
 			t.Fatalf("after %d callers: %v", i+1, got)
 		}
 	}
-	for range seenFirst {
+	for range minSamples {
 		p.Note("r", 5*time.Second)
 	}
 	if got := p.Note("r", time.Second); got != 5*time.Second {
-		t.Errorf("after one with less time: %v", got)
+		t.Errorf("after one with a shorter time: %v", got)
 	}
 	if got := p.Note("other", 5*time.Second); got != 0 {
 		t.Errorf("another route: %v", got)
 	}
 }
 
-func TestPatienceIsBounded(t *testing.T) {
+func TestRouteCountIsBounded(t *testing.T) {
 	p := NewCallerTimeouts()
 	for i := range 2*maxRoutes + 1 {
 		p.Note(fmt.Sprint(i), time.Second)
 	}
 	if len(p.routes) > maxRoutes {
-		t.Errorf("%d routes are kept", len(p.routes))
+		t.Errorf("%d routes are tracked", len(p.routes))
 	}
 }
 
-// Symptom: in an overload nobody was told to come back. Sequence: one caller says that it waits for a minute; from then on all others
-// are taken for ones on their second attempt. Cause: the longest time that anybody had said was taken for that of all.
-func TestOnePatientCallerChangesNothing(t *testing.T) {
+// Guards against an overload in which no caller gets a retry time. That happens when one caller reports a
+// timeout of a minute and the longest reported time is taken for that of all: every other request then looks
+// like a second attempt.
+func TestOneLongTimeoutIsIgnored(t *testing.T) {
 	p := NewCallerTimeouts()
-	for range 3 * seenFirst {
+	for range 3 * minSamples {
 		p.Note("r", 5*time.Second)
 	}
 	p.Note("r", time.Minute)
 	if got := p.Note("r", 5*time.Second); got != 5*time.Second {
 		t.Errorf("%v", got)
 	}
-	for range 2 * forgetAfter {
+	for range 2 * maxSamples {
 		p.Note("r", 8*time.Second)
 	}
 	if got := p.Note("r", 5*time.Second); got != 8*time.Second {
-		t.Errorf("after all callers have more time: %v", got)
+		t.Errorf("after all callers have a longer timeout: %v", got)
 	}
 }
