--- a/core/fleet/batch.go
+++ b/core/fleet/batch.go
@@ -10,128 +10,129 @@
 	"arbutusramp/core/policy"
 )
 
-// staggerInterval is how long a gateway leaves free slots to one that goes before it: by then it has heard
-// of what that one started.
+// staggerInterval is how long a gateway leaves free slots to a gateway ahead of it. By then it has received a
+// report of what that gateway has started.
 const staggerInterval = 12 * time.Millisecond
 
-// PickBatch chooses the target for a batch item: one with free slots beyond Options.StartSpare. The
-// gateways take turns, those whose items are due first in front; the n-th takes the n-th free slot
-// of a target at once, and one of those before it only after it has been left for a while. Without
-// turns all would start an item in the same slot and all but one cut it off again.
+// PickBatch chooses the target for a batch item: one with free slots beyond Options.StartSpare. Gateways take
+// turns, in the order in which their first items are due. The n-th gateway may take the n-th free slot of a
+// target immediately, and an earlier one only after that slot has stayed free for a while. Without turns all
+// gateways would start an item in the same slot, and all but one would preempt it again.
 func (f *Fleet) PickBatch(now time.Time, service string, tried []string) (c Choice, ok bool) {
-	list := f.candidates(now, service, tried, func(n *node) bool { return n.health.admitsBatch(now) })
-	turn := f.turn()
-	list = slices.DeleteFunc(list, func(c candidate) bool { return !f.canStart(now, c, turn) })
+	list := f.candidates(now, service, tried, func(ts *targetState) bool { return ts.health.canTakeBatch(now) })
+	ahead := f.gatewaysAhead()
+	list = slices.DeleteFunc(list, func(c candidate) bool { return !f.canStart(now, c, ahead) })
 	if len(list) == 0 {
 		return Choice{}, false
 	}
 	best := slices.MinFunc(list, func(a, b candidate) int {
 		return cmp.Or(
-			cmp.Compare(b.room()+b.batchBonus(), a.room()+a.batchBonus()),
-			cmp.Compare(a.node.spread, b.node.spread),
-			cmp.Compare(a.node.ID, b.node.ID),
+			cmp.Compare(b.freeSlots()+b.domainBonus(), a.freeSlots()+a.domainBonus()),
+			cmp.Compare(a.target.tieBreak, b.target.tieBreak),
+			cmp.Compare(a.target.ID, b.target.ID),
 		)
 	})
-	return f.choice(best, fmt.Sprintf("turn %d", turn)), true
+	return f.choice(best, fmt.Sprintf("turn %d", ahead)), true
 }
 
-// batchNear is how many more free slots a target elsewhere must have for a batch item than one in the own failure domain: bytes
-// between domains cost. More would fill the own domain's targets first.
-const batchNear = 3
+// batchDomainBonus is how many more free slots a target in another failure domain must have to be preferred
+// for a batch item, because traffic between domains is costly. A larger bonus would fill the targets of the
+// gateway's own domain first.
+const batchDomainBonus = 3
 
-// batchBonus is what speaks for a target for batch items beside its free slots.
-func (c candidate) batchBonus() int {
-	if c.near {
-		return batchNear
+// domainBonus is what counts in favour of a target for batch items in addition to its free slots.
+func (c candidate) domainBonus() int {
+	if c.isSameDomain {
+		return batchDomainBonus
 	}
 	return 0
 }
 
-// canStart says whether a slot of a target is free for the gateway with this turn.
-func (f *Fleet) canStart(now time.Time, c candidate, turn int) bool {
-	room := c.room() - f.opts.StartSpare
-	if room <= 0 {
+// canStart reports whether a slot of a target is free for a gateway with that many gateways ahead of it.
+func (f *Fleet) canStart(now time.Time, c candidate, ahead int) bool {
+	startable := c.freeSlots() - f.opts.StartSpare
+	if startable <= 0 {
 		return false
 	}
-	before := turn - (room - 1) // gateways that have no slot of their own here and go first
-	return before <= 0 || now.Sub(c.node.roomSince) >= time.Duration(before)*staggerInterval
+	withoutSlot := ahead - (startable - 1) // gateways ahead that have no slot of their own at this target
+	return withoutSlot <= 0 || now.Sub(c.target.freeSince) >= time.Duration(withoutSlot)*staggerInterval
 }
 
-// turn is how many gateways go before this one.
-func (f *Fleet) turn() int {
-	turn := 0
+// gatewaysAhead is how many gateways start batch items before this one.
+func (f *Fleet) gatewaysAhead() int {
+	ahead := 0
 	if !f.opts.Off.Allows(policy.Turns) {
-		return turn
+		return ahead
 	}
 	for name, p := range f.peers {
 		if p.Demand.Items > 0 && cmp.Or(cmp.Compare(p.Demand.Due, f.demand.Due), cmp.Compare(name, f.opts.Self)) < 0 {
-			turn++
+			ahead++
 		}
 	}
-	return turn
+	return ahead
 }
 
-// Preempt returns how many of its own batch items this gateway must cut off now, by target. Each
-// gateway works out the same division of the excess, so that together they cut as many as needed.
+// Preempt returns how many of its own batch items this gateway must preempt now, by target. Each gateway
+// computes the same division of the excess, so that together they preempt as many as needed.
 func (f *Fleet) Preempt(now time.Time) map[string]int {
-	f.expire(now)
-	cuts := make(map[string]int)
-	for id, n := range f.holding {
-		if n.Draining || n.health.state(now) == suspect {
-			cuts[id] = n.own.Batch
+	f.expirePeers(now)
+	preempted := make(map[string]int)
+	for id, ts := range f.withOwnBatch {
+		if ts.Draining || ts.health.state(now) == suspect {
+			preempted[id] = ts.ownLoad.Batch
 			continue
 		}
 		if !f.opts.Off.Allows(policy.GiveWay) {
 			continue
 		}
-		excess := f.opts.KeepSpare - n.room()
-		if k := f.ownShare(n, excess); k > 0 {
-			cuts[id] = k
+		excess := f.opts.KeepSpare - ts.freeSlots()
+		if k := f.ownPreemptions(ts, excess); k > 0 {
+			preempted[id] = k
 		}
 	}
-	return cuts
+	return preempted
 }
 
-// holder is a gateway's number of batch items at one target.
-type holder struct {
+// batchHolder is a gateway's number of batch items at one target.
+type batchHolder struct {
 	peer  Peer
-	batch int
+	items int
 }
 
-// ownShare is this gateway's part of excess batch items at n. Holders give one each in turn,
-// those with the most first.
-func (f *Fleet) ownShare(n *node, excess int) int {
+// ownPreemptions is this gateway's part of excess batch items at a target. The gateways with items there give
+// up one each in turn, those with the most items first.
+func (f *Fleet) ownPreemptions(ts *targetState, excess int) int {
 	if excess <= 0 {
 		return 0
 	}
-	holders := f.holders(n)
-	share := 0
+	holders := f.batchHolders(ts)
+	own := 0
 	for excess > 0 {
-		slices.SortFunc(holders, func(a, b holder) int {
-			return cmp.Or(cmp.Compare(b.batch, a.batch), cmp.Compare(mix(string(a.peer), n.ID), mix(string(b.peer), n.ID)))
+		slices.SortFunc(holders, func(a, b batchHolder) int {
+			return cmp.Or(cmp.Compare(b.items, a.items), cmp.Compare(hashPair(string(a.peer), ts.ID), hashPair(string(b.peer), ts.ID)))
 		})
-		if holders[0].batch == 0 {
+		if holders[0].items == 0 {
 			break
 		}
-		holders[0].batch--
+		holders[0].items--
 		if holders[0].peer == f.opts.Self {
-			share++
+			own++
 		}
 		excess--
 	}
-	return share
+	return own
 }
 
-func (f *Fleet) holders(n *node) []holder {
-	list := []holder{{f.opts.Self, n.own.Batch}}
-	for name, items := range n.batchOf {
-		list = append(list, holder{name, items})
+func (f *Fleet) batchHolders(ts *targetState) []batchHolder {
+	list := []batchHolder{{f.opts.Self, ts.ownLoad.Batch}}
+	for name, items := range ts.peerBatch {
+		list = append(list, batchHolder{name, items})
 	}
 	return list
 }
 
-// mix hashes two names to a number.
-func mix(a, b string) uint64 {
+// hashPair hashes two names to a number.
+func hashPair(a, b string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(a)) // a hash never fails to write
 	_, _ = h.Write([]byte{0})
--- a/core/fleet/bench_test.go
+++ b/core/fleet/bench_test.go
@@ -9,7 +9,8 @@
 	"arbutusramp/core/structs"
 )
 
-// fleetSizes are numbers of targets: those of a deployment of some hundred hosts, and those of one in two years.
+// fleetSizes are numbers of targets: those of a deployment of some hundred hosts, and those expected in two
+// years.
 var fleetSizes = []int{44, 3000}
 
 func benchFleet(targets int) *Fleet {
@@ -20,7 +21,7 @@
 	return f
 }
 
-// BenchmarkPickOnline is what the choice of a target costs each request.
+// BenchmarkPickOnline measures the choice of a target, which each request pays.
 func BenchmarkPickOnline(b *testing.B) {
 	for _, targets := range fleetSizes {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
@@ -34,8 +35,8 @@
 	}
 }
 
-// BenchmarkHear is what a report of a peer costs a gateway that runs a few batch items.
-func BenchmarkHear(b *testing.B) {
+// BenchmarkApplyReport measures a peer's report at a gateway that runs a few batch items.
+func BenchmarkApplyReport(b *testing.B) {
 	const items = 3
 	for _, targets := range fleetSizes {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -1,10 +1,10 @@
-// Package fleet decides which target gets the next request and how many batch items each may
-// have. It is a state machine without I/O or clock: callers lock it and pass the time in.
+// Package fleet decides which target gets the next request and how many batch items each target may have. It
+// is a state machine without I/O or clock: callers lock it and pass the time in.
 //
-// Targets admit requests in the order of arrival, so a batch item in a slot keeps an online
-// request waiting. Gateways tell each other what they have at each target; with that every one
-// knows how many slots are free, batch items start only where slots are left over, and items are
-// cut off, to go on elsewhere, as soon as online requests need their slots.
+// Targets admit requests in order of arrival, so a batch item in a slot keeps an online request waiting.
+// Gateways report their loads at each target to each other, so every gateway can compute how many slots are
+// free. Batch items start only in spare slots. They are preempted, and continue at another target, as soon as
+// online requests need their slots.
 package fleet
 
 import (
@@ -16,14 +16,14 @@
 	"arbutusramp/core/structs"
 )
 
-// Load is what one gateway has at one target.
+// Load is the number of requests that one gateway has at one target.
 type Load struct {
 	Online, Batch int
 }
 
 func (l Load) total() int { return l.Online + l.Batch }
 
-// Peer names another gateway.
+// Peer is the name of another gateway.
 type Peer string
 
 // Options are the limits of the decisions.
@@ -32,192 +32,195 @@
 	Domain string
 	// Self is this gateway's name among its peers.
 	Self Peer
-	// StartSpare slots must stay free at a target after a batch item has started there.
+	// StartSpare is how many slots must stay free at a target after a batch item has started there.
 	StartSpare int
-	// KeepSpare slots are made free again by cutting off batch items.
+	// KeepSpare is how many slots are kept free by preempting batch items.
 	KeepSpare int
-	// PeerTTL is how long the word of a peer that has fallen silent counts.
+	// PeerTTL is how long the last report of a silent peer counts.
 	PeerTTL time.Duration
-	// Off are the mechanisms that are switched off.
+	// Off is the set of disabled mechanisms.
 	Off policy.Off
 }
 
-// Fleet is the view of one gateway.
+// Fleet is the view of one gateway. It is not safe for concurrent use.
 type Fleet struct {
-	opts  Options
-	nodes map[string]*node // by target id
-	// holding are the targets at which this gateway has batch items, of all that may be many hundred.
-	holding map[string]*node
-	peers   map[Peer]*peer
-	// nextExpiry is before the first peer can fall silent for too long; zero while that has not been worked out.
+	opts    Options
+	targets map[string]*targetState // by target id
+	// withOwnBatch holds the targets at which this gateway has batch items, out of what may be many hundred
+	// targets.
+	withOwnBatch map[string]*targetState
+	peers        map[Peer]*peer
+	// nextExpiry is a time before which no peer can expire; zero until it is computed.
 	nextExpiry time.Time
 	demand     Demand
-	holds      map[string]time.Duration // how long online requests hold a slot, by service; see Held
-	paces      map[string]pace          // by service; see IdleLimit
-	// contact is when the store last answered here.
-	contact time.Time
+	holdTimes  map[string]time.Duration // how long online requests hold a slot, by service; see Held
+	timings    map[string]eventTiming   // by service; see IdleLimit
+	// storeContact is when the store last answered this gateway.
+	storeContact time.Time
 }
 
-// node is a target with what is known of its state.
-type node struct {
+// targetState is a target with its known state.
+type targetState struct {
 	serving.Target
-	own    Load
-	peers  Load // sum over the peers that count
-	health health
-	// batchOf is how many batch items each peer has there, of those that have any: they are few, and each report is followed by
-	// the question which items have to make way.
-	batchOf map[Peer]int
-	// roomSince is when it last came to have free slots.
-	roomSince time.Time
-	// spread orders targets that are as good as each other, differently at each gateway, so that they do not all pick the same one.
-	spread uint64
+	ownLoad  Load
+	peerLoad Load // sum over the live peers
+	health   health
+	// peerBatch is the number of batch items of each peer that has any at the target. These peers are few,
+	// and after each report Preempt looks at them.
+	peerBatch map[Peer]int
+	// freeSince is when the target last went from no free slots to some.
+	freeSince time.Time
+	// tieBreak orders targets that are equal otherwise. It differs between gateways, so that they do not all
+	// pick the same target.
+	tieBreak uint64
 }
 
-// load is what all gateways together have at a target.
-func (n *node) load() Load {
-	return Load{Online: n.own.Online + n.peers.Online, Batch: n.own.Batch + n.peers.Batch}
+// totalLoad is the load of all gateways at the target.
+func (ts *targetState) totalLoad() Load {
+	return Load{Online: ts.ownLoad.Online + ts.peerLoad.Online, Batch: ts.ownLoad.Batch + ts.peerLoad.Batch}
 }
 
-// room is the number of free slots; negative when requests wait.
-func (n *node) room() int { return n.Slots - n.load().total() }
+// freeSlots is the number of free slots; negative when requests are queued.
+func (ts *targetState) freeSlots() int { return ts.Slots - ts.totalLoad().total() }
 
-// Demand is what a gateway would like to start.
+// Demand is the work that a gateway has ready to start.
 type Demand struct {
-	Items int   // batch items that wait for room
+	Items int   // batch items that wait for a slot
 	Due   int64 // when the first of them is due, in milliseconds since 1970
 }
 
-// Report is what a gateway tells its peers.
+// Report is the message in which a gateway describes its state to its peers.
 type Report struct {
 	Loads  map[string]Load // by target id
 	Demand Demand
 	// Contact is when the platform's store last answered the gateway.
 	Contact time.Time
-	// Suspects are the targets that have failed the gateway a moment ago, by id.
+	// Suspects are the ids of the targets that have recently failed the gateway.
 	Suspects []string
 }
 
-// peer is the last word of another gateway.
+// peer is the last report of another gateway.
 type peer struct {
-	at time.Time
+	lastSeen time.Time
 	Report
 }
 
 // New returns an empty view.
 func New(o Options) *Fleet {
-	return &Fleet{opts: o, nodes: make(map[string]*node), holding: make(map[string]*node), peers: make(map[Peer]*peer), holds: make(map[string]time.Duration), paces: make(map[string]pace)}
+	return &Fleet{opts: o, targets: make(map[string]*targetState), withOwnBatch: make(map[string]*targetState), peers: make(map[Peer]*peer), holdTimes: make(map[string]time.Duration), timings: make(map[string]eventTiming)}
 }
 
-// Put adds a target or takes in its change.
+// Put adds a target or applies a change to it.
 func (f *Fleet) Put(t serving.Target) {
-	n, ok := f.nodes[t.ID]
+	ts, ok := f.targets[t.ID]
 	if ok {
-		n.Target = t
+		ts.Target = t
 		return
 	}
-	n = &node{Target: t, batchOf: make(map[Peer]int), spread: mix(string(f.opts.Self), t.ID)}
+	ts = &targetState{Target: t, peerBatch: make(map[Peer]int), tieBreak: hashPair(string(f.opts.Self), t.ID)}
 	for name, p := range f.peers {
-		n.peers.plus(p.Loads[t.ID])
-		n.noteBatch(name, p.Loads[t.ID].Batch)
+		ts.peerLoad.addLoad(p.Loads[t.ID])
+		ts.setPeerBatch(name, p.Loads[t.ID].Batch)
 	}
-	f.nodes[t.ID] = n
+	f.targets[t.ID] = ts
 }
 
-// Remove drops a target. Requests that it still has end on their own.
+// Remove drops a target. Requests that it still has end by themselves.
 func (f *Fleet) Remove(id string) {
-	delete(f.nodes, id)
-	delete(f.holding, id)
+	delete(f.targets, id)
+	delete(f.withOwnBatch, id)
 }
 
-// Targets returns all targets of the list.
+// Targets returns all listed targets.
 func (f *Fleet) Targets() []serving.Target {
-	list := make([]serving.Target, 0, len(f.nodes))
-	for _, n := range f.nodes {
-		list = append(list, n.Target)
+	list := make([]serving.Target, 0, len(f.targets))
+	for _, ts := range f.targets {
+		list = append(list, ts.Target)
 	}
 	return list
 }
 
 // Begin counts a request that is about to be sent.
 func (f *Fleet) Begin(now time.Time, id string, c structs.Class) {
-	if n, ok := f.nodes[id]; ok {
-		n.own.add(c, 1)
-		n.health.begin(now)
-		f.noteHolding(id, n)
+	if ts, ok := f.targets[id]; ok {
+		ts.ownLoad.addRequests(c, 1)
+		ts.health.noteStart(now)
+		f.trackOwnBatch(id, ts)
 	}
 }
 
-// End counts a request as over.
+// End counts a request as finished.
 func (f *Fleet) End(now time.Time, id string, c structs.Class) {
-	if n, ok := f.nodes[id]; ok {
-		n.change(now, func() { n.own.add(c, -1) })
-		f.noteHolding(id, n)
+	if ts, ok := f.targets[id]; ok {
+		ts.updateLoad(now, func() { ts.ownLoad.addRequests(c, -1) })
+		f.trackOwnBatch(id, ts)
 	}
 }
 
-// noteHolding keeps f.holding as the loads say.
-func (f *Fleet) noteHolding(id string, n *node) {
-	if n.own.Batch == 0 {
-		delete(f.holding, id)
+// trackOwnBatch adds a target to withOwnBatch or removes it, by this gateway's load there.
+func (f *Fleet) trackOwnBatch(id string, ts *targetState) {
+	if ts.ownLoad.Batch == 0 {
+		delete(f.withOwnBatch, id)
 		return
 	}
-	f.holding[id] = n
+	f.withOwnBatch[id] = ts
 }
 
-// change makes a change to the loads and notes when slots come free by it.
-func (n *node) change(now time.Time, f func()) {
-	before := n.room()
-	f()
-	if before <= 0 && n.room() > 0 {
-		n.roomSince = now
+// updateLoad applies a change to the loads and records when slots become free by it.
+func (ts *targetState) updateLoad(now time.Time, update func()) {
+	before := ts.freeSlots()
+	update()
+	if before <= 0 && ts.freeSlots() > 0 {
+		ts.freeSince = now
 	}
 }
 
-func (l *Load) plus(o Load) {
+func (l *Load) addLoad(o Load) {
 	l.Online += o.Online
 	l.Batch += o.Batch
 }
 
-func (l *Load) minus(o Load) {
+func (l *Load) subLoad(o Load) {
 	l.Online -= o.Online
 	l.Batch -= o.Batch
 }
 
-func (l *Load) add(c structs.Class, d int) {
+func (l *Load) addRequests(c structs.Class, delta int) {
 	if c == structs.ClassBatch {
-		l.Batch = max(0, l.Batch+d)
+		l.Batch = max(0, l.Batch+delta)
 		return
 	}
-	l.Online = max(0, l.Online+d)
+	l.Online = max(0, l.Online+delta)
 }
 
-// ApplyReport takes in a peer's report; it replaces what the peer told before.
+// ApplyReport applies a peer's report, which replaces the previous one.
 func (f *Fleet) ApplyReport(now time.Time, from Peer, r Report) {
-	f.expire(now)
+	f.expirePeers(now)
 	if !f.opts.Off.Allows(policy.PeerLoads) {
 		r.Loads = nil
 	}
 	old := f.peers[from]
-	f.replace(now, from, old, &r)
+	f.replaceReport(now, from, old, &r)
 	for _, id := range r.Suspects {
 		if old == nil || !slices.Contains(old.Suspects, id) {
-			f.warned(now, id)
+			f.applyPeerSuspicion(now, id)
 		}
 	}
-	f.peers[from] = &peer{at: now, Report: r}
+	f.peers[from] = &peer{lastSeen: now, Report: r}
 }
 
-// Sign is a sign of life of a peer that another gateway passes on.
+// Sign is a sign of life of a peer that another gateway forwards.
 type Sign struct {
-	Heard   time.Time // when that one last heard of the peer
+	Heard   time.Time // when the forwarding gateway last received a message of the peer
 	Contact time.Time // when the platform's store last answered the peer
-	// IsIdle says that the peer has nothing at targets and wants to start nothing.
+	// IsIdle reports that the peer has no requests at targets and no demand.
 	IsIdle bool
 }
 
-// NoteSign takes in a sign of life of a peer. What the peer has told before holds on, unless it is idle.
+// NoteSign applies a forwarded sign of life of a peer. The peer's last report stays valid, unless the peer is
+// idle.
 func (f *Fleet) NoteSign(now time.Time, from Peer, s Sign) {
-	f.expire(now)
+	f.expirePeers(now)
 	if now.Sub(s.Heard) > f.opts.PeerTTL {
 		return
 	}
@@ -226,125 +229,126 @@
 		p = &peer{}
 		f.peers[from] = p
 	}
-	if s.IsIdle && p.hasNews() {
-		f.replace(now, from, p, &Report{})
+	if s.IsIdle && p.hasState() {
+		f.replaceReport(now, from, p, &Report{})
 		p.Report = Report{}
 	}
-	if s.Heard.After(p.at) {
-		p.at, p.Contact = s.Heard, s.Contact
+	if s.Heard.After(p.lastSeen) {
+		p.lastSeen, p.Contact = s.Heard, s.Contact
 	}
-	if expiry := p.at.Add(f.opts.PeerTTL); expiry.Before(f.nextExpiry) {
+	if expiry := p.lastSeen.Add(f.opts.PeerTTL); expiry.Before(f.nextExpiry) {
 		f.nextExpiry = expiry
 	}
 }
 
-// hasNews says whether the peer has told anything that an idle one does not.
-func (p *peer) hasNews() bool { return len(p.Loads) > 0 || p.Demand.Items > 0 || len(p.Suspects) > 0 }
+// hasState reports whether the peer's last report holds anything that the report of an idle peer does not.
+func (p *peer) hasState() bool { return len(p.Loads) > 0 || p.Demand.Items > 0 || len(p.Suspects) > 0 }
 
-// noteBatch notes how many batch items a peer has at the target.
-func (n *node) noteBatch(name Peer, items int) {
+// setPeerBatch records how many batch items a peer has at the target.
+func (ts *targetState) setPeerBatch(name Peer, items int) {
 	if items == 0 {
-		delete(n.batchOf, name)
+		delete(ts.peerBatch, name)
 		return
 	}
-	n.batchOf[name] = items
+	ts.peerBatch[name] = items
 }
 
-// replace takes a peer's old loads out of the sums and puts its new ones in.
-func (f *Fleet) replace(now time.Time, name Peer, old *peer, r *Report) {
-	touched := make(map[string]bool, len(r.Loads))
+// replaceReport subtracts the loads of a peer's old report from the sums and adds those of its new one.
+func (f *Fleet) replaceReport(now time.Time, name Peer, old *peer, r *Report) {
+	affected := make(map[string]bool, len(r.Loads))
 	for id := range r.Loads {
-		touched[id] = true
+		affected[id] = true
 	}
 	if old != nil {
 		for id := range old.Loads {
-			touched[id] = true
+			affected[id] = true
 		}
 	}
-	for id := range touched {
-		n, ok := f.nodes[id]
+	for id := range affected {
+		ts, ok := f.targets[id]
 		if !ok {
 			continue
 		}
-		n.change(now, func() {
-			n.peers.plus(r.Loads[id])
+		ts.updateLoad(now, func() {
+			ts.peerLoad.addLoad(r.Loads[id])
 			if old != nil {
-				n.peers.minus(old.Loads[id])
+				ts.peerLoad.subLoad(old.Loads[id])
 			}
 		})
-		n.noteBatch(name, r.Loads[id].Batch)
+		ts.setPeerBatch(name, r.Loads[id].Batch)
 	}
 }
 
-// expire drops peers that have fallen silent: they have stopped, or what they say is too old. It is called with each report and
-// looks at all peers only when one of them may have been silent for too long: else the cost of a report grows with the fleet.
-func (f *Fleet) expire(now time.Time) {
+// expirePeers drops silent peers: they have stopped, or their last report is too old. It is called with each
+// report and scans the peers only when one of them may have expired; otherwise the cost of a report would
+// grow with the fleet.
+func (f *Fleet) expirePeers(now time.Time) {
 	if now.Before(f.nextExpiry) {
 		return
 	}
 	oldest := now
 	for name, p := range f.peers {
-		if now.Sub(p.at) > f.opts.PeerTTL {
-			f.replace(now, name, p, &Report{})
+		if now.Sub(p.lastSeen) > f.opts.PeerTTL {
+			f.replaceReport(now, name, p, &Report{})
 			delete(f.peers, name)
 			continue
 		}
-		if p.at.Before(oldest) {
-			oldest = p.at
+		if p.lastSeen.Before(oldest) {
+			oldest = p.lastSeen
 		}
 	}
 	f.nextExpiry = oldest.Add(f.opts.PeerTTL)
 }
 
-// SetDemand notes what this gateway would like to start.
-func (f *Fleet) SetDemand(w Demand) { f.demand = w }
+// SetDemand records the work that this gateway has ready to start.
+func (f *Fleet) SetDemand(d Demand) { f.demand = d }
 
-// SetContact notes that the store has answered.
-func (f *Fleet) SetContact(now time.Time) { f.contact = now }
+// SetContact records that the store has answered.
+func (f *Fleet) SetContact(now time.Time) { f.storeContact = now }
 
-// contactSlack is how much later than this gateway's a peer's contact with the store must be to
-// count as later: reports take their time, and each process asks at its own moments.
-const contactSlack = 1200 * time.Millisecond
+// storeContactTolerance is how much later than this gateway's a peer's contact with the store must be to
+// count as later. Reports are delayed, and each process polls the store at its own times.
+const storeContactTolerance = 1200 * time.Millisecond
 
-// StoreDownForAll says that no live peer has reached the store since this gateway last did. Then
-// nothing can have been agreed on meanwhile that this gateway does not know. Without any live peer
-// it can't be told: this gateway may be the one that is cut off.
+// StoreDownForAll reports whether no live peer has reached the store since this gateway last did. In that
+// case no decision unknown to this gateway can have been committed there meanwhile. Without a live peer the
+// result is false, because this gateway may be the one that is cut off.
 func (f *Fleet) StoreDownForAll(now time.Time) bool {
-	f.expire(now)
+	f.expirePeers(now)
 	for _, p := range f.peers {
-		if p.Contact.After(f.contact.Add(contactSlack)) {
+		if p.Contact.After(f.storeContact.Add(storeContactTolerance)) {
 			return false
 		}
 	}
 	return len(f.peers) > 0
 }
 
-// Peers is how many other gateways live.
+// Peers is the number of other live gateways.
 func (f *Fleet) Peers(now time.Time) int {
-	f.expire(now)
+	f.expirePeers(now)
 	return len(f.peers)
 }
 
-// Report returns what this gateway has and wants.
+// Report returns the loads, demand and suspects of this gateway.
 func (f *Fleet) Report(now time.Time) Report {
-	return Report{Loads: f.Own(), Demand: f.demand, Contact: f.contact, Suspects: f.suspects(now)}
+	return Report{Loads: f.Own(), Demand: f.demand, Contact: f.storeContact, Suspects: f.ownSuspects(now)}
 }
 
-// Own returns what this gateway has at its targets, without those at which it has nothing.
+// Own returns the loads of this gateway, without targets at which it has none.
 func (f *Fleet) Own() map[string]Load {
 	loads := make(map[string]Load)
-	for id, n := range f.nodes {
-		if n.own.total() > 0 {
-			loads[id] = n.own
+	for id, ts := range f.targets {
+		if ts.ownLoad.total() > 0 {
+			loads[id] = ts.ownLoad
 		}
 	}
 	return loads
 }
 
-// OwnAt returns what this gateway has at one target.
+// OwnAt returns the load of this gateway at one target.
 func (f *Fleet) OwnAt(id string) Load {
-	if n, ok := f.nodes[id]; ok {
-		return n.own
+	if ts, ok := f.targets[id]; ok {
+		return ts.ownLoad
 	}
 	return Load{}
 }
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -38,20 +38,20 @@
 		tried []string
 		want  string // "" for none
 	}{
-		{name: "the own failure domain among equals", want: "t0"},
-		{name: "a free slot elsewhere before a full target", setup: func(f *Fleet) {
+		{name: "the own failure domain among equal targets", want: "t0"},
+		{name: "a free slot in another domain before a full target", setup: func(f *Fleet) {
 			begin(f, "t0", structs.ClassOnline, testSlots)
 			begin(f, "t1", structs.ClassOnline, 1)
 		}, want: "t2"},
-		{name: "a full target whose batch items can make way before a queue", setup: func(f *Fleet) {
+		{name: "a full target with preemptible batch items before a queue", setup: func(f *Fleet) {
 			begin(f, "t0", structs.ClassOnline, testSlots)
 			begin(f, "t1", structs.ClassOnline, testSlots)
 			begin(f, "t2", structs.ClassBatch, testSlots)
 		}, want: "t2"},
-		{name: "what peers have counts", setup: func(f *Fleet) {
+		{name: "loads of peers count", setup: func(f *Fleet) {
 			f.ApplyReport(start, "peer", Report{Loads: map[string]Load{"t0": {Online: testSlots}, "t1": {Online: testSlots}}})
 		}, want: "t2"},
-		{name: "a peer that has fallen silent does not count", setup: func(f *Fleet) {
+		{name: "an expired peer does not count", setup: func(f *Fleet) {
 			f.ApplyReport(start.Add(-2*time.Second), "peer", Report{Loads: map[string]Load{"t0": {Online: testSlots}}})
 		}, want: "t0"},
 		{name: "not a draining target", setup: func(f *Fleet) {
@@ -60,9 +60,9 @@
 			f.Put(d)
 			begin(f, "t1", structs.ClassOnline, 1)
 		}, want: "t2"},
-		{name: "not one that was tried", tried: []string{"t0", "t1"}, want: "t2"},
-		{name: "not a suspect one", setup: func(f *Fleet) { f.Failed(start, "t0"); f.Failed(start, "t1") }, want: "t2"},
-		{name: "a suspect one when no other is left", setup: func(f *Fleet) { f.Failed(start, "t2") },
+		{name: "not a target already tried", tried: []string{"t0", "t1"}, want: "t2"},
+		{name: "not a suspect target", setup: func(f *Fleet) { f.Failed(start, "t0"); f.Failed(start, "t1") }, want: "t2"},
+		{name: "a suspect target when no other is left", setup: func(f *Fleet) { f.Failed(start, "t2") },
 			tried: []string{"t0", "t1"}, want: "t2"},
 		{name: "none", tried: []string{"t0", "t1", "t2"}},
 	}
@@ -88,24 +88,25 @@
 	for range 2 * testSlots {
 		got, ok := f.PickBatch(start, "llm", nil)
 		if !ok {
-			t.Fatal("no room though slots are free")
+			t.Fatal("no target though slots are free")
 		}
 		f.Begin(start, got.Target.ID, structs.ClassBatch)
 	}
 	if got, ok := f.PickBatch(start, "llm", nil); ok {
-		t.Errorf("room at %s though all slots are taken", got)
+		t.Errorf("picked %s though all slots are taken", got)
 	}
 	if n := f.OwnAt("t0").Batch; n != testSlots {
 		t.Errorf("%d items at the first of two equal targets, want %d", n, testSlots)
 	}
 }
 
-// Head-of-line blocking: gateways that each preempt all of the excess, or each none of it.
-func TestGatewaysTogetherCutWhatIsNeeded(t *testing.T) {
+// Guards against head-of-line blocking, and against needless preemption: gateways that each preempt none of
+// the excess or all of it.
+func TestGatewaysTogetherPreemptTheExcess(t *testing.T) {
 	names := []Peer{"a", "b", "c"}
 	items := map[Peer]int{"a": 2, "b": 1, "c": 0}
 	for online := 0; online <= testSlots; online++ {
-		cut := 0
+		preempted := 0
 		for _, self := range names {
 			f := testFleet(self, 1)
 			begin(f, "t0", structs.ClassBatch, items[self])
@@ -124,79 +125,79 @@
 			}
 			n := f.Preempt(start)["t0"]
 			if n > items[self] {
-				t.Errorf("%s cuts %d of its %d items", self, n, items[self])
+				t.Errorf("%s preempts %d of its %d items", self, n, items[self])
 			}
-			cut += n
+			preempted += n
 		}
 		want := max(0, online+3-testSlots)
-		if cut != min(want, 3) {
-			t.Errorf("with %d online requests %d items were cut, want %d", online, cut, want)
+		if preempted != min(want, 3) {
+			t.Errorf("with %d online requests %d items were preempted, want %d", online, preempted, want)
 		}
 	}
 }
 
-func TestItemsLeaveATargetThatDrainsOrFails(t *testing.T) {
+func TestPreemptClearsDrainingAndSuspectTargets(t *testing.T) {
 	f := testFleet("self", 2)
 	begin(f, "t0", structs.ClassBatch, 2)
 	begin(f, "t1", structs.ClassBatch, 1)
-	if cuts := f.Preempt(start); len(cuts) != 0 {
-		t.Errorf("cuts %v without a cause", cuts)
+	if preempted := f.Preempt(start); len(preempted) != 0 {
+		t.Errorf("preempted %v without a cause", preempted)
 	}
 	d := target(0)
 	d.Draining = true
 	f.Put(d)
 	f.Failed(start, "t1")
-	cuts := f.Preempt(start)
-	if cuts["t0"] != 2 || cuts["t1"] != 1 {
-		t.Errorf("cuts %v", cuts)
+	preempted := f.Preempt(start)
+	if preempted["t0"] != 2 || preempted["t1"] != 1 {
+		t.Errorf("preempted %v", preempted)
 	}
 }
 
-func TestSuspicionEndsWithASignOfLife(t *testing.T) {
+func TestActivityEndsSuspicion(t *testing.T) {
 	f := testFleet("self", 1)
 	if !f.Failed(start, "t0") || f.Failed(start, "t0") {
-		t.Error("the first failure makes suspect, the next in the same time adds nothing")
+		t.Error("the first failure must make the target suspect, and the next one within the suspicion must not")
 	}
 	if _, ok := f.PickBatch(start, "llm", nil); ok {
-		t.Error("an item for a suspect target")
+		t.Error("a batch item was sent to a suspect target")
 	}
-	later := start.Add(suspectBase)
+	later := start.Add(minSuspectTime)
 	if _, ok := f.PickBatch(later, "llm", nil); !ok {
-		t.Error("no item tries a target on probation")
+		t.Error("no batch item was sent to a target on probation")
 	}
 	f.Begin(later, "t0", structs.ClassBatch)
 	if _, ok := f.PickBatch(later, "llm", nil); ok {
-		t.Error("a second item while the first still tries")
+		t.Error("a second batch item was sent while the first one is on probation")
 	}
 	if !f.Failed(later, "t0") {
-		t.Error("a failure on probation does not make suspect")
+		t.Error("a failure on probation does not make the target suspect")
 	}
-	if _, ok := f.PickBatch(later.Add(suspectBase), "llm", nil); ok {
+	if _, ok := f.PickBatch(later.Add(minSuspectTime), "llm", nil); ok {
 		t.Error("the second suspicion is not longer than the first")
 	}
 	f.NoteActivity(later, "t0")
 	if _, ok := f.PickBatch(later, "llm", nil); !ok {
-		t.Error("no item for a target that has just answered")
+		t.Error("no batch item for a target that has just answered")
 	}
 }
 
 func TestSilence(t *testing.T) {
 	f := testFleet("self", 1)
-	if f.IsIdleSince(start.Add(silenceLimit), start, "t0") {
+	if f.IsIdleSince(start.Add(defaultSilenceLimit), start, "t0") {
 		t.Error("silent before the limit")
 	}
-	late := start.Add(silenceLimit + time.Millisecond)
+	late := start.Add(defaultSilenceLimit + time.Millisecond)
 	if !f.IsIdleSince(late, start, "t0") {
 		t.Error("not silent after the limit")
 	}
 	f.NoteActivity(late, "t0")
-	if f.IsIdleSince(late.Add(silenceLimit), start, "t0") {
-		t.Error("silent though it has answered somebody")
+	if f.IsIdleSince(late.Add(defaultSilenceLimit), start, "t0") {
+		t.Error("silent though it has answered another request")
 	}
 }
 
-// Loads that are counted down more often than up would let a target look free that is not.
-func TestLoadsStayInBounds(t *testing.T) {
+// Guards against a load that is decremented more often than incremented, which makes a full target look free.
+func TestLoadsAreNeverNegative(t *testing.T) {
 	f := testFleet("self", 1)
 	f.End(start, "t0", structs.ClassOnline)
 	f.Begin(start, "t0", structs.ClassOnline)
@@ -206,33 +207,34 @@
 	f.Remove("t0")
 	f.End(start, "t0", structs.ClassOnline)
 	if got := f.Own(); len(got) != 0 {
-		t.Errorf("loads %v of targets that are gone", got)
+		t.Errorf("loads %v of removed targets", got)
 	}
 }
 
-// Wasted starts: all gateways start an item in the same free slot, and all but one preempt it again.
-func TestGatewaysTakeTurnsAtAFreeSlot(t *testing.T) {
-	wants := map[Peer]Demand{"a": {Items: 3, Due: 200}, "b": {Items: 1, Due: 100}, "c": {}}
-	pick := func(self Peer, room int, after time.Duration) bool {
+// Guards against wasted starts: all gateways start an item in the same free slot, and all but one preempt it
+// again.
+func TestGatewaysStaggerStartsAtAFreeSlot(t *testing.T) {
+	demands := map[Peer]Demand{"a": {Items: 3, Due: 200}, "b": {Items: 1, Due: 100}, "c": {}}
+	pick := func(self Peer, freeSlots int, after time.Duration) bool {
 		f := testFleet(self, 1)
-		f.SetDemand(wants[self])
+		f.SetDemand(demands[self])
 		begin(f, "t0", structs.ClassOnline, testSlots)
-		for peer, w := range wants {
+		for peer, d := range demands {
 			if peer != self {
-				f.ApplyReport(start, peer, Report{Demand: w})
+				f.ApplyReport(start, peer, Report{Demand: d})
 			}
 		}
-		for range room {
+		for range freeSlots {
 			f.End(start, "t0", structs.ClassOnline)
 		}
 		_, ok := f.PickBatch(start.Add(after), "llm", nil)
 		return ok
 	}
 	cases := []struct {
-		self  Peer
-		room  int
-		after time.Duration
-		want  bool
+		self      Peer
+		freeSlots int
+		after     time.Duration
+		want      bool
 	}{
 		{"b", 1, 0, true}, // its item is due first
 		{"a", 1, 0, false},
@@ -241,33 +243,33 @@
 		{"a", 0, staggerInterval, false},
 	}
 	for _, c := range cases {
-		if got := pick(c.self, c.room, c.after); got != c.want {
-			t.Errorf("%s with %d free slots after %v: %v", c.self, c.room, c.after, got)
+		if got := pick(c.self, c.freeSlots, c.after); got != c.want {
+			t.Errorf("%s with %d free slots after %v: %v", c.self, c.freeSlots, c.after, got)
 		}
 	}
 }
 
-// The sums over peers must be those of the last reports, whatever came before and whatever order
-// targets and peers come in.
-func TestSumsFollowTheLastReports(t *testing.T) {
+// The sums over peers match the latest reports, regardless of earlier reports and of the order in which
+// targets and peers are added.
+func TestPeerLoadsMatchTheLatestReports(t *testing.T) {
 	f := testFleet("self", 1)
 	f.ApplyReport(start, "a", Report{Loads: map[string]Load{"t0": {Online: 1, Batch: 2}, "t1": {Online: 3}}})
 	f.ApplyReport(start, "b", Report{Loads: map[string]Load{"t0": {Online: 1}}})
 	f.ApplyReport(start, "a", Report{Loads: map[string]Load{"t0": {Batch: 1}, "t1": {Online: 2}}})
 	f.Put(target(1))
-	if got := f.nodes["t0"].load(); got != (Load{Online: 1, Batch: 1}) {
+	if got := f.targets["t0"].totalLoad(); got != (Load{Online: 1, Batch: 1}) {
 		t.Errorf("t0 has %+v", got)
 	}
-	if got := f.nodes["t1"].load(); got != (Load{Online: 2}) {
-		t.Errorf("t1, which came later, has %+v", got)
+	if got := f.targets["t1"].totalLoad(); got != (Load{Online: 2}) {
+		t.Errorf("t1, which was added later, has %+v", got)
 	}
 	f.ApplyReport(start.Add(2*time.Second), "b", Report{})
-	if got := f.nodes["t1"].load(); got != (Load{}) {
-		t.Errorf("after a fell silent t1 has %+v", got)
+	if got := f.targets["t1"].totalLoad(); got != (Load{}) {
+		t.Errorf("after the expiry of peer a t1 has %+v", got)
 	}
 }
 
-// Items may start without the store only while nobody else can have agreed on anything there.
+// Batch items may start without the store only while no other gateway can have committed a decision there.
 func TestStoreDownForAll(t *testing.T) {
 	f := testFleet("self", 1)
 	f.SetContact(start)
@@ -277,7 +279,7 @@
 	}
 	f.ApplyReport(now, "a", Report{Contact: start.Add(100 * time.Millisecond)})
 	if !f.StoreDownForAll(now) {
-		t.Error("no peer has reached the store for longer")
+		t.Error("no peer has reached the store since this gateway did")
 	}
 	f.ApplyReport(now, "b", Report{Contact: now.Add(-time.Second)})
 	if f.StoreDownForAll(now) {
@@ -285,24 +287,26 @@
 	}
 }
 
-// False suspicion: a request that waits in the queue of a busy target hears nothing, which is no sign of a failure.
-func TestAQueueIsNotSilence(t *testing.T) {
+// Guards against false suspicion: a request in the queue of a busy target receives nothing, which is not a
+// failure.
+func TestQueuedRequestIsNotSilence(t *testing.T) {
 	f := testFleet("self", 1)
 	f.ApplyReport(start, "peer", Report{Loads: map[string]Load{"t0": {Online: 2*testSlots - 1}}})
 	f.Begin(start, "t0", structs.ClassOnline)
-	late := start.Add(silenceLimit + queueWait/2)
+	late := start.Add(defaultSilenceLimit + defaultHoldTime/2)
 	if f.IsIdleSince(late, start, "t0") {
-		t.Error("a target with a full queue counts as silent before its queue has passed")
+		t.Error("a target with a full queue counts as silent before its queue has been served")
 	}
-	if !f.IsIdleSince(start.Add(silenceLimit+queueWait+time.Millisecond), start, "t0") {
+	if !f.IsIdleSince(start.Add(defaultSilenceLimit+defaultHoldTime+time.Millisecond), start, "t0") {
 		t.Error("a target that sends nothing at all is never silent")
 	}
 }
 
-// Bytes between failure domains cost: an item goes to a target of the own one unless another has clearly more room.
-func TestBatchItemsStayInTheirDomainWhileThereIsRoom(t *testing.T) {
+// Traffic between failure domains is costly: an item goes to a target of the gateway's own domain unless
+// another has clearly more free slots.
+func TestBatchItemsPreferTheOwnDomain(t *testing.T) {
 	cases := []struct {
-		near, far int // requests that the targets have
+		near, far int // requests at the targets
 		want      string
 	}{
 		{0, 0, "t0"}, {1, 0, "t0"}, {2, 0, "t0"}, {testSlots, 0, "t1"}, {testSlots, testSlots - 1, "t1"}, {testSlots - 1, testSlots, "t0"},
@@ -317,36 +321,36 @@
 	}
 }
 
-// Late detection: each gateway finds out by itself that a target has fallen dark.
-func TestAPeersSuspicionIsHeeded(t *testing.T) {
-	word := Report{Suspects: []string{"t0"}}
+// Guards against late detection: each gateway needs a failed request of its own to detect a dead target.
+func TestPeerSuspicionIsApplied(t *testing.T) {
+	report := Report{Suspects: []string{"t0"}}
 	pick := func(f *Fleet, now time.Time) string {
 		c, _ := f.PickOnline(now, "llm", nil)
 		return c.Target.ID
 	}
 	f := testFleet("self", 2)
-	f.NoteActivity(start.Add(-hearsayAfter), "t0")
-	f.ApplyReport(start, "peer", word)
+	f.NoteActivity(start.Add(-minSilenceForPeerReport), "t0")
+	f.ApplyReport(start, "peer", report)
 	if got := pick(f, start); got != "t1" {
 		t.Errorf("the next request goes to %s", got)
 	}
 	if got := f.Report(start).Suspects; len(got) != 0 {
-		t.Errorf("hearsay is passed on: %v", got)
+		t.Errorf("a peer's suspicion is forwarded: %v", got)
 	}
-	if !f.IsIdleSince(start.Add(silenceLimit/2+time.Millisecond), start, "t0") {
-		t.Error("a request there waits as long as without the peer's word")
+	if !f.IsIdleSince(start.Add(defaultSilenceLimit/2+time.Millisecond), start, "t0") {
+		t.Error("the silence limit is the same as without the peer's suspicion")
 	}
-	later := start.Add(suspectBase)
-	f.ApplyReport(later, "peer", word)
+	later := start.Add(minSuspectTime)
+	f.ApplyReport(later, "peer", report)
 	f.NoteActivity(later, "t0")
 	if got := pick(f, later); got != "t0" {
-		t.Errorf("after a sign of life the next request goes to %s", got)
+		t.Errorf("after activity the next request goes to %s", got)
 	}
 	f = testFleet("self", 2)
-	f.NoteActivity(start.Add(-hearsayAfter/2), "t0")
-	f.ApplyReport(start, "peer", word)
+	f.NoteActivity(start.Add(-minSilenceForPeerReport/2), "t0")
+	f.ApplyReport(start, "peer", report)
 	if got := pick(f, start); got != "t0" {
-		t.Errorf("a target that has just answered here: the next request goes to %s", got)
+		t.Errorf("though the target has just answered, the next request goes to %s", got)
 	}
 	f.Failed(start, "t0")
 	if got := f.Report(start).Suspects; len(got) != 1 || got[0] != "t0" {
--- a/core/fleet/health.go
+++ b/core/fleet/health.go
@@ -7,124 +7,127 @@
 	"arbutusramp/core/policy"
 )
 
-// state is a gateway's verdict on a target.
-type state uint8
+// healthState is a gateway's assessment of a target.
+type healthState uint8
 
 const (
-	healthy state = iota
-	// suspect targets get nothing for a while.
+	healthy healthState = iota
+	// suspect targets get no requests for a while.
 	suspect
-	// probation targets were suspect; the next request shows whether they are well again.
+	// probation targets were suspect; the outcome of the next request decides whether they are healthy again.
 	probation
 )
 
-// Times of the verdict.
+// Time limits of the assessment.
 const (
-	// silenceLimit is how long a target that has work may send nothing at all before it is
-	// suspect, while it is not known how its service answers; see IdleLimit.
-	silenceLimit = 450 * time.Millisecond
-	// suspectBase and suspectMax bound how long a suspect target gets nothing; the time
-	// doubles with each failure in a row.
-	suspectBase = 500 * time.Millisecond
-	suspectMax  = 4 * time.Second
-	// probationGap is the pause between two batch items that try a target on probation.
-	probationGap = 450 * time.Millisecond
+	// defaultSilenceLimit is how long a target with requests may send nothing before it becomes suspect,
+	// until the event times of its service are known; see IdleLimit.
+	defaultSilenceLimit = 450 * time.Millisecond
+	// minSuspectTime and maxSuspectTime bound how long a suspect target gets no requests. The time doubles
+	// with each consecutive failure.
+	minSuspectTime = 500 * time.Millisecond
+	maxSuspectTime = 4 * time.Second
+	// probationInterval is the pause between two batch items that are sent to a target on probation.
+	probationInterval = 450 * time.Millisecond
 )
 
-// health follows one target by the outcomes of requests alone: probes cost and can lie.
+// health tracks one target by the outcomes of its requests only. Probes are not used: they add load, and
+// their result can be wrong.
 type health struct {
-	failures int       // in a row
-	until    time.Time // suspect until then
-	began    time.Time // of the last request
-	heard    time.Time // of the last byte
-	// hearsay says that a peer's word alone has made it suspect.
-	hearsay bool
+	failures     int       // consecutive
+	suspectUntil time.Time // suspect until then
+	lastStart    time.Time // of the last request
+	lastReceived time.Time // of the last byte
+	// isPeerReported is set when only a peer's report has made the target suspect.
+	isPeerReported bool
 }
 
-func (h *health) state(now time.Time) state {
+func (h *health) state(now time.Time) healthState {
 	switch {
 	case h.failures == 0:
 		return healthy
-	case now.Before(h.until):
+	case now.Before(h.suspectUntil):
 		return suspect
 	default:
 		return probation
 	}
 }
 
-// admitsBatch lets one batch item at a time try a target on probation.
-func (h *health) admitsBatch(now time.Time) bool {
+// canTakeBatch admits one batch item at a time to a target on probation.
+func (h *health) canTakeBatch(now time.Time) bool {
 	switch h.state(now) {
 	case healthy:
 		return true
 	case probation:
-		return now.Sub(h.began) > probationGap
+		return now.Sub(h.lastStart) > probationInterval
 	default:
 		return false
 	}
 }
 
-func (h *health) begin(now time.Time) { h.began = now }
+func (h *health) noteStart(now time.Time) { h.lastStart = now }
 
-// NoteActivity notes that a target has sent something: it is alive.
+// NoteActivity records that a target has sent something, which ends a suspicion.
 func (f *Fleet) NoteActivity(now time.Time, id string) {
-	if n, ok := f.nodes[id]; ok {
-		n.health.heard = now
-		n.health.failures = 0
-		n.health.hearsay = false
+	if ts, ok := f.targets[id]; ok {
+		ts.health.lastReceived = now
+		ts.health.failures = 0
+		ts.health.isPeerReported = false
 	}
 }
 
-// Failed notes that a target has refused a connection, broken one off or kept silent. It reports
-// whether the target has become suspect by it. A failure within a suspicion adds nothing, since
-// requests that were sent together fail together.
+// Failed records that a target has refused or closed a connection, or has been silent for too long. It
+// reports whether that makes the target suspect. Failures of a target that is already suspect do not count,
+// because requests that were sent together fail together.
 func (f *Fleet) Failed(now time.Time, id string) bool {
-	n, ok := f.nodes[id]
-	if !ok || n.health.state(now) == suspect {
+	ts, ok := f.targets[id]
+	if !ok || ts.health.state(now) == suspect {
 		return false
 	}
-	h := &n.health
+	h := &ts.health
 	h.failures++
-	h.hearsay = false
-	h.until = now.Add(min(suspectMax, suspectBase<<min(h.failures-1, 4)))
+	h.isPeerReported = false
+	h.suspectUntil = now.Add(min(maxSuspectTime, minSuspectTime<<min(h.failures-1, 4)))
 	return true
 }
 
-// IsInService says whether a target is on the list and not leaving.
+// IsInService reports whether a target is listed and not draining.
 func (f *Fleet) IsInService(id string) bool {
-	n, ok := f.nodes[id]
-	return ok && !n.Draining
+	ts, ok := f.targets[id]
+	return ok && !ts.Draining
 }
 
-// HeardSince says whether a target has sent something after a time.
+// HeardSince reports whether a target has sent something after a time.
 func (f *Fleet) HeardSince(id string, t time.Time) bool {
-	n, ok := f.nodes[id]
-	return ok && n.health.heard.After(t)
+	ts, ok := f.targets[id]
+	return ok && ts.health.lastReceived.After(t)
 }
 
-// hearsayAfter is how long a target must have been silent here for a peer's word to make it suspect. A target that works
-// sends something every 20 ms to each gateway that has a request there; one that is cut off from the peer alone is heard here.
-const hearsayAfter = 150 * time.Millisecond
+// minSilenceForPeerReport is how long a target must have been silent at this gateway for a peer's report to
+// make it suspect. A working target sends something every 20 ms to each gateway that has a request there, so
+// one that only the peer cannot reach is still active here.
+const minSilenceForPeerReport = 150 * time.Millisecond
 
-// warned takes in that a target has failed a peer, so that not every gateway has to find out by a request of its own.
-func (f *Fleet) warned(now time.Time, id string) {
-	n, ok := f.nodes[id]
+// applyPeerSuspicion records that a target has failed a peer, so that not every gateway needs a failed
+// request of its own to detect it.
+func (f *Fleet) applyPeerSuspicion(now time.Time, id string) {
+	ts, ok := f.targets[id]
 	if !f.opts.Off.Allows(policy.PeerWord) || !ok {
 		return
 	}
-	if n.health.state(now) != healthy || now.Sub(n.health.heard) < hearsayAfter {
+	if ts.health.state(now) != healthy || now.Sub(ts.health.lastReceived) < minSilenceForPeerReport {
 		return
 	}
-	n.health.failures, n.health.hearsay = 1, true
-	n.health.until = now.Add(suspectBase)
+	ts.health.failures, ts.health.isPeerReported = 1, true
+	ts.health.suspectUntil = now.Add(minSuspectTime)
 }
 
-// suspects are the targets that have failed this gateway. What it only has by a peer's word it does not tell: words would go
-// round for ever.
-func (f *Fleet) suspects(now time.Time) []string {
+// ownSuspects returns the targets that have failed this gateway. Suspicions reported by peers are left out:
+// gateways would forward them to each other for ever.
+func (f *Fleet) ownSuspects(now time.Time) []string {
 	var ids []string
-	for id, n := range f.nodes {
-		if n.health.state(now) == suspect && !n.health.hearsay {
+	for id, ts := range f.targets {
+		if ts.health.state(now) == suspect && !ts.health.isPeerReported {
 			ids = append(ids, id)
 		}
 	}
@@ -132,46 +135,47 @@
 	return ids
 }
 
-// queueWait is how long a request may wait in a target's queue for each full set of slots that is
-// before it, while it is not known how long requests hold one.
-const queueWait = time.Second
+// defaultHoldTime is how long a request may wait in a target's queue for each full set of slots ahead of it,
+// until it is known how long requests hold a slot.
+const defaultHoldTime = time.Second
 
-// queueSlack is how much longer requests may hold their slots than they do on average.
-const queueSlack = 1.4
+// holdTimeMargin is the factor by which requests may hold their slots longer than on average.
+const holdTimeMargin = 1.4
 
-// QueueWait is how long a request at a target may have to wait for a slot before it gets its first
-// byte, by the loads that are known.
+// QueueWait is how long a request at a target may have to wait for a slot before it gets its first byte, by
+// the known loads.
 func (f *Fleet) QueueWait(id string) time.Duration {
-	n, ok := f.nodes[id]
+	ts, ok := f.targets[id]
 	if !ok {
 		return 0
 	}
-	each := queueWait
-	if hold := f.holds[n.Service]; hold > 0 {
-		each = time.Duration(queueSlack * float64(hold))
+	roundTime := defaultHoldTime
+	if hold := f.holdTimes[ts.Service]; hold > 0 {
+		roundTime = time.Duration(holdTimeMargin * float64(hold))
 	}
-	waiting := max(0, -n.room())
-	return each * time.Duration(waiting) / time.Duration(n.Slots)
+	waiting := max(0, -ts.freeSlots())
+	return roundTime * time.Duration(waiting) / time.Duration(ts.Slots)
 }
 
-// IsIdleSince says whether a target has sent nothing to anybody here since a request was sent
-// to it at that time, for longer than a working target ever keeps silent. In a large system a gateway
-// has few requests at each target, so that a queue there looks like silence.
+// IsIdleSince reports whether a target has sent nothing to any request of this gateway since a request was
+// sent to it at that time, for longer than a working target ever stays silent. In a large system a gateway
+// has few requests at each target, so waiting in a queue there looks like silence; QueueWait is added for
+// that.
 func (f *Fleet) IsIdleSince(now, sent time.Time, id string) bool {
-	n, ok := f.nodes[id]
+	ts, ok := f.targets[id]
 	if !ok {
 		return false
 	}
-	last := sent
-	if n.health.heard.After(last) {
-		last = n.health.heard
+	lastActivity := sent
+	if ts.health.lastReceived.After(lastActivity) {
+		lastActivity = ts.health.lastReceived
 	}
 	if !f.opts.Off.Allows(policy.Silence) {
 		return false
 	}
-	limit := f.IdleLimit(n.Service)
-	if n.health.hearsay {
-		limit /= 2 // two have noticed it
+	limit := f.IdleLimit(ts.Service)
+	if ts.health.isPeerReported {
+		limit /= 2 // two gateways have observed it
 	}
-	return now.Sub(last) > limit+f.QueueWait(id)
+	return now.Sub(lastActivity) > limit+f.QueueWait(id)
 }
--- a/core/fleet/pace.go
+++ b/core/fleet/pace.go
@@ -7,57 +7,60 @@
 )
 
 const (
-	// paceWeight is the weight of a new observation in the means of how a service answers and how long its requests hold a
-	// slot: they follow a change within some dozen events or requests.
-	paceWeight = 0.05
-	// silentGaps and silentFirsts are how many times longer than usual the next event, or the first one, may take before a
-	// target that sends nothing else either counts as silent. Engines that work on long prompts or many requests pause for
-	// several events; five times slower ones still count as working.
-	silentGaps   = 12
-	silentFirsts = 4
-	// leastSilence and mostSilence bound what is learned: a lost packet is sent again after 200 ms, and callers leave after two
-	// seconds without an event.
-	leastSilence = 300 * time.Millisecond
-	mostSilence  = 1800 * time.Millisecond
+	// meanWeight is the weight of a new observation in the mean event times and slot hold times of a service.
+	// The means follow a change within some dozen events or requests.
+	meanWeight = 0.05
+	// silenceGapFactor and silenceFirstEventFactor are how many times longer than usual the next event, or
+	// the first one, may take before a target that sends nothing else counts as silent. Engines that process
+	// long prompts or many requests pause for several events; engines that are five times slower still count
+	// as working.
+	silenceGapFactor        = 12
+	silenceFirstEventFactor = 4
+	// minSilenceLimit and maxSilenceLimit bound the derived limit: a lost packet is retransmitted after 200
+	// ms, and callers leave after two seconds without an event.
+	minSilenceLimit = 300 * time.Millisecond
+	maxSilenceLimit = 1800 * time.Millisecond
 )
 
-// pace is how a service answers streams.
-type pace struct {
-	first time.Duration // from a request to its first event, where it had not to wait; 0 is not known
-	gap   time.Duration // between two events; 0 is not known
+// eventTiming holds the mean times of a service's streams.
+type eventTiming struct {
+	firstEvent time.Duration // from a request to its first event, if it did not queue; 0 if unknown
+	eventGap   time.Duration // between two events; 0 if unknown
 }
 
-// learn takes an observation into a mean; 0 is a mean without any.
-func learn(mean *time.Duration, d time.Duration) {
+// updateMean adds an observation to a mean; a mean of 0 has none yet.
+func updateMean(mean *time.Duration, d time.Duration) {
 	if *mean == 0 {
 		*mean = d
 		return
 	}
-	*mean += time.Duration(paceWeight * float64(d-*mean))
+	*mean += time.Duration(meanWeight * float64(d-*mean))
 }
 
-// FirstEvent notes how long a stream of a service took to its first event.
+// FirstEvent records the time that a stream of a service took to its first event.
 func (f *Fleet) FirstEvent(service string, took time.Duration) {
-	p := f.paces[service]
-	learn(&p.first, took)
-	f.paces[service] = p
+	p := f.timings[service]
+	updateMean(&p.firstEvent, took)
+	f.timings[service] = p
 }
 
-// NextEvent notes the pause between two events of a stream.
+// NextEvent records the time between two events of a stream.
 func (f *Fleet) NextEvent(service string, pause time.Duration) {
-	p := f.paces[service]
-	learn(&p.gap, pause)
-	f.paces[service] = p
+	p := f.timings[service]
+	updateMean(&p.eventGap, pause)
+	f.timings[service] = p
 }
 
-// IdleLimit is how long a target of a service that has work may send nothing at all before it is suspect.
+// IdleLimit is how long a target of a service may send nothing while it has requests, before it becomes
+// suspect.
 //
-// What goes wrong with one time for all: engines with steps of 80 ms send an event every half a second and would be
-// suspect all the time; where events come every 20 ms a dark target gets requests for longer than need be.
+// A single limit for all services does not work: engines with steps of 80 ms send an event every half second
+// and would always be suspect, and where events come every 20 ms a dead target would get requests for longer
+// than necessary.
 func (f *Fleet) IdleLimit(service string) time.Duration {
-	p := f.paces[service]
-	if p.first == 0 || p.gap == 0 || !f.opts.Off.Allows(policy.LearnedSilence) {
-		return silenceLimit
+	p := f.timings[service]
+	if p.firstEvent == 0 || p.eventGap == 0 || !f.opts.Off.Allows(policy.LearnedSilence) {
+		return defaultSilenceLimit
 	}
-	return min(mostSilence, max(leastSilence, silentGaps*p.gap, silentFirsts*p.first))
+	return min(maxSilenceLimit, max(minSilenceLimit, silenceGapFactor*p.eventGap, silenceFirstEventFactor*p.firstEvent))
 }
--- a/core/fleet/peers_test.go
+++ b/core/fleet/peers_test.go
@@ -10,10 +10,10 @@
 	"arbutusramp/core/structs"
 )
 
-// What is kept of the peers beside their last words, so that a report costs little among many, is always what the words themselves
-// say: who has batch items where, the sums of loads, and nobody who has been silent for longer than a word counts. So are the targets at
-// which this gateway has items.
-func TestWhatIsKeptOfPeersAgreesWithTheirWords(t *testing.T) {
+// The state derived from peers' reports, which keeps reports cheap in a large fleet, always matches the
+// reports themselves: which peer has batch items at which target, the sums of loads, and no expired peers.
+// The same holds for the set of targets at which this gateway has items.
+func TestDerivedPeerStateMatchesReports(t *testing.T) {
 	const peers, targets, steps = 9, 5, 4000
 	rng := rand.New(rand.NewPCG(1, 2))
 	f := New(Options{Self: "self", PeerTTL: time.Second})
@@ -39,50 +39,51 @@
 			}
 			f.ApplyReport(now, Peer(fmt.Sprint(rng.IntN(peers))), Report{Loads: loads})
 		}
-		checkKept(t, f, now, step)
+		checkDerivedState(t, f, now, step)
 	}
 }
 
-func checkKept(t *testing.T, f *Fleet, now time.Time, step int) {
+func checkDerivedState(t *testing.T, f *Fleet, now time.Time, step int) {
 	t.Helper()
-	f.expire(now)
+	f.expirePeers(now)
 	for name, p := range f.peers {
-		if now.Sub(p.at) > f.opts.PeerTTL {
-			t.Fatalf("step %d: peer %s counts, silent for %v", step, name, now.Sub(p.at))
+		if now.Sub(p.lastSeen) > f.opts.PeerTTL {
+			t.Fatalf("step %d: peer %s still counts after a silence of %v", step, name, now.Sub(p.lastSeen))
 		}
 	}
-	for id := range f.holding {
-		if f.nodes[id] == nil {
-			t.Fatalf("step %d: target %s, which is gone, is said to have items of this gateway", step, id)
+	for id := range f.withOwnBatch {
+		if f.targets[id] == nil {
+			t.Fatalf("step %d: removed target %s is listed with items of this gateway", step, id)
 		}
 	}
-	for id, n := range f.nodes {
-		if got, want := f.holding[id] == n, n.own.Batch > 0; got != want {
-			t.Fatalf("step %d: target %s has %d items of this gateway, kept: %v", step, id, n.own.Batch, got)
+	for id, ts := range f.targets {
+		if got, want := f.withOwnBatch[id] == ts, ts.ownLoad.Batch > 0; got != want {
+			t.Fatalf("step %d: target %s has %d items of this gateway, listed: %v", step, id, ts.ownLoad.Batch, got)
 		}
 		var sum Load
 		holders := 0
 		for name, p := range f.peers {
-			sum.plus(p.Loads[id])
-			if items := p.Loads[id].Batch; items != n.batchOf[name] {
-				t.Fatalf("step %d: peer %s has %d items at %s, %d are kept", step, name, items, id, n.batchOf[name])
+			sum.addLoad(p.Loads[id])
+			if items := p.Loads[id].Batch; items != ts.peerBatch[name] {
+				t.Fatalf("step %d: peer %s has %d items at %s, %d are recorded", step, name, items, id, ts.peerBatch[name])
 			} else if items > 0 {
 				holders++
 			}
 		}
-		if sum != n.peers || holders != len(n.batchOf) {
-			t.Fatalf("step %d: target %s has %+v of %d holders, %+v of %d are kept", step, id, sum, holders, n.peers, len(n.batchOf))
+		if sum != ts.peerLoad || holders != len(ts.peerBatch) {
+			t.Fatalf("step %d: target %s has %+v of %d peers, %+v of %d are recorded", step, id, sum, holders, ts.peerLoad, len(ts.peerBatch))
 		}
 	}
 }
 
-// Guards against peers that count as gone although others still hear them, and against loads of peers that are known to be idle.
-func TestSignsOfLifeThatOthersPassOn(t *testing.T) {
+// Guards against peers that expire although other gateways still receive their reports, and against counting
+// loads of idle peers.
+func TestForwardedSignsOfLife(t *testing.T) {
 	const ttl = time.Second
 	f := New(Options{Self: "self", PeerTTL: ttl})
 	f.Put(serving.Target{ID: "t", Service: "s", Slots: 1})
 	now := time.UnixMilli(0)
-	hasRoom := func() bool {
+	hasFreeSlot := func() bool {
 		_, ok := f.PickBatch(now, "s", nil)
 		return ok
 	}
@@ -90,17 +91,17 @@
 	now = now.Add(800 * time.Millisecond)
 	f.NoteSign(now, "peer", Sign{Heard: now.Add(-100 * time.Millisecond)})
 	now = now.Add(800 * time.Millisecond)
-	if hasRoom() || f.Peers(now) != 1 {
-		t.Error("a peer that others hear counts as gone")
+	if hasFreeSlot() || f.Peers(now) != 1 {
+		t.Error("a peer with a recent forwarded sign of life has expired")
 	}
 	now = now.Add(200 * time.Millisecond)
-	if !hasRoom() || f.Peers(now) != 0 {
-		t.Error("a peer counts for longer than since it was heard")
+	if !hasFreeSlot() || f.Peers(now) != 0 {
+		t.Error("a peer counts for longer than its TTL after the last sign of life")
 	}
 	f.ApplyReport(now, "peer", Report{Loads: map[string]Load{"t": {Online: 1}}})
 	f.NoteSign(now, "peer", Sign{Heard: now, IsIdle: true})
-	if !hasRoom() || f.Peers(now) != 1 {
-		t.Error("the loads of a peer that is idle count")
+	if !hasFreeSlot() || f.Peers(now) != 1 {
+		t.Error("the loads of an idle peer count")
 	}
 	f.NoteSign(now, "new", Sign{Heard: now.Add(-ttl / 2), Contact: now})
 	f.NoteSign(now, "old", Sign{Heard: now.Add(-2 * ttl)})
@@ -109,9 +110,9 @@
 	}
 	now = now.Add(ttl/2 + time.Millisecond)
 	if n := f.Peers(now); n != 1 {
-		t.Errorf("%d peers once the new one has been silent for too long", n)
+		t.Errorf("%d peers after the expiry of the new one", n)
 	}
 	if !f.StoreDownForAll(now) {
-		t.Error("a peer that is gone counts as one that reaches the store")
+		t.Error("an expired peer counts as one that reaches the store")
 	}
 }
--- a/core/fleet/pick.go
+++ b/core/fleet/pick.go
@@ -10,76 +10,76 @@
 	"arbutusramp/core/serving"
 )
 
-// candidate is a target under consideration.
+// candidate is a target considered for a request.
 type candidate struct {
-	node *node
-	load Load
-	near bool
+	target       *targetState
+	load         Load
+	isSameDomain bool
 }
 
-func (c candidate) room() int { return c.node.room() }
+func (c candidate) freeSlots() int { return c.target.freeSlots() }
 
-// candidates returns the targets of a service that may get a request, in no order.
-func (f *Fleet) candidates(now time.Time, service string, tried []string, usable func(*node) bool) []candidate {
-	f.expire(now)
+// candidates returns the targets of a service that may get a request, in no particular order.
+func (f *Fleet) candidates(now time.Time, service string, tried []string, isUsable func(*targetState) bool) []candidate {
+	f.expirePeers(now)
 	var list []candidate
-	for _, n := range f.nodes {
-		if n.Service != service || n.Draining || slices.Contains(tried, n.ID) || !usable(n) {
+	for _, ts := range f.targets {
+		if ts.Service != service || ts.Draining || slices.Contains(tried, ts.ID) || !isUsable(ts) {
 			continue
 		}
-		list = append(list, candidate{node: n, load: n.load(), near: n.Domain == f.opts.Domain && f.opts.Off.Allows(policy.OwnDomain)})
+		list = append(list, candidate{target: ts, load: ts.totalLoad(), isSameDomain: ts.Domain == f.opts.Domain && f.opts.Off.Allows(policy.OwnDomain)})
 	}
 	return list
 }
 
-// Choice is a target with what spoke for it.
+// Choice is the chosen target with the reason for the choice.
 type Choice struct {
 	Target serving.Target
 	Load   Load // of all gateways, before the request
-	Peers  int  // live peers whose loads are in it
+	Peers  int  // live peers whose loads are included
 	Why    string
 }
 
-// String is the choice as it stands in log lines.
+// String formats the choice for log lines.
 func (c Choice) String() string {
 	return fmt.Sprintf("%s %s online=%d batch=%d slots=%d peers=%d", c.Target.ID, c.Why, c.Load.Online, c.Load.Batch, c.Target.Slots, c.Peers)
 }
 
 func (f *Fleet) choice(c candidate, why string) Choice {
-	return Choice{Target: c.node.Target, Load: c.load, Peers: len(f.peers), Why: why}
+	return Choice{Target: c.target.Target, Load: c.load, Peers: len(f.peers), Why: why}
 }
 
-// PickOnline chooses the target for an online request; ok is false when no target can be used.
-// Healthy targets go first, then those on probation, then, as a last resort, any that are listed.
+// PickOnline chooses the target for an online request; ok is false when there is no candidate. Healthy
+// targets are preferred, then those on probation, and as a last resort any listed target.
 func (f *Fleet) PickOnline(now time.Time, service string, tried []string) (c Choice, ok bool) {
 	stages := []struct {
-		usable func(*node) bool
-		note   string
+		isUsable func(*targetState) bool
+		note     string
 	}{
-		{func(n *node) bool { return n.health.state(now) == healthy }, ""},
-		{func(n *node) bool { return n.health.state(now) == probation }, " on probation"},
-		{func(n *node) bool { return true }, " though suspect"},
+		{func(ts *targetState) bool { return ts.health.state(now) == healthy }, ""},
+		{func(ts *targetState) bool { return ts.health.state(now) == probation }, " on probation"},
+		{func(ts *targetState) bool { return true }, " though suspect"},
 	}
 	for _, stage := range stages {
-		list := f.candidates(now, service, tried, stage.usable)
+		list := f.candidates(now, service, tried, stage.isUsable)
 		if len(list) == 0 {
 			continue
 		}
-		best := best(list)
-		return f.choice(best, tierNames[best.tier()]+stage.note), true
+		chosen := bestCandidate(list)
+		return f.choice(chosen, tierNames[chosen.tier()]+stage.note), true
 	}
 	return Choice{}, false
 }
 
-// best prefers a free slot, then a target whose batch items can make way, then the shortest
-// queue. Among equals the own failure domain wins: bytes between domains cost.
-func best(list []candidate) candidate {
+// bestCandidate prefers a free slot, then a target with preemptible batch items, then the shortest queue.
+// Among equal targets it prefers the gateway's own failure domain, because traffic between domains is costly.
+func bestCandidate(list []candidate) candidate {
 	return slices.MinFunc(list, func(a, b candidate) int {
 		return cmp.Or(
 			cmp.Compare(a.tier(), b.tier()),
 			cmp.Compare(a.cost(), b.cost()),
-			cmp.Compare(a.node.spread, b.node.spread),
-			cmp.Compare(a.node.ID, b.node.ID),
+			cmp.Compare(a.target.tieBreak, b.target.tieBreak),
+			cmp.Compare(a.target.ID, b.target.ID),
 		)
 	})
 }
@@ -91,33 +91,33 @@
 	tierQueue
 )
 
-// tierNames say in log lines why a target was chosen.
+// tierNames give the reason for a choice in log lines.
 var tierNames = [...]string{tierFree: "free slot", tierPreempt: "batch makes way", tierQueue: "shortest queue"}
 
 func (c candidate) tier() int {
 	switch {
-	case c.room() > 0:
+	case c.freeSlots() > 0:
 		return tierFree
-	case c.load.Online < c.node.Slots:
+	case c.load.Online < c.target.Slots:
 		return tierPreempt
 	default:
 		return tierQueue
 	}
 }
 
-// nearBonus is how many more requests a target in the own failure domain may have than one
-// elsewhere and still be preferred.
-const nearBonus = 2
+// domainCostBonus is how many more requests a target in the gateway's own failure domain may have than one in
+// another domain and still be preferred.
+const domainCostBonus = 2
 
-// cost is the load in requests. Batch items count in full where a slot is free, since they hold
-// memory and step time; where a target is full they are cut off anyway.
+// cost is the load in requests. Where a slot is free, batch items count in full, because they use memory and
+// step time; at a full target they are preempted anyway.
 func (c candidate) cost() int {
 	cost := c.load.Online
 	if c.tier() == tierFree {
 		cost = c.load.total()
 	}
-	if !c.near {
-		cost += nearBonus
+	if !c.isSameDomain {
+		cost += domainCostBonus
 	}
 	return cost
 }
--- a/core/fleet/wait_test.go
+++ b/core/fleet/wait_test.go
@@ -17,9 +17,9 @@
 	}{
 		{"all free", 0, 0, 0},
 		{"a slot is free", 3, 0, 0},
-		{"batch makes way", 3, 1, 0},
-		{"the first that waits", 4, 0, hold / 4},
-		{"three wait before it", 7, 0, hold},
+		{"batch items can be preempted", 3, 1, 0},
+		{"first in the queue", 4, 0, hold / 4},
+		{"three requests ahead in the queue", 7, 0, hold},
 	}
 	for _, c := range cases {
 		f := testFleet("self", 1)
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestAProspectIsNotGuessed(t *testing.T) {
+func TestProspectWaitIsZeroWhenUnknown(t *testing.T) {
 	f := testFleet("self", 0)
 	if got := f.Prospect(start, "llm").Wait; got != 0 {
 		t.Errorf("without a target: %v", got)
@@ -40,29 +40,30 @@
 	f.Put(target(0))
 	begin(f, "t0", structs.ClassOnline, testSlots)
 	if got := f.Prospect(start, "llm").Wait; got != 0 {
-		t.Errorf("before it is known how long requests hold a slot: %v", got)
+		t.Errorf("with an unknown hold time: %v", got)
 	}
 }
 
-func TestHeldFollowsAChange(t *testing.T) {
+func TestHoldTimeFollowsAChange(t *testing.T) {
 	f := New(Options{})
 	f.Held("s", time.Second)
 	for range 100 {
 		f.Held("s", 2*time.Second)
 	}
-	if got := f.holds["s"]; got < 1900*time.Millisecond || got > 2*time.Second {
+	if got := f.holdTimes["s"]; got < 1900*time.Millisecond || got > 2*time.Second {
 		t.Errorf("%v", got)
 	}
 }
 
-// Each gateway starts its part of what all targets can do, and no more: what all together start must fit.
-func TestPaceIsThisGatewaysPart(t *testing.T) {
+// Each gateway starts its share of the capacity of all targets, so that the starts of all gateways together
+// fit.
+func TestPaceIsThisGatewaysShare(t *testing.T) {
 	const hold = 500 * time.Millisecond
 	f := testFleet("self", 3)
 	f.Held("llm", hold)
 	pace := func() float64 { return f.Prospect(start, "llm").Pace }
 	if got, want := pace(), 3*testSlots/hold.Seconds(); got != want {
-		t.Errorf("alone: %v a second, want %v", got, want)
+		t.Errorf("without peers: %v per second, want %v", got, want)
 	}
 	f.ApplyReport(start, "peer", Report{})
 	f.Failed(start, "t0")
@@ -70,6 +71,6 @@
 	d.Draining = true
 	f.Put(d)
 	if got, want := pace(), testSlots/hold.Seconds()/2; got != want {
-		t.Errorf("with a peer and one target left: %v a second, want %v", got, want)
+		t.Errorf("with a peer and one remaining target: %v per second, want %v", got, want)
 	}
 }
