--- a/core/quota/compare_test.go
+++ b/core/quota/compare_test.go
@@ -8,104 +8,104 @@
 )
 
 var (
-	simSeeds   = flag.Int("quota.seeds", 25, "simulated fleets of each trouble")
-	simCompare = flag.Bool("quota.compare", false, "print what other ways would do")
+	simSeeds   = flag.Int("quota.seeds", 25, "simulated fleets per kind of fault")
+	simCompare = flag.Bool("quota.compare", false, "compare with alternative strategies")
 )
 
 const (
-	simLength = 20 * time.Second
-	// mostRefused bounds requests within the limit that are refused, as a share: in calm times and in trouble.
-	mostRefusedCalm    = 0.002
-	mostRefusedTrouble = 0.02
-	simWorkers         = 8
+	simDuration = 20 * time.Second
+	// Upper bounds of the share of entitled requests that are rejected, without faults and with faults.
+	maxRejectedWithoutFaults = 0.002
+	maxRejectedWithFaults    = 0.02
+	simWorkers               = 8
 )
 
-// tally sums the results of many runs.
-type tally struct {
-	owed, refused, messages, broken int
-	excess                          float64
-	worstSeed                       uint64
+// runTotals sums the results of many runs.
+type runTotals struct {
+	entitled, rejected, messages, overBound int
+	excess                                  float64
+	worstSeed                               uint64
 }
 
-func (t *tally) add(seed uint64, r simResult) {
-	t.owed += r.owed
-	t.refused += r.refused
+func (t *runTotals) add(seed uint64, r simResult) {
+	t.entitled += r.entitled
+	t.rejected += r.rejected
 	t.messages += r.messages
 	if r.excess > 0 {
-		t.broken++
+		t.overBound++
 	}
 	if r.excess > t.excess || t.worstSeed == 0 {
 		t.excess, t.worstSeed = r.excess, seed
 	}
 }
 
-func (t *tally) refusedShare() float64 { return float64(t.refused) / float64(t.owed) }
+func (t *runTotals) rejectedShare() float64 { return float64(t.rejected) / float64(t.entitled) }
 
-// play runs the seeds from 1 on, some at a time.
-func play(seeds int, kind trouble, build func(*simulation) strategy) tally {
+// runSeeds runs the seeds from 1 on, several at a time.
+func runSeeds(seeds int, kind faultKind, build func(*simulation) strategy) runTotals {
 	results := make([]simResult, seeds)
 	var wg sync.WaitGroup
 	next := sync.Mutex{}
-	done := 0
+	started := 0
 	for range simWorkers {
 		wg.Go(func() {
 			for {
 				next.Lock()
-				i := done
-				done++
+				i := started
+				started++
 				next.Unlock()
 				if i >= seeds {
 					return
 				}
-				results[i] = newSimulation(uint64(i+1), kind, build).run(simLength)
+				results[i] = newSimulation(uint64(i+1), kind, build).run(simDuration)
 			}
 		})
 	}
 	wg.Wait()
-	var t tally
+	var t runTotals
 	for i, r := range results {
 		t.add(uint64(i+1), r)
 	}
 	return t
 }
 
-// Over-admission: uneven and loud load on a fleet whose gateways are cut off, killed and restarted stays within the bound, and callers
-// within their quota are served.
-func TestQuotasHoldOverAllGateways(t *testing.T) {
-	var troubled tally
-	for _, kind := range allTroubles() {
-		sum := play(*simSeeds, kind, newReported)
-		t.Logf("%-14s refused %.4f of those within the limit, most in a window %+.0f beyond the bound (seed %d), %d runs over it", kind, sum.refusedShare(), sum.excess, sum.worstSeed, sum.broken)
-		if sum.broken > 0 {
-			t.Errorf("%s: %d runs over the bound, the worst by %.0f with seed %d", kind, sum.broken, sum.excess, sum.worstSeed)
+// Guards against over-admission: under uneven load and bursts, a fleet whose gateways are isolated, killed
+// and restarted stays within the bound, and callers within their quota are served.
+func TestQuotasHoldAcrossGateways(t *testing.T) {
+	var withFaults runTotals
+	for _, kind := range allFaultKinds() {
+		sum := runSeeds(*simSeeds, kind, newReportedCounts)
+		t.Logf("%-14s rejected %.4f of the requests within the limit, most in a window %+.0f beyond the bound (seed %d), %d runs over it", kind, sum.rejectedShare(), sum.excess, sum.worstSeed, sum.overBound)
+		if sum.overBound > 0 {
+			t.Errorf("%s: %d runs over the bound, the worst by %.0f with seed %d", kind, sum.overBound, sum.excess, sum.worstSeed)
 		}
-		if kind == calm && sum.refusedShare() > mostRefusedCalm {
-			t.Errorf("%s: %.4f of the requests within the limit are refused, at most %.3f may be", kind, sum.refusedShare(), mostRefusedCalm)
+		if kind == noFault && sum.rejectedShare() > maxRejectedWithoutFaults {
+			t.Errorf("%s: %.4f of the requests within the limit are rejected, want at most %.3f", kind, sum.rejectedShare(), maxRejectedWithoutFaults)
 		}
-		if kind != calm {
-			troubled.owed += sum.owed
-			troubled.refused += sum.refused
+		if kind != noFault {
+			withFaults.entitled += sum.entitled
+			withFaults.rejected += sum.rejected
 		}
 	}
-	if troubled.refusedShare() > mostRefusedTrouble {
-		t.Errorf("in trouble %.4f of the requests within the limit are refused, at most %.3f may be", troubled.refusedShare(), mostRefusedTrouble)
+	if withFaults.rejectedShare() > maxRejectedWithFaults {
+		t.Errorf("with faults %.4f of the requests within the limit are rejected, want at most %.3f", withFaults.rejectedShare(), maxRejectedWithFaults)
 	}
 }
 
-// The ways that were weighed, side by side: go test -run Compare -quota.compare -v.
-func TestCompareWays(t *testing.T) {
+// Compares the product with alternative strategies: go test -run Compare -quota.compare -v.
+func TestCompareStrategies(t *testing.T) {
 	if !*simCompare {
 		t.Skip("only with -quota.compare")
 	}
-	ways := []struct {
+	strategies := []struct {
 		name  string
 		build func(*simulation) strategy
-	}{{"reported counts", newReported}, {"without a smaller share", newTrusting}, {"fixed share", newFixedShare}, {"lending owner", newLender}}
-	for _, way := range ways {
-		for _, kind := range allTroubles() {
-			sum := play(*simSeeds, kind, way.build)
-			t.Logf("%-24s %-14s refused %.4f, worst window %+5.0f, %d of %d runs over the bound, %d messages a run",
-				way.name, kind, sum.refusedShare(), sum.excess, sum.broken, *simSeeds, sum.messages / *simSeeds)
+	}{{"reported counts", newReportedCounts}, {"without a smaller share", newFullShare}, {"fixed share", newFixedShare}, {"lending owner", newLendingOwner}}
+	for _, variant := range strategies {
+		for _, kind := range allFaultKinds() {
+			sum := runSeeds(*simSeeds, kind, variant.build)
+			t.Logf("%-24s %-14s rejected %.4f, worst window %+5.0f, %d of %d runs over the bound, %d messages per run",
+				variant.name, kind, sum.rejectedShare(), sum.excess, sum.overBound, *simSeeds, sum.messages / *simSeeds)
 		}
 	}
 }
--- a/core/quota/peers.go
+++ b/core/quota/peers.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Peer names the address of another gateway.
+// Peer is the address of another gateway.
 type Peer string
 
 // Count is how many requests of a workspace a gateway has admitted since its start.
@@ -11,40 +11,44 @@
 	Total     int64
 }
 
-// Report is what a gateway tells its peers: the counts that have changed of late.
+// Report is the message that a gateway sends its peers: the counts that have changed recently.
 type Report struct {
-	Start string // names the start of the process; counts begin anew with each
-	// IsFirst says that this is among the first reports of that start, so that its counts began under the eyes of its peers.
+	Start string // identifies the start of the process; counts begin at 0 with each
+	// IsFirst reports that this is among the first reports after that start, so that its peers have seen its
+	// counts from 0 on.
 	IsFirst bool
 	Counts  []Count
-	// Delay is how much longer than usual the next word of the peer may take, since others pass it on.
+	// Delay is how much longer than usual the next report of the peer may take, because other gateways
+	// forward it.
 	Delay time.Duration
 }
 
-// peer is what is known of another gateway.
+// peer is the known state of another gateway.
 type peer struct {
-	start   string
-	heard   time.Time
-	isNew   bool // heard from its start on
-	totals  map[string]int64
-	isKnown bool // it has reported; otherwise only its address is known
-	delay   time.Duration
+	startID            string
+	lastSeen           time.Time
+	isTrackedFromStart bool // its reports have been received since its start
+	totals             map[string]int64
+	hasReported        bool // it has sent a report; otherwise only its address is known
+	forwardDelay       time.Duration
 }
 
-// isSilent says whether the word of the peer is missing.
-func (p *peer) isSilent(now time.Time) bool { return now.Sub(p.heard) > silentAfter+p.delay }
+// isSilent reports whether a report of the peer is overdue.
+func (p *peer) isSilent(now time.Time) bool {
+	return now.Sub(p.lastSeen) > peerSilenceLimit+p.forwardDelay
+}
 
-// AddPeer makes the address of a peer known that has not reported yet.
+// AddPeer adds a peer by its address, before its first report.
 func (l *Ledger) AddPeer(now time.Time, name Peer) {
 	if _, ok := l.peers[name]; !ok {
-		l.peers[name] = &peer{heard: now, totals: make(map[string]int64)}
+		l.peers[name] = &peer{lastSeen: now, totals: make(map[string]int64)}
 		l.nextExpiry = now
 	}
 }
 
-// Forget drops a peer that is known to have stopped: its part of the buckets falls to the others.
+// Forget drops a peer that is known to have stopped. The other gateways take over its share of the buckets.
 func (l *Ledger) Forget(now time.Time, name Peer) {
-	l.dropReserves()
+	l.clearReserves()
 	delete(l.peers, name)
 	l.nextExpiry = now
 }
@@ -53,115 +57,119 @@
 func (l *Ledger) debit(now time.Time, name string, n int64) {
 	if b, ok := l.buckets[name]; ok {
 		b.refill(now, l.share)
-		b.tokens = min(b.tokens-float64(n), b.size(l.share))
+		b.tokens = min(b.tokens-float64(n), b.capacity(l.share))
 	}
 }
 
-// Apply takes in the report of a peer.
+// Apply applies a report of a peer.
 func (l *Ledger) Apply(now time.Time, name Peer, r Report) {
 	p, ok := l.peers[name]
-	if !ok || !p.isKnown || p.start != r.Start {
-		if !r.IsFirst && now.Sub(l.began) < joinTime {
-			l.joinRunning()
+	if !ok || !p.hasReported || p.startID != r.Start {
+		if !r.IsFirst && now.Sub(l.startedAt) < joinWindow {
+			l.capInitialTokens()
 		}
-		p = &peer{start: r.Start, heard: now, isNew: r.IsFirst, isKnown: true, totals: make(map[string]int64)}
+		p = &peer{startID: r.Start, lastSeen: now, isTrackedFromStart: r.IsFirst, hasReported: true, totals: make(map[string]int64)}
 		l.peers[name] = p
 		l.nextExpiry = now
 	}
 	if p.isSilent(now) {
-		l.isBack(now, p)
+		l.resumePeer(now, p)
 	}
-	p.heard, p.delay = now, r.Delay
+	p.lastSeen, p.forwardDelay = now, r.Delay
 	for _, c := range r.Counts {
-		l.debit(now, c.Workspace, p.admitted(c))
+		l.debit(now, c.Workspace, p.newAdmissions(c))
 	}
 }
 
-// joinTime is how long after its own start a gateway takes peers that have run for long as proof that others were admitting before.
-const joinTime = time.Second
+// joinWindow is how long after its own start a gateway takes a peer that has been running for longer as proof
+// that others were admitting requests before.
+const joinWindow = time.Second
 
-// joinRunning takes in, once, that others were admitting requests before this process started: what is left in the buckets is not known
-// here, and the others may use it all.
-func (l *Ledger) joinRunning() {
-	if l.hasJoined {
+// capInitialTokens limits each bucket to one token, once, because others were admitting requests before this
+// process started. What is left in the buckets is unknown here, and the others may use all of it.
+func (l *Ledger) capInitialTokens() {
+	if l.hasRunningPeers {
 		return
 	}
-	l.hasJoined = true
+	l.hasRunningPeers = true
 	for _, b := range l.buckets {
 		b.tokens = min(b.tokens, 1)
 	}
 }
 
-// shortSilence is how long a peer is silent whose reports were lost. One that is silent for longer was cut off, and used what was left
-// to it.
-const shortSilence = time.Second
+// maxLossSilence is how long a peer can be silent because its reports were lost. A peer that is silent for
+// longer was cut off, and has used the share reserved for it.
+const maxLossSilence = time.Second
 
-// isBack takes in that a peer is heard again.
-func (l *Ledger) isBack(now time.Time, p *peer) {
-	if now.Sub(p.heard) > shortSilence {
-		l.dropReserves()
+// resumePeer handles the first report of a peer after a silence.
+func (l *Ledger) resumePeer(now time.Time, p *peer) {
+	if now.Sub(p.lastSeen) > maxLossSilence {
+		l.clearReserves()
 		clear(p.totals)
-		p.isNew = false
+		p.isTrackedFromStart = false
 	}
 	l.nextExpiry = now
 }
 
-// admitted is how many requests a peer has admitted since its last report; one where it is not known when the others were.
-func (p *peer) admitted(c Count) int64 {
+// newAdmissions is how many requests a peer has admitted since its last report. It is one if the time of the
+// other admissions is unknown.
+func (p *peer) newAdmissions(c Count) int64 {
 	last, ok := p.totals[c.Workspace]
 	p.totals[c.Workspace] = c.Total
-	if !ok && !p.isNew {
+	if !ok && !p.isTrackedFromStart {
 		return 1
 	}
 	return c.Total - last
 }
 
-// maxCounts bounds the counts in a report, which has to fit into a datagram. The rest follows in the next ones.
-const maxCounts = 200
+// maxCountsPerReport bounds the counts in a report, which must fit into a datagram. The rest follows in the
+// next reports.
+const maxCountsPerReport = 200
 
 // Counts returns the counts for this gateway's next report.
 func (l *Ledger) Counts() []Count {
 	var list []Count
 	for name, b := range l.buckets {
-		if len(list) == maxCounts {
+		if len(list) == maxCountsPerReport {
 			break
 		}
-		if b.unsent > 0 {
-			b.unsent--
+		if b.reportsLeft > 0 {
+			b.reportsLeft--
 			list = append(list, Count{Workspace: name, Total: b.admitted})
 		}
 	}
 	return list
 }
 
-// checkShare works out which part of the buckets this gateway may use: that of the gateways that hear each other among all
-// that may admit requests. A smaller share takes effect at once.
-func (l *Ledger) checkShare(now time.Time) {
+// updateShare computes the share of the buckets that this gateway may use: the number of gateways that
+// receive each other's reports, divided by the number of all that may admit requests. A smaller share takes
+// effect immediately.
+func (l *Ledger) updateShare(now time.Time) {
 	if now.Before(l.nextExpiry) {
 		return
 	}
-	heard, known := 1, 1
-	next := now.Add(silentAfter)
+	reachable, total := 1, 1
+	next := now.Add(peerSilenceLimit)
 	for name, p := range l.peers {
-		if now.Sub(p.heard) > l.opts.ClaimTTL {
+		if now.Sub(p.lastSeen) > l.opts.ClaimTTL {
 			delete(l.peers, name)
-			l.dropReserves()
+			l.clearReserves()
 			continue
 		}
-		known++
-		if p.isKnown && !p.isSilent(now) {
-			heard++
-			if at := p.heard.Add(silentAfter + p.delay); at.Before(next) {
+		total++
+		if p.hasReported && !p.isSilent(now) {
+			reachable++
+			if at := p.lastSeen.Add(peerSilenceLimit + p.forwardDelay); at.Before(next) {
 				next = at
 			}
 		}
 	}
 	l.nextExpiry = next
-	l.setShare(now, float64(heard)/float64(known))
+	l.setShare(now, float64(reachable)/float64(total))
 }
 
-// dropReserves takes in that silent peers may have used what was left to them.
-func (l *Ledger) dropReserves() {
+// clearReserves drops the reserves, because silent peers may have used them.
+func (l *Ledger) clearReserves() {
 	for _, b := range l.buckets {
 		b.reserve = 0
 	}
@@ -173,13 +181,13 @@
 	}
 	for _, b := range l.buckets {
 		b.refill(now, l.share)
-		b.split(l.share, share)
+		b.rebalance(l.share, share)
 	}
 	l.share = share
 }
 
-// Share is the part of the buckets that this gateway may use.
+// Share is the share of the buckets that this gateway may use, 0 to 1.
 func (l *Ledger) Share(now time.Time) float64 {
-	l.checkShare(now)
+	l.updateShare(now)
 	return l.share
 }
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -1,11 +1,14 @@
-// Package quota bounds the requests of workspaces over all gateways. It does no I/O; callers lock it and pass the time in.
+// Package quota limits the requests of workspaces across all gateways. It does no I/O; callers lock it and
+// pass the time in.
 //
-// Each gateway keeps a whole token bucket for every workspace and takes out of it what it admits itself and what its peers
-// report to have admitted. No request waits for another process. The report of an admission arrives some milliseconds late;
-// what peers admit meanwhile is a debt of the bucket and is paid before anything else is admitted.
+// Each gateway keeps a whole token bucket for every workspace. It takes out of it what it admits itself and
+// what its peers report to have admitted. No request waits for another process. The report of an admission
+// arrives some milliseconds late; what peers admit in the meantime is a debt of the bucket, which is repaid
+// before anything else is admitted.
 //
-// A gateway that does not hear some of its peers cannot know what they admit. It then uses the part of each bucket that falls
-// to those it hears, so that the sides of a partition together stay within one bucket.
+// A gateway that receives no reports from some of its peers does not know what they admit. It then uses only
+// the share of each bucket that belongs to itself and to the peers whose reports it receives, so that all
+// sides of a partition together stay within one bucket.
 package quota
 
 import (
@@ -15,18 +18,19 @@
 )
 
 const (
-	// headroomShare is the part of the tolerated excess that buckets hold in addition to the burst. Buckets of gateways and the
-	// clock of a caller never agree exactly, and a request within the limit must not be refused for that. The rest of the
-	// excess is left for admissions that peers have not heard of yet.
+	// headroomShare is the share of the tolerated excess that buckets hold in addition to the burst. Buckets
+	// of gateways and the clock of a caller never agree exactly, and that must not cause a request within the
+	// limit to be rejected. The rest of the excess is left for admissions that peers have not received yet.
 	headroomShare = 0.08
-	// initialShare is how full a bucket is when nothing is known of what was admitted before: after the start of this
+	// initialShare is how full a bucket is while earlier admissions are unknown: after the start of this
 	// process, or when a workspace gets its first limit.
 	initialShare = 0.6
-	// silentAfter is when the word of a peer is missing. Peers report at least five times a second; one whose report was lost
-	// is missed for a moment, which costs its part of the buckets for as long.
-	silentAfter = 230 * time.Millisecond
-	// reportTimes is how many reports in a row carry a changed count: datagrams get lost.
-	reportTimes = 3
+	// peerSilenceLimit is how long after its last report a peer counts as silent. Peers report at least five
+	// times a second. A peer whose report was lost counts as silent for a moment, and its share of the
+	// buckets is unavailable for as long.
+	peerSilenceLimit = 230 * time.Millisecond
+	// reportRepeats is how many consecutive reports carry a changed count, because datagrams can be lost.
+	reportRepeats = 3
 )
 
 // Options are the limits of the decisions.
@@ -37,7 +41,8 @@
 	Excess float64
 	// Slack is the tolerated excess in requests, in addition to Excess.
 	Slack float64
-	// ClaimTTL is how long a silent peer keeps its part of the buckets: by then it has stopped, or may not admit any more.
+	// ClaimTTL is how long a silent peer keeps its share of the buckets. After that it has stopped, or may
+	// not admit requests any more.
 	ClaimTTL time.Duration
 }
 
@@ -47,38 +52,38 @@
 	return headroomShare * (o.Excess*allowed + o.Slack)
 }
 
-// Ledger holds the buckets of one gateway.
+// Ledger holds the buckets of one gateway. It is not safe for concurrent use.
 type Ledger struct {
 	opts    Options
 	buckets map[string]*bucket
 	peers   map[Peer]*peer
-	// share is the part of each bucket that this gateway may use; see checkShare.
+	// share is the share of each bucket that this gateway may use; see updateShare.
 	share      float64
-	nextExpiry time.Time // before it no peer can have fallen silent
-	began      time.Time
-	// hasJoined says that peers were admitting requests before this process started.
-	hasJoined bool
-	// hasQuotas says that quotas were put in force before.
+	nextExpiry time.Time // before it no peer can become silent
+	startedAt  time.Time
+	// hasRunningPeers reports that peers were admitting requests before this process started.
+	hasRunningPeers bool
+	// hasQuotas reports that SetQuotas has been called before.
 	hasQuotas bool
 }
 
 // New returns a ledger without workspaces for a gateway that starts now.
 func New(now time.Time, o Options) *Ledger {
-	return &Ledger{opts: o, began: now, buckets: make(map[string]*bucket), peers: make(map[Peer]*peer), share: 1}
+	return &Ledger{opts: o, startedAt: now, buckets: make(map[string]*bucket), peers: make(map[Peer]*peer), share: 1}
 }
 
 // bucket is the state of one workspace.
 type bucket struct {
-	quota    workspace.Quota
-	headroom float64
-	tokens   float64 // negative while more has been admitted than was due
-	reserve  float64 // left to peers that are silent
-	at       time.Time
-	admitted int64 // by this gateway since its start, less what was given back
-	unsent   int   // reports that are still to carry admitted
+	quota       workspace.Quota
+	headroom    float64
+	tokens      float64 // negative while more has been admitted than was allowed
+	reserve     float64 // set aside for silent peers
+	refilledAt  time.Time
+	admitted    int64 // by this gateway since its start, less refunds
+	reportsLeft int   // number of reports that must still carry admitted
 }
 
-// SetQuotas puts the quotas of a configuration into force. Debts stay; what was admitted before counts under a new quota.
+// SetQuotas applies the quotas of a configuration. Debts remain; earlier admissions count under a new quota.
 func (l *Ledger) SetQuotas(now time.Time, list []workspace.Workspace) {
 	limited := make(map[string]bool, len(list))
 	for _, w := range list {
@@ -101,101 +106,102 @@
 func (l *Ledger) setQuota(now time.Time, name string, q workspace.Quota) {
 	b, ok := l.buckets[name]
 	if !ok {
-		b = &bucket{at: now}
+		b = &bucket{refilledAt: now}
 		l.buckets[name] = b
 	}
 	b.refill(now, l.share)
 	b.quota = q
 	b.headroom = l.opts.headroom(q)
 	if !ok {
-		b.tokens = initialShare * b.size(l.share)
+		b.tokens = initialShare * b.capacity(l.share)
 	}
-	if !ok && l.hasJoined && !l.hasQuotas {
+	if !ok && l.hasRunningPeers && !l.hasQuotas {
 		b.tokens = min(b.tokens, 1)
 	}
-	b.tokens = min(b.tokens, b.size(l.share))
+	b.tokens = min(b.tokens, b.capacity(l.share))
 	b.reserve = min(b.reserve, (1-l.share)*(q.Burst+b.headroom))
 }
 
-// size is how many tokens the bucket holds at a share. It holds one at least: a workspace with a small quota would otherwise
-// get nothing at a gateway that hears nobody.
-func (b *bucket) size(share float64) float64 {
+// capacity is how many tokens the bucket holds at a share. It is at least one: otherwise a workspace with a
+// small quota would get nothing at a gateway that receives no reports.
+func (b *bucket) capacity(share float64) float64 {
 	return max(1, share*(b.quota.Burst+b.headroom))
 }
 
 func (b *bucket) refill(now time.Time, share float64) {
-	passed := now.Sub(b.at).Seconds()
-	if passed <= 0 {
+	elapsed := now.Sub(b.refilledAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	due := passed * b.quota.PerSecond
-	b.tokens = min(b.size(share), b.tokens+share*due)
-	b.reserve = min((1-share)*(b.quota.Burst+b.headroom), b.reserve+(1-share)*due)
-	b.at = now
+	earned := elapsed * b.quota.PerSecond
+	b.tokens = min(b.capacity(share), b.tokens+share*earned)
+	b.reserve = min((1-share)*(b.quota.Burst+b.headroom), b.reserve+(1-share)*earned)
+	b.refilledAt = now
 }
 
-// split moves tokens between this gateway's side and the reserve as its share changes.
-func (b *bucket) split(from, to float64) {
+// rebalance moves tokens between this gateway's part and the reserve when its share changes.
+func (b *bucket) rebalance(from, to float64) {
 	switch {
 	case to < from && b.tokens > 0:
-		left := b.tokens * (1 - to/from)
-		b.tokens -= left
-		b.reserve += left
+		reserved := b.tokens * (1 - to/from)
+		b.tokens -= reserved
+		b.reserve += reserved
 	case to > from:
-		back := b.reserve * (to - from) / (1 - from)
-		b.reserve -= back
-		b.tokens += back
+		returned := b.reserve * (to - from) / (1 - from)
+		b.reserve -= returned
+		b.tokens += returned
 	}
-	b.tokens = min(b.tokens, b.size(to))
+	b.tokens = min(b.tokens, b.capacity(to))
 }
 
 // Decision is the outcome for one request.
 type Decision struct {
 	IsAdmitted bool
-	// RetryAfter is when allowance is due for a request that is not admitted.
+	// RetryAfter is when a request that is not admitted would be allowed.
 	RetryAfter time.Duration
-	// Tokens is what the bucket held before; 0 without a limit.
+	// Tokens is what the bucket held before the request; 0 without a limit.
 	Tokens float64
-	// Share is the part of the bucket that this gateway may use.
+	// Share is the share of the bucket that this gateway may use.
 	Share float64
-	// IsNearLimit says that little was left: the workspace asks for more than its quota allows in the long run.
+	// IsNearLimit reports that few tokens were left: the workspace's request rate is above its quota in the
+	// long run.
 	IsNearLimit bool
 }
 
-// nearLimitShare is how full a bucket is at most whose workspace is near its limit.
+// nearLimitShare is how full the bucket of a workspace near its limit is at most.
 const nearLimitShare = 0.25
 
-// Admit takes the allowance for one request of a workspace.
+// Admit takes a token for one request of a workspace. Workspaces without a limit are always admitted.
 func (l *Ledger) Admit(now time.Time, name string) Decision {
 	b, ok := l.buckets[name]
 	if !ok {
 		return Decision{IsAdmitted: true, Share: 1}
 	}
-	l.checkShare(now)
+	l.updateShare(now)
 	b.refill(now, l.share)
-	d := Decision{IsAdmitted: b.tokens >= 1, Tokens: b.tokens, Share: l.share, IsNearLimit: b.tokens < nearLimitShare*b.size(l.share)}
+	d := Decision{IsAdmitted: b.tokens >= 1, Tokens: b.tokens, Share: l.share, IsNearLimit: b.tokens < nearLimitShare*b.capacity(l.share)}
 	if !d.IsAdmitted {
 		d.RetryAfter = time.Duration((1 - b.tokens) / (l.share * b.quota.PerSecond) * float64(time.Second))
 		return d
 	}
-	b.count(1)
+	b.take(1)
 	return d
 }
 
-// Refund gives the allowance of a request back that no target has run.
+// Refund returns the token of a request that no target has run.
 func (l *Ledger) Refund(now time.Time, name string) {
 	if b, ok := l.buckets[name]; ok {
 		b.refill(now, l.share)
-		b.count(-1)
-		b.tokens = min(b.tokens, b.size(l.share))
+		b.take(-1)
+		b.tokens = min(b.tokens, b.capacity(l.share))
 	}
 }
 
-// count takes n admissions of this gateway out of the bucket.
-func (b *bucket) count(n int64) {
+// take removes the tokens of n admissions of this gateway from the bucket; a negative n returns them.
+func (b *bucket) take(n int64) {
 	b.tokens -= float64(n)
 	b.admitted += n
-	b.unsent = reportTimes
+	b.reportsLeft = reportRepeats
 }
 
 // Usage is the state of one workspace's bucket, for gauges and commands.
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -19,14 +19,14 @@
 	return []workspace.Workspace{{Name: name, Quota: workspace.Quota{PerSecond: perSecond, Burst: burst}}}
 }
 
-// newLedger returns one whose bucket of workspace w has filled up.
+// newLedger returns a ledger, and a time at which its bucket of workspace w is full.
 func newLedger() (*Ledger, time.Time) {
 	l := New(start, options())
 	l.SetQuotas(start, limited("w"))
 	return l, start.Add(time.Minute)
 }
 
-// admitAll admits until a request is rejected.
+// admitAll admits requests until one is rejected.
 func admitAll(l *Ledger, now time.Time) (admitted int, d Decision) {
 	for d = l.Admit(now, "w"); d.IsAdmitted; d = l.Admit(now, "w") {
 		admitted++
@@ -34,21 +34,21 @@
 	return admitted, d
 }
 
-func TestABucketHoldsItsBurstAndRefills(t *testing.T) {
+func TestBucketHoldsItsBurstAndRefills(t *testing.T) {
 	l, now := newLedger()
 	n, d := admitAll(l, now)
 	if headroom := headroomShare * (0.1*(perSecond*5+burst) + 20); n != burst+int(headroom) {
-		t.Errorf("%d requests at once", n)
+		t.Errorf("%d requests admitted in a burst", n)
 	}
 	if d.RetryAfter <= 0 || d.RetryAfter > time.Second/perSecond {
-		t.Errorf("come back after %v", d.RetryAfter)
+		t.Errorf("retry after %v", d.RetryAfter)
 	}
 	if d := l.Admit(now.Add(d.RetryAfter+time.Millisecond), "w"); !d.IsAdmitted {
-		t.Errorf("rejected when allowance is due: %+v", d)
+		t.Errorf("rejected after the retry time: %+v", d)
 	}
 }
 
-func TestWithoutAQuotaAllIsAdmitted(t *testing.T) {
+func TestAllAdmittedWithoutQuota(t *testing.T) {
 	l, now := newLedger()
 	for range 1000 {
 		if !l.Admit(now, "other").IsAdmitted {
@@ -60,31 +60,32 @@
 	}
 }
 
-func TestARefundedRequestDoesNotCount(t *testing.T) {
+func TestRefundedRequestIsNotCounted(t *testing.T) {
 	l, now := newLedger()
 	n, _ := admitAll(l, now)
 	l.Refund(now, "w")
 	if again, _ := admitAll(l, now); again != 1 {
-		t.Errorf("%d admitted after one of %d was given back", again, n)
+		t.Errorf("%d admitted after a refund of one of %d", again, n)
 	}
 	if c := l.Counts(); len(c) != 1 || c[0].Total != int64(n) {
 		t.Errorf("reports %v", c)
 	}
 }
 
-// Lost datagrams: a changed count is carried by some reports in a row, and the total makes good what was lost.
-func TestCountsAreReportedMoreThanOnce(t *testing.T) {
+// Guards against lost datagrams: several consecutive reports carry a changed count, and the total makes up
+// for lost ones.
+func TestCountsAreReportedRepeatedly(t *testing.T) {
 	a, now := newLedger()
 	b, _ := newLedger()
 	b.Apply(now, "a", Report{Start: "1", IsFirst: true})
 	a.Admit(now, "w")
 	a.Counts() // lost
 	a.Admit(now, "w")
-	for range reportTimes {
+	for range reportRepeats {
 		b.Apply(now, "a", Report{Start: "1", Counts: a.Counts()})
 	}
 	if len(a.Counts()) != 0 {
-		t.Error("a count is reported for ever")
+		t.Error("a count is reported too often")
 	}
 	left, _ := admitAll(b, now)
 	if full, _ := admitAll(fullLedger(now), now); left != full-2 {
@@ -100,16 +101,17 @@
 	return l
 }
 
-// Over-admission in a partition: who does not hear some peers leaves their part to them, at once and until they are heard again.
-func TestSilentPeersKeepTheirPart(t *testing.T) {
+// Guards against over-admission in a partition: a gateway leaves silent peers their share, immediately and
+// until it receives their reports again.
+func TestSilentPeersKeepTheirShare(t *testing.T) {
 	l, now := newLedger()
 	for _, p := range []Peer{"a", "b", "c"} {
 		l.Apply(now, p, Report{Start: "1", IsFirst: true})
 	}
 	if s := l.Share(now); s != 1 {
-		t.Fatalf("share %v while all are heard", s)
+		t.Fatalf("share %v while no peer is silent", s)
 	}
-	now = now.Add(silentAfter + time.Millisecond)
+	now = now.Add(peerSilenceLimit + time.Millisecond)
 	l.Apply(now, "a", Report{Start: "1"})
 	now = now.Add(time.Millisecond)
 	if s := l.Share(now); s != 0.5 {
@@ -121,15 +123,15 @@
 	}
 	l.Forget(now, "b")
 	if s := l.Share(now); s != 2.0/3 {
-		t.Errorf("share %v once one of them is known to have stopped", s)
+		t.Errorf("share %v after one of them is known to have stopped", s)
 	}
 	l.Apply(now, "c", Report{Start: "1"})
 	if s := l.Share(now); s != 1 {
-		t.Errorf("share %v once the other one is heard again", s)
+		t.Errorf("share %v after a report of the other one", s)
 	}
 }
 
-func TestASilentPeerLosesItsPartInTheEnd(t *testing.T) {
+func TestSilentPeerLosesItsShareAfterTTL(t *testing.T) {
 	l, now := newLedger()
 	l.Apply(now, "a", Report{Start: "1"})
 	if s := l.Share(now.Add(5 * time.Second)); s != 0.5 {
@@ -140,8 +142,9 @@
 	}
 }
 
-// Double debit: what a peer admitted while it was not heard came out of its own part, and is not charged again when it is back.
-func TestAPeerThatIsBackIsNotChargedTwice(t *testing.T) {
+// Guards against a double debit: what a peer admitted while it was silent came out of its own share, and is
+// not debited when it reports again.
+func TestReturningPeerIsNotDebitedTwice(t *testing.T) {
 	l, now := newLedger()
 	l.Apply(now, "a", Report{Start: "1", IsFirst: true, Counts: []Count{{"w", 1}}})
 	now = now.Add(2 * time.Second)
@@ -149,20 +152,21 @@
 	before, _ := l.Usage(now, "w")
 	l.Apply(now, "a", Report{Start: "1", Counts: []Count{{"w", 500}}})
 	if after, _ := l.Usage(now, "w"); before.Tokens-after.Tokens > 1 {
-		t.Errorf("charged %v", before.Tokens-after.Tokens)
+		t.Errorf("debited %v", before.Tokens-after.Tokens)
 	}
 }
 
-// Loss of single reports: the part of a peer that is missed for a moment comes back with it.
-func TestAShortSilenceCostsNothing(t *testing.T) {
+// Guards against a cost of lost reports: the share of a peer that is silent for a moment is restored with its
+// next report.
+func TestShortSilenceRestoresTheFullShare(t *testing.T) {
 	l, now := newLedger()
 	l.Apply(now, "a", Report{Start: "1", IsFirst: true})
 	l.Apply(now, "b", Report{Start: "1", IsFirst: true})
 	before, _ := l.Usage(now, "w")
-	now = now.Add(silentAfter + 10*time.Millisecond)
+	now = now.Add(peerSilenceLimit + 10*time.Millisecond)
 	l.Apply(now, "a", Report{Start: "1"})
 	if s := l.Share(now.Add(time.Millisecond)); s == 1 {
-		t.Fatal("the silent peer is not missed")
+		t.Fatal("the silent peer does not lower the share")
 	}
 	l.Apply(now.Add(2*time.Millisecond), "b", Report{Start: "1", Counts: []Count{{"w", 3}}})
 	l.Share(now.Add(3 * time.Millisecond))
@@ -171,23 +175,24 @@
 	}
 }
 
-// A restarted process must not spend what its peers have spent: it starts with an empty bucket if they ran before it.
-func TestAGatewayThatJoinsOthersStartsWithoutABurst(t *testing.T) {
+// Guards against a restarted process that spends again what its peers have spent: it starts with at most
+// one token per bucket if its peers were running before.
+func TestJoiningGatewayStartsWithoutBurst(t *testing.T) {
 	joins := New(start, options())
 	joins.Apply(start, "a", Report{Start: "1"})
 	joins.SetQuotas(start, limited("w"))
 	if n, _ := admitAll(joins, start); n > 1 {
-		t.Errorf("%d admitted beside running peers", n)
+		t.Errorf("%d admitted while joining running peers", n)
 	}
 	together := New(start, options())
 	together.Apply(start, "a", Report{Start: "1", IsFirst: true})
 	together.SetQuotas(start, limited("w"))
 	if n, _ := admitAll(together, start); n < burst/2 {
-		t.Errorf("%d admitted after a start of all", n)
+		t.Errorf("%d admitted after all gateways started together", n)
 	}
 }
 
-func TestALowerQuotaBindsAtOnceAndDebtsStay(t *testing.T) {
+func TestLowerQuotaAppliesImmediatelyAndKeepsDebt(t *testing.T) {
 	l, now := newLedger()
 	l.SetQuotas(now, []workspace.Workspace{{Name: "w", Quota: workspace.Quota{PerSecond: 1, Burst: 2}}})
 	if n, _ := admitAll(l, now); n > 6 {
@@ -200,48 +205,49 @@
 	}
 	l.SetQuotas(now, nil)
 	if !l.Admit(now, "w").IsAdmitted {
-		t.Error("rejected after the quota was taken away")
+		t.Error("rejected after the quota was removed")
 	}
 }
 
-// A report has to fit into a datagram however many workspaces there are.
+// A report must fit into a datagram regardless of the number of workspaces.
 func TestReportsAreBounded(t *testing.T) {
 	l := New(start, options())
 	var list []workspace.Workspace
-	for i := range 5 * maxCounts {
+	for i := range 5 * maxCountsPerReport {
 		list = append(list, workspace.Workspace{Name: time.Duration(i).String(), Quota: workspace.Quota{PerSecond: 1, Burst: 5}})
 	}
 	l.SetQuotas(start, list)
 	for _, w := range list {
 		l.Admit(start, w.Name)
 	}
-	told := make(map[string]bool)
-	for range 10 * reportTimes {
+	reported := make(map[string]bool)
+	for range 10 * reportRepeats {
 		counts := l.Counts()
-		if len(counts) > maxCounts {
+		if len(counts) > maxCountsPerReport {
 			t.Fatalf("%d counts in a report", len(counts))
 		}
 		for _, c := range counts {
-			told[c.Workspace] = true
+			reported[c.Workspace] = true
 		}
 	}
-	if len(told) != len(list) || len(l.Counts()) != 0 {
-		t.Errorf("%d of %d told", len(told), len(list))
+	if len(reported) != len(list) || len(l.Counts()) != 0 {
+		t.Errorf("%d of %d reported", len(reported), len(list))
 	}
 }
 
-// Guards against gateways that give up a part of the quotas whenever the word of a peer comes over others, which takes longer.
-func TestTheWordOfAPeerMayComeOverOthers(t *testing.T) {
+// Guards against gateways that give up a share of the quotas whenever a peer's report is forwarded by other
+// gateways, which takes longer.
+func TestForwardedReportsMayArriveLater(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := New(now, Options{ClaimTTL: time.Minute})
 	l.Apply(now, "direct", Report{Start: "a"})
-	l.Apply(now, "passed on", Report{Start: "b", Delay: 200 * time.Millisecond})
-	now = now.Add(silentAfter + 100*time.Millisecond)
+	l.Apply(now, "forwarded", Report{Start: "b", Delay: 200 * time.Millisecond})
+	now = now.Add(peerSilenceLimit + 100*time.Millisecond)
 	l.Apply(now, "direct", Report{Start: "a"})
 	if share := l.Share(now); share != 1 {
-		t.Errorf("share %v while both are heard", share)
+		t.Errorf("share %v while no peer is silent", share)
 	}
-	now = now.Add(silentAfter)
+	now = now.Add(peerSilenceLimit)
 	l.Apply(now, "direct", Report{Start: "a"})
 	if share := l.Share(now); share > 0.7 {
 		t.Errorf("share %v while one of two is silent", share)
--- a/core/quota/sim_test.go
+++ b/core/quota/sim_test.go
@@ -11,41 +11,41 @@
 
 // simulation is a fleet of gateways in virtual time that admit requests of some workspaces by a strategy.
 type simulation struct {
-	rng      *rand.Rand
-	now      time.Time
-	events   eventQueue
-	count    int // of events so far, so that those of one moment keep their order
-	options  Options
-	gateways []*simGateway
-	loads    []simLoad
-	group    []int // side of a partition that each gateway is on; all 0 without one
-	strategy strategy
-	result   simResult
+	rng           *rand.Rand
+	now           time.Time
+	events        eventQueue
+	eventCount    int // scheduled so far, to keep the order of simultaneous events
+	options       Options
+	gateways      []*simGateway
+	loads         []simLoad
+	partitionSide []int // side of a partition that each gateway is on; all 0 without one
+	strategy      strategy
+	result        simResult
 }
 
-// simLoad is the offered load of one workspace and what became of it.
+// simLoad is the offered load of one workspace and its outcome.
 type simLoad struct {
-	name     string
-	quota    workspace.Quota
-	offered  float64   // requests per second
-	weights  []float64 // share of each gateway
-	hotFrom  time.Time // offered is times hotTimes from then until hotTo
-	hotTo    time.Time
-	hotTimes float64
-	ideal    idealBucket
-	owed     []time.Time // admitted by the ideal bucket
-	admitted []time.Time
+	name        string
+	quota       workspace.Quota
+	offered     float64   // requests per second
+	weights     []float64 // share of each gateway
+	burstFrom   time.Time // offered is multiplied by burstFactor from then until burstTo
+	burstTo     time.Time
+	burstFactor float64
+	ideal       idealBucket
+	entitled    []time.Time // admitted by the ideal bucket
+	admitted    []time.Time
 }
 
-// idealBucket is a bucket that sees every request as it comes.
+// idealBucket is a bucket that sees every request when it arrives.
 type idealBucket struct {
-	tokens float64
-	at     time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
 func (b *idealBucket) admit(now time.Time, q workspace.Quota) bool {
-	b.tokens = min(q.Burst, b.tokens+now.Sub(b.at).Seconds()*q.PerSecond)
-	b.at = now
+	b.tokens = min(q.Burst, b.tokens+now.Sub(b.refilledAt).Seconds()*q.PerSecond)
+	b.refilledAt = now
 	if b.tokens < 1 {
 		return false
 	}
@@ -54,38 +54,39 @@
 }
 
 type simGateway struct {
-	isDown   bool
-	starts   int
-	cutSince time.Time // zero while it reaches the store
+	isDown         bool
+	starts         int
+	storeLostSince time.Time // zero while it reaches the store
 }
 
 // revokeWithin is how long a gateway that has lost the store may rely on keys.
 const revokeWithin = 5 * time.Second
 
-// isOwed reports whether requests are owed to callers: not where the store has been out of reach for most of revokeWithin.
-func (g *simGateway) isOwed(now time.Time) bool {
+// isEntitled reports whether callers of the gateway are entitled to service. They are not once the store has
+// been unreachable for most of revokeWithin.
+func (g *simGateway) isEntitled(now time.Time) bool {
 	const share = 0.6
-	return g.cutSince.IsZero() || now.Sub(g.cutSince).Seconds() < share*revokeWithin.Seconds()
+	return g.storeLostSince.IsZero() || now.Sub(g.storeLostSince).Seconds() < share*revokeWithin.Seconds()
 }
 
-// hasKeys reports whether the gateway may admit anybody.
+// hasKeys reports whether the gateway may admit any request.
 func (g *simGateway) hasKeys(now time.Time) bool {
-	return g.cutSince.IsZero() || now.Sub(g.cutSince) < revokeWithin
+	return g.storeLostSince.IsZero() || now.Sub(g.storeLostSince) < revokeWithin
 }
 
-// simResult is what a run has shown.
+// simResult is the outcome of a run.
 type simResult struct {
-	owed     int     // requests within the limit
-	refused  int     // of these, refused
+	entitled int     // requests within the limit
+	rejected int     // of these, rejected
 	excess   float64 // most admitted in any window beyond the bound, in requests; negative below it
 	messages int
 }
 
-// strategy decides on requests; it sends messages by the simulation.
+// strategy decides on requests; it sends messages through the simulation.
 type strategy interface {
 	admit(s *simulation, gateway int, load *simLoad) bool
-	restart(s *simulation, gateway int)
-	stopped(s *simulation, gateway int)
+	gatewayStarted(s *simulation, gateway int)
+	gatewayStopped(s *simulation, gateway int)
 }
 
 type event struct {
@@ -112,56 +113,57 @@
 }
 
 func (s *simulation) after(d time.Duration, run func()) {
-	s.count++
-	heap.Push(&s.events, event{s.now.Add(d), s.count, run})
+	s.eventCount++
+	heap.Push(&s.events, event{s.now.Add(d), s.eventCount, run})
 }
 
 const (
-	simDelay = 2 * time.Millisecond // from one gateway to another
-	simLoss  = 0.01                 // of datagrams
+	simNetworkDelay = 2 * time.Millisecond // from one gateway to another
+	simLossRate     = 0.01                 // of datagrams
 )
 
-// send delivers a message unless it is lost, cut off, or its receiver is down or has started again meanwhile.
+// send delivers a message unless it is lost or cut off, or its receiver is down or has restarted in the
+// meantime.
 func (s *simulation) send(from, to int, deliver func()) {
 	s.result.messages++
-	if s.group[from] != s.group[to] || s.rng.Float64() < simLoss {
+	if s.partitionSide[from] != s.partitionSide[to] || s.rng.Float64() < simLossRate {
 		return
 	}
 	starts := s.gateways[to].starts
-	s.after(simDelay+time.Duration(s.rng.IntN(2))*time.Millisecond, func() {
-		if g := s.gateways[to]; !g.isDown && g.starts == starts && s.group[from] == s.group[to] {
+	s.after(simNetworkDelay+time.Duration(s.rng.IntN(2))*time.Millisecond, func() {
+		if g := s.gateways[to]; !g.isDown && g.starts == starts && s.partitionSide[from] == s.partitionSide[to] {
 			deliver()
 		}
 	})
 }
 
-// arrivals schedules the next request of a workspace.
-func (s *simulation) arrivals(l *simLoad) {
+// scheduleArrival schedules the next request of a workspace.
+func (s *simulation) scheduleArrival(l *simLoad) {
 	rate := l.offered
-	if !s.now.Before(l.hotFrom) && s.now.Before(l.hotTo) {
-		rate *= l.hotTimes
+	if !s.now.Before(l.burstFrom) && s.now.Before(l.burstTo) {
+		rate *= l.burstFactor
 	}
 	s.after(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), func() {
-		s.request(l)
-		s.arrivals(l)
+		s.arrive(l)
+		s.scheduleArrival(l)
 	})
 }
 
-func (s *simulation) request(l *simLoad) {
-	gateway := s.pick(l.weights)
+func (s *simulation) arrive(l *simLoad) {
+	gateway := s.pickGateway(l.weights)
 	if gateway < 0 || !s.gateways[gateway].hasKeys(s.now) {
 		return
 	}
-	if l.ideal.admit(s.now, l.quota) && s.gateways[gateway].isOwed(s.now) {
-		l.owed = append(l.owed, s.now)
+	if l.ideal.admit(s.now, l.quota) && s.gateways[gateway].isEntitled(s.now) {
+		l.entitled = append(l.entitled, s.now)
 	}
 	if s.strategy.admit(s, gateway, l) {
 		l.admitted = append(l.admitted, s.now)
 	}
 }
 
-// pick returns the gateway of the next request: callers of one that is down go to others.
-func (s *simulation) pick(weights []float64) int {
+// pickGateway returns the gateway of the next request; callers of one that is down go to others.
+func (s *simulation) pickGateway(weights []float64) int {
 	x := s.rng.Float64()
 	for i, w := range weights {
 		if x -= w; x < 0 {
@@ -179,7 +181,7 @@
 	return -1
 }
 
-// run plays until a time and works out the largest excess.
+// run runs the simulation for a time and computes the largest excess.
 func (s *simulation) run(length time.Duration) simResult {
 	end := s.now.Add(length)
 	for len(s.events) > 0 && s.events[0].at.Before(end) {
@@ -191,17 +193,18 @@
 	for i := range s.loads {
 		l := &s.loads[i]
 		s.result.excess = max(s.result.excess, l.excess(s.options))
-		s.result.owed += len(l.owed)
-		s.result.refused += l.shortfall()
+		s.result.entitled += len(l.entitled)
+		s.result.rejected += l.shortfall()
 	}
 	return s.result
 }
 
-// shortfall is how many requests fewer were admitted than by the ideal bucket, second by second. While a workspace is over its
-// limit, which of its requests are admitted does not matter; more than is owed in a second makes up for less in the next.
+// shortfall is how many fewer requests were admitted than by the ideal bucket, second by second. While a
+// workspace is over its limit, it does not matter which of its requests are admitted. More than the ideal
+// bucket admits in one second makes up for less in the next.
 func (l *simLoad) shortfall() int {
 	bySecond := make(map[int64]int)
-	for _, at := range l.owed {
+	for _, at := range l.entitled {
 		bySecond[at.Unix()]++
 	}
 	for _, at := range l.admitted {
@@ -217,7 +220,7 @@
 	return sum
 }
 
-// excess is the most that was admitted in any window beyond what is allowed in it.
+// excess is the largest number of requests admitted in any window beyond what is allowed in it.
 func (l *simLoad) excess(o Options) float64 {
 	allowed := (l.quota.PerSecond*o.Window.Seconds()+l.quota.Burst)*(1+o.Excess) + o.Slack
 	most, from := 0, 0
@@ -230,21 +233,23 @@
 	return float64(most) - allowed
 }
 
-// trouble is what happens to the gateways of a run.
-type trouble string
+// faultKind is the kind of fault injected into the gateways of a run.
+type faultKind string
 
 const (
-	calm      trouble = "calm"
-	cutSome   trouble = "some cut off"
-	splitHalf trouble = "split in half"
-	killSome  trouble = "some killed"
-	killAll   trouble = "all killed"
+	noFault     faultKind = "calm"
+	isolateSome faultKind = "some isolated"
+	splitInHalf faultKind = "split in half"
+	killSome    faultKind = "some killed"
+	killAll     faultKind = "all killed"
 )
 
-func allTroubles() []trouble { return []trouble{calm, cutSome, splitHalf, killSome, killAll} }
+func allFaultKinds() []faultKind {
+	return []faultKind{noFault, isolateSome, splitInHalf, killSome, killAll}
+}
 
-// newSimulation draws a fleet and its load from a seed. In most runs one workspace turns loud.
-func newSimulation(seed uint64, t trouble, build func(*simulation) strategy) *simulation {
+// newSimulation draws a fleet and its load from a seed. In most runs one workspace has a burst.
+func newSimulation(seed uint64, t faultKind, build func(*simulation) strategy) *simulation {
 	s := &simulation{
 		rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0),
 		options: Options{Window: 5 * time.Second, Excess: 0.1, Slack: 20, ClaimTTL: 6 * time.Second},
@@ -256,37 +261,37 @@
 	for range n {
 		s.gateways = append(s.gateways, &simGateway{})
 	}
-	s.group = make([]int, n)
+	s.partitionSide = make([]int, n)
 	for i := range 4 {
 		s.loads = append(s.loads, s.newLoad(i, n))
 	}
 	s.strategy = build(s)
 	for i := range n {
-		s.strategy.restart(s, i)
+		s.strategy.gatewayStarted(s, i)
 	}
 	for i := range s.loads {
-		s.arrivals(&s.loads[i])
+		s.scheduleArrival(&s.loads[i])
 	}
-	s.schedule(t)
+	s.scheduleFaults(t)
 	return s
 }
 
 func (s *simulation) newLoad(i, gateways int) simLoad {
-	usual := []float64{1, 4, 20, 60}[i]
+	baseRate := []float64{1, 4, 20, 60}[i]
 	l := simLoad{
-		name: fmt.Sprintf("w%d", i), offered: usual, weights: s.weights(gateways),
-		quota: workspace.Quota{PerSecond: 1.6 * usual, Burst: 1.6 * usual},
+		name: fmt.Sprintf("w%d", i), offered: baseRate, weights: s.weights(gateways),
+		quota: workspace.Quota{PerSecond: 1.6 * baseRate, Burst: 1.6 * baseRate},
 	}
-	l.ideal = idealBucket{tokens: l.quota.Burst, at: s.now}
+	l.ideal = idealBucket{tokens: l.quota.Burst, refilledAt: s.now}
 	if s.rng.IntN(3) > 0 {
-		l.hotFrom = s.now.Add(time.Duration(3+s.rng.IntN(6)) * time.Second)
-		l.hotTo = l.hotFrom.Add(time.Duration(3+s.rng.IntN(6)) * time.Second)
-		l.hotTimes = 1 + 7*s.rng.Float64()
+		l.burstFrom = s.now.Add(time.Duration(3+s.rng.IntN(6)) * time.Second)
+		l.burstTo = l.burstFrom.Add(time.Duration(3+s.rng.IntN(6)) * time.Second)
+		l.burstFactor = 1 + 7*s.rng.Float64()
 	}
 	return l
 }
 
-// weights are even, uneven, or put all on one gateway.
+// weights draws the share of each gateway: even, uneven, or all load on one gateway.
 func (s *simulation) weights(gateways int) []float64 {
 	w := make([]float64, gateways)
 	sum := 0.0
@@ -307,46 +312,47 @@
 	return w
 }
 
-// schedule draws when the trouble comes, two times.
-func (s *simulation) schedule(t trouble) {
+// scheduleFaults draws the times of two faults.
+func (s *simulation) scheduleFaults(t faultKind) {
 	for range 2 {
 		at := time.Duration(2000+s.rng.IntN(12_000)) * time.Millisecond
 		length := time.Duration(500+s.rng.IntN(5000)) * time.Millisecond
-		s.after(at, func() { s.strike(t, length) })
+		s.after(at, func() { s.injectFault(t, length) })
 	}
 }
 
-func (s *simulation) strike(t trouble, length time.Duration) {
+func (s *simulation) injectFault(t faultKind, length time.Duration) {
 	for i := range s.gateways {
 		switch {
-		case t == cutSome && s.rng.IntN(3) == 0:
-			s.cut(i, i+1)
-		case t == splitHalf && i%2 == 0:
-			s.cut(i, 1)
+		case t == isolateSome && s.rng.IntN(3) == 0:
+			s.isolate(i, i+1)
+		case t == splitInHalf && i%2 == 0:
+			s.isolate(i, 1)
 		case t == killAll, t == killSome && s.rng.IntN(2) == 0:
 			s.kill(i, min(length, 2*time.Second))
 		}
 	}
-	s.after(length, s.heal)
+	s.after(length, s.healPartition)
 }
 
-// cut moves a gateway to a side that has lost the store.
-func (s *simulation) cut(i, side int) {
-	if s.gateways[i].cutSince.IsZero() {
-		s.gateways[i].cutSince = s.now
+// isolate moves a gateway to a partition side that has lost the store.
+func (s *simulation) isolate(i, side int) {
+	if s.gateways[i].storeLostSince.IsZero() {
+		s.gateways[i].storeLostSince = s.now
 	}
-	s.group[i] = side
+	s.partitionSide[i] = side
 }
 
-// recontact is how long after a cut a gateway that reaches the store again has read the configuration.
-const recontact = 500 * time.Millisecond
+// storeReconnectDelay is how long after the end of a partition a gateway has read the configuration from the
+// store again.
+const storeReconnectDelay = 500 * time.Millisecond
 
-func (s *simulation) heal() {
-	clear(s.group)
-	s.after(recontact, func() {
+func (s *simulation) healPartition() {
+	clear(s.partitionSide)
+	s.after(storeReconnectDelay, func() {
 		for i, g := range s.gateways {
-			if s.group[i] == 0 {
-				g.cutSince = time.Time{}
+			if s.partitionSide[i] == 0 {
+				g.storeLostSince = time.Time{}
 			}
 		}
 	})
@@ -359,9 +365,9 @@
 	}
 	g.isDown = true
 	g.starts++
-	s.strategy.stopped(s, i)
+	s.strategy.gatewayStopped(s, i)
 	s.after(down, func() {
 		g.isDown = false
-		s.strategy.restart(s, i)
+		s.strategy.gatewayStarted(s, i)
 	})
 }
