--- a/core/serving/config.go
+++ b/core/serving/config.go
@@ -1,5 +1,5 @@
-// Package serving holds what a gateway believes of its surroundings, in types without I/O: the
-// operator's configuration with its routes, and the targets that serve them.
+// Package serving holds the types, without I/O, that describe what a gateway serves: the operator's
+// configuration with its routes, and the targets that serve them.
 package serving
 
 import (
@@ -12,7 +12,7 @@
 	"arbutusramp/core/workspace"
 )
 
-// Kind says what a route's requests are and what may be repeated.
+// Kind is the kind of a route's requests; it decides what may be repeated.
 type Kind uint8
 
 const (
@@ -20,9 +20,9 @@
 	KindUnsafe Kind = iota
 	// KindSafe requests are idempotent.
 	KindSafe
-	// KindStream requests are answered by a series of events.
+	// KindStream requests are answered by a stream of events.
 	KindStream
-	// KindBatch takes whole jobs, whose items run later.
+	// KindBatch accepts whole jobs, whose items run later.
 	KindBatch
 )
 
@@ -31,55 +31,57 @@
 	return [...]string{"unsafe", "safe", "stream", "batch"}[k]
 }
 
-// Share is a service's weight among those that a route is split over.
+// Share is the weight of a service among those that a route is split over.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// MaxRank bounds ranks: whatever is less urgent counts as this.
+// MaxRank is the largest rank: less urgent requests get this one.
 const MaxRank = 100
 
-// Route says how requests under one path of one host are served.
+// Route describes how requests under one path of one host are served.
 type Route struct {
 	Name    string
 	Host    string
 	Prefix  string // begins and ends with a slash
 	Kind    Kind
-	Timeout time.Duration // longest that a request is kept waiting
-	Goal    time.Duration // within which an answer is worth most
-	// Rank says how urgent the route's requests are among those of the same kind, 0 the most.
+	Timeout time.Duration // longest time that a request is kept waiting
+	Goal    time.Duration // latency goal: the time within which an answer is worth most
+	// Rank is the urgency of the route's requests among those of the same kind; 0 is the most urgent.
 	Rank int
-	// Ranks are the ranks of online requests to the route's services, the most urgent first. NewRouter works them out.
+	// Ranks are the ranks of online requests to the route's services, most urgent first. NewRouter fills them
+	// in.
 	Ranks []int
-	// Stay is how long a caller waits for the first event of a stream, or for the next one, whatever its deadline is; 0 is as
-	// long as its deadline.
+	// Stay is how long a caller waits for the first event of a stream, or for the next one, regardless of its
+	// deadline; 0 is as long as its deadline.
 	Stay     time.Duration
 	Attempts int // most targets that one request may be sent to
-	// Resumable streams may go on at another target after their last event.
+	// Resumable streams may continue at another target after their last event.
 	Resumable bool
 	Shares    []Share
-	Due       time.Duration // from a job's acceptance until its items should be done
-	Retain    time.Duration // from a job's acceptance until an item may be given up
-	MaxQueued int64         // tokens of unfinished items that each workspace may have on the route; 0 is no limit
-	IsPublic  bool          // its requests need no API key
+	Due       time.Duration // from the acceptance of a job until its items should be done
+	Retain    time.Duration // from the acceptance of a job until an item may be given up
+	MaxQueued int64         // tokens of unfinished items that each workspace may have on the route; 0 for no limit
+	IsPublic  bool          // requests need no API key
 }
 
-// Idempotent says whether a request may run again after it may have run.
+// Idempotent reports whether a request may run again after it may have run.
 func (r *Route) Idempotent() bool {
 	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
 }
 
-// maxHigherRanks bounds how far a request gives way: an operator may use a rank for each workspace.
+// maxHigherRanks bounds the number of ranks that a request yields to, because an operator may use a rank for
+// each workspace.
 const maxHigherRanks = 3
 
-// HigherRanks is how many ranks of requests to the route's services are more urgent than a rank.
+// HigherRanks is how many ranks of requests to the route's services are more urgent than rank.
 func (r *Route) HigherRanks(rank int) int {
 	n, _ := slices.BinarySearch(r.Ranks, rank)
 	return min(n, maxHigherRanks)
 }
 
-// Service picks one of the route's services by weight. The same key picks the same service.
+// Service picks one of the route's services by weight. The same key always picks the same service.
 func (r *Route) Service(key string) string {
 	if len(r.Shares) == 0 {
 		return ""
@@ -91,7 +93,7 @@
 	if total <= 0 {
 		return r.Shares[0].Service
 	}
-	n := int(hash(key) % uint64(total))
+	n := int(hashKey(key) % uint64(total))
 	for _, s := range r.Shares {
 		if n < s.Weight {
 			return s.Service
@@ -101,7 +103,7 @@
 	return r.Shares[0].Service
 }
 
-func hash(key string) uint64 {
+func hashKey(key string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(key)) // a hash never fails to write
 	return h.Sum64()
@@ -109,7 +111,7 @@
 
 // Limits bound what a caller may send.
 type Limits struct {
-	MaxBodyBytes int64 // 0 is no limit
+	MaxBodyBytes int64 // 0 for no limit
 }
 
 // Config is one version of the operator's configuration.
@@ -117,7 +119,7 @@
 	Version uint64
 	Routes  []Route
 	Limits  Limits
-	// KeysRequired says that requests need the API key of a workspace, but for those of public routes.
+	// KeysRequired reports that requests need the API key of a workspace, except those of public routes.
 	KeysRequired bool
 	Workspaces   []workspace.Workspace
 	// Problems are the parts of the configuration that cannot be used. The rest is in force.
@@ -137,16 +139,16 @@
 		host := hostName(route.Host)
 		r.byHost[host] = append(r.byHost[host], route)
 	}
-	noteRanks(c)
+	fillRanks(c)
 	for _, list := range r.byHost {
 		slices.SortStableFunc(list, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	return r
 }
 
-// noteRanks fills in Route.Ranks. Batch routes count for nothing: they give way in other ways.
-func noteRanks(c *Config) {
-	ofWorkspaces, all := workspaceRanks(c)
+// fillRanks sets Route.Ranks. Batch routes are left out: their requests yield by other means.
+func fillRanks(c *Config) {
+	ranksOfWorkspaces, isEachRanked := workspaceRanks(c)
 	byService := make(map[string][]int)
 	for i := range c.Routes {
 		route := &c.Routes[i]
@@ -154,8 +156,8 @@
 			continue
 		}
 		for _, s := range route.Shares {
-			ranks := append(byService[s.Service], ofWorkspaces...)
-			if !all || route.IsPublic {
+			ranks := append(byService[s.Service], ranksOfWorkspaces...)
+			if !isEachRanked || route.IsPublic {
 				ranks = append(ranks, route.Rank)
 			}
 			slices.Sort(ranks)
@@ -172,22 +174,23 @@
 	}
 }
 
-// workspaceRanks returns the ranks of workspaces, and whether each has one, so that no request has that of its route.
-func workspaceRanks(c *Config) (ranks []int, all bool) {
-	all = c.KeysRequired
+// workspaceRanks returns the ranks of workspaces, and whether each workspace has one, so that no request uses
+// that of its route.
+func workspaceRanks(c *Config) (ranks []int, isEachRanked bool) {
+	isEachRanked = c.KeysRequired
 	for _, w := range c.Workspaces {
 		if w.Rank == nil {
-			all = false
+			isEachRanked = false
 			continue
 		}
 		ranks = append(ranks, *w.Rank)
 	}
 	slices.Sort(ranks)
-	return slices.Compact(ranks), all
+	return slices.Compact(ranks), isEachRanked
 }
 
-// Match returns the route with the longest prefix of target's path, or nil. target is the path
-// with its query, as it stands in the request line.
+// Match returns the route with the longest prefix of target's path, or nil. target is the path with its
+// query, as in the request line.
 func (r *Router) Match(host, target string) *Route {
 	path, _, _ := strings.Cut(target, "?")
 	for _, route := range r.byHost[hostName(host)] {
@@ -198,7 +201,7 @@
 	return nil
 }
 
-// hostName drops the port and the case of a Host header.
+// hostName drops the port of a Host header and converts it to lower case.
 func hostName(host string) string {
 	u := url.URL{Host: host}
 	return strings.ToLower(u.Hostname())
--- a/core/serving/ranks_test.go
+++ b/core/serving/ranks_test.go
@@ -7,7 +7,7 @@
 	"arbutusramp/core/workspace"
 )
 
-func ranked(ranks ...int) []workspace.Workspace {
+func rankedWorkspaces(ranks ...int) []workspace.Workspace {
 	var list []workspace.Workspace
 	for i := range ranks {
 		list = append(list, workspace.Workspace{Name: string(rune('a' + i)), Rank: &ranks[i]})
@@ -15,23 +15,23 @@
 	return list
 }
 
-func onService(name, service string, kind Kind, rank int) Route {
+func routeTo(name, service string, kind Kind, rank int) Route {
 	return Route{Name: name, Kind: kind, Rank: rank, Shares: []Share{{Service: service, Weight: 1}}}
 }
 
-// The rank of a workspace goes before that of a route; routes of batch jobs count for nothing.
-func TestRanksOfRequests(t *testing.T) {
+// The rank of a workspace takes precedence over that of a route; routes of batch jobs are left out.
+func TestRouteRanks(t *testing.T) {
 	routes := func() []Route {
-		return []Route{onService("x", "s", KindStream, 0), onService("y", "s", KindSafe, 2), onService("z", "t", KindSafe, 5), onService("b", "s", KindBatch, 9)}
+		return []Route{routeTo("x", "s", KindStream, 0), routeTo("y", "s", KindSafe, 2), routeTo("z", "t", KindSafe, 5), routeTo("b", "s", KindBatch, 9)}
 	}
 	cases := []struct {
 		name       string
 		workspaces []workspace.Workspace
 		want       []int // ranks at service s
 	}{
-		{"routes alone", nil, []int{0, 2}},
-		{"workspaces with ranks", ranked(1, 0, 1), []int{0, 1}},
-		{"one without a rank", append(ranked(4), workspace.Workspace{Name: "q"}), []int{0, 2, 4}},
+		{"only routes with ranks", nil, []int{0, 2}},
+		{"workspaces with ranks", rankedWorkspaces(1, 0, 1), []int{0, 1}},
+		{"a workspace without a rank", append(rankedWorkspaces(4), workspace.Workspace{Name: "q"}), []int{0, 2, 4}},
 	}
 	for _, c := range cases {
 		config := &Config{Routes: routes(), Workspaces: c.workspaces, KeysRequired: len(c.workspaces) > 0}
@@ -46,11 +46,11 @@
 	r := Route{Ranks: []int{0, 1, 4, 5, 6, 7}}
 	for rank, want := range map[int]int{0: 0, 1: 1, 2: 2, 4: 2, 7: maxHigherRanks, 100: maxHigherRanks} {
 		if got := r.HigherRanks(rank); got != want {
-			t.Errorf("%d ranks go before rank %d, want %d", got, rank, want)
+			t.Errorf("%d ranks are more urgent than rank %d, want %d", got, rank, want)
 		}
 	}
 	one, route := 1, Route{Rank: 3}
 	if (Caller{Rank: &one}).RankOn(&route) != 1 || (Caller{}).RankOn(&route) != 3 {
-		t.Error("the rank of a workspace does not go before that of the route")
+		t.Error("the rank of a workspace does not take precedence over that of the route")
 	}
 }
--- a/core/serving/target.go
+++ b/core/serving/target.go
@@ -1,14 +1,14 @@
 package serving
 
-// Target is one start of a program that serves requests of a service. A restart is a new target, also under the same
-// name and at the same address: nothing that is known of the one before holds for it.
+// Target is one start of a program that serves requests of a service. A restart is a new target, even under
+// the same name and at the same address: nothing known of the previous start applies to it.
 type Target struct {
-	ID       string // names this start
-	Name     string // under which it is listed; a restart may have it again
-	Started  int64  // in milliseconds since 1970; 0 is not known
+	ID       string // identifies this start
+	Name     string // name in the list of targets; a restart may have it again
+	Started  int64  // in milliseconds since 1970; 0 if unknown
 	Service  string
 	Addr     string // IP:port
 	Domain   string // failure domain
-	Slots    int    // requests that it works on at once
-	Draining bool   // it leaves: it gets nothing new
+	Slots    int    // requests that it processes at once
+	Draining bool   // it is about to leave and gets no new requests
 }
