--- a/core/workspace/credential.go
+++ b/core/workspace/credential.go
@@ -8,11 +8,12 @@
 
 const (
 	bearerScheme = "Bearer"
-	// maxKeyBytes bounds a key that a caller presents.
+	// maxKeyBytes bounds the size of a key that a caller sends.
 	maxKeyBytes = 4096
 )
 
-// Credential is what a caller presents to show its workspace: the digest of a key, or why there is none.
+// Credential is what a caller sends to identify its workspace: the digest of a key, or the reason why there
+// is none.
 type Credential struct {
 	Key   Digest
 	IsSet bool
@@ -20,13 +21,13 @@
 	Err error
 }
 
-// MissingKey is the error of a request that needs a key and shows none.
+// MissingKey returns the error for a request that needs a key and has none. Error: errs.Unauthenticated.
 func MissingKey() error {
 	return errs.New(errs.Unauthenticated, "no API key was sent; send Authorization: Bearer KEY")
 }
 
-// ParseAuthorization reads the values of a request's Authorization headers. More than one header is an error: programs on
-// the way might each believe another one.
+// ParseAuthorization parses the values of a request's Authorization headers. More than one header is an
+// error, because proxies might each use a different one.
 func ParseAuthorization(values []string) Credential {
 	switch len(values) {
 	case 0:
@@ -42,16 +43,17 @@
 	key = strings.TrimLeft(key, " ")
 	switch {
 	case !strings.EqualFold(scheme, bearerScheme):
-		return Credential{Err: errs.New(errs.Unauthenticated, "the Authorization header is not of the scheme Bearer")}
+		return Credential{Err: errs.New(errs.Unauthenticated, "the scheme of the Authorization header is not Bearer")}
 	case key == "":
-		return Credential{Err: errs.New(errs.Unauthenticated, "the Authorization header holds no key")}
+		return Credential{Err: errs.New(errs.Unauthenticated, "the Authorization header contains no key")}
 	case len(key) > maxKeyBytes:
 		return Credential{Err: errs.Newf(errs.Unauthenticated, "the key has %d bytes, at most %d are allowed", len(key), maxKeyBytes)}
-	case strings.ContainsFunc(key, isNotKeyByte):
-		return Credential{Err: errs.New(errs.Unauthenticated, "the key holds characters that no key has")}
+	case strings.ContainsFunc(key, isInvalidKeyByte):
+		return Credential{Err: errs.New(errs.Unauthenticated, "the key contains invalid characters")}
 	}
 	return Credential{Key: DigestOf(key), IsSet: true}
 }
 
-// isNotKeyByte reports whether a key cannot hold r: keys are visible ASCII without the comma that separates lists.
-func isNotKeyByte(r rune) bool { return r <= ' ' || r > '~' || r == ',' }
+// isInvalidKeyByte reports whether a key cannot contain r: keys are visible ASCII without the comma, which
+// separates lists.
+func isInvalidKeyByte(r rune) bool { return r <= ' ' || r > '~' || r == ',' }
--- a/core/workspace/workspace.go
+++ b/core/workspace/workspace.go
@@ -1,5 +1,6 @@
-// Package workspace holds what the operator's configuration says about workspaces, and finds the workspace that an API key
-// belongs to. It does no I/O. Keys are kept as digests only, so that no log line, metric or record can hold one.
+// Package workspace holds the workspaces of the operator's configuration, and finds the workspace that an API
+// key belongs to. It does no I/O. Keys are kept only as digests, so that no log line, metric or record can
+// contain one.
 package workspace
 
 import (
@@ -17,24 +18,24 @@
 // DigestOf returns the digest of an API key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// Quota bounds the online requests of a workspace, over all gateways together.
+// Quota limits the online requests of a workspace, across all gateways.
 type Quota struct {
-	PerSecond float64 // 0 is no limit
-	Burst     float64 // requests that may come at once beyond the rate
+	PerSecond float64 // 0 for no limit
+	Burst     float64 // requests that may arrive at once beyond the rate
 }
 
-// IsLimited reports whether the quota bounds anything.
+// IsLimited reports whether the quota limits anything.
 func (q Quota) IsLimited() bool { return q.PerSecond > 0 }
 
 // Workspace is one workspace of the configuration.
 type Workspace struct {
 	Name  string
 	Keys  []Digest
-	Rank  *int // goes before the rank of the route; nil if the workspace has none
+	Rank  *int // takes precedence over the rank of the route; nil if the workspace has none
 	Quota Quota
 }
 
-// maxNameBytes bounds a name: it is sent to targets in a header.
+// maxNameBytes bounds the size of a name, which is sent to targets in a header.
 const maxNameBytes = 256
 
 // Validate reports why the workspace cannot be used. Error: errs.BadRequest.
@@ -50,14 +51,15 @@
 	return nil
 }
 
-// Index finds workspaces by key and by name. It does not change.
+// Index finds workspaces by key and by name. It is immutable.
 type Index struct {
 	byKey  map[Digest]*Workspace
 	byName map[string]*Workspace
 }
 
-// NewIndex indexes workspaces. Those that cannot be used are left out and returned as problems: invalid ones, later ones
-// under a name that is taken, and keys that two workspaces hold, since nobody knows whose requests they sign.
+// NewIndex indexes workspaces. Those that cannot be used are left out and returned as problems: invalid ones,
+// later ones with a name that is already used, and keys that two workspaces have, since the owner of a
+// request with such a key is ambiguous.
 func NewIndex(list []Workspace) (*Index, []error) {
 	x := &Index{byKey: make(map[Digest]*Workspace), byName: make(map[string]*Workspace, len(list))}
 	var problems []error
@@ -88,7 +90,7 @@
 			other, taken := x.byKey[key]
 			if taken && other != w {
 				shared[key] = true
-				problems = append(problems, errs.Newf(errs.BadRequest, "workspaces %q and %q hold the same key: it is refused", other.Name, w.Name))
+				problems = append(problems, errs.Newf(errs.BadRequest, "workspaces %q and %q have the same key, which is rejected", other.Name, w.Name))
 				continue
 			}
 			x.byKey[key] = w
@@ -100,7 +102,7 @@
 	return problems
 }
 
-// ByKey returns the workspace that holds a key.
+// ByKey returns the workspace that has a key.
 func (x *Index) ByKey(key Digest) (*Workspace, bool) {
 	w, ok := x.byKey[key]
 	return w, ok
--- a/core/workspace/workspace_test.go
+++ b/core/workspace/workspace_test.go
@@ -7,7 +7,7 @@
 	"arbutusramp/core/errs"
 )
 
-func TestKeysFindTheirWorkspace(t *testing.T) {
+func TestByKey(t *testing.T) {
 	x, problems := NewIndex([]Workspace{
 		{Name: "a", Keys: []Digest{DigestOf("k1"), DigestOf("k2")}},
 		{Name: "b", Keys: []Digest{DigestOf("k3")}},
@@ -25,8 +25,8 @@
 	}
 }
 
-// A key in two workspaces signs for neither, and the other keys of both go on.
-func TestAKeyOfTwoWorkspacesIsRefused(t *testing.T) {
+// A key of two workspaces is rejected for both, and their other keys stay valid.
+func TestSharedKeyIsRejected(t *testing.T) {
 	x, problems := NewIndex([]Workspace{
 		{Name: "a", Keys: []Digest{DigestOf("shared"), DigestOf("k1"), DigestOf("k1")}},
 		{Name: "b", Keys: []Digest{DigestOf("shared"), DigestOf("k2")}},
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestWorkspacesThatCannotBeUsedAreLeftOut(t *testing.T) {
+func TestUnusableWorkspacesAreLeftOut(t *testing.T) {
 	x, problems := NewIndex([]Workspace{
 		{Name: "", Keys: []Digest{DigestOf("k1")}},
 		{Name: "line\nfeed", Keys: []Digest{DigestOf("k2")}},
@@ -72,42 +72,42 @@
 	}
 }
 
-func TestAuthorizationHeaders(t *testing.T) {
+func TestParseAuthorization(t *testing.T) {
 	cases := []struct {
-		name   string
-		values []string
-		key    string // empty is none
-		isBad  bool
+		name      string
+		values    []string
+		key       string // empty for none
+		isInvalid bool
 	}{
 		{name: "none"},
 		{name: "a key", values: []string{"Bearer abc"}, key: "abc"},
-		{name: "scheme in other case", values: []string{"bEARER abc"}, key: "abc"},
-		{name: "more space", values: []string{" Bearer   abc\t"}, key: "abc"},
+		{name: "scheme in another case", values: []string{"bEARER abc"}, key: "abc"},
+		{name: "additional white space", values: []string{" Bearer   abc\t"}, key: "abc"},
 		{name: "token characters", values: []string{"Bearer a-._~+/=9"}, key: "a-._~+/=9"},
-		{name: "two headers", values: []string{"Bearer abc", "Bearer abc"}, isBad: true},
-		{name: "two keys", values: []string{"Bearer abc, Bearer def"}, isBad: true},
-		{name: "two words", values: []string{"Bearer abc def"}, isBad: true},
-		{name: "empty", values: []string{""}, isBad: true},
-		{name: "scheme alone", values: []string{"Bearer"}, isBad: true},
-		{name: "scheme and space", values: []string{"Bearer  "}, isBad: true},
-		{name: "other scheme", values: []string{"Basic abc"}, isBad: true},
-		{name: "no scheme", values: []string{"abc"}, isBad: true},
-		{name: "control character", values: []string{"Bearer a\x00b"}, isBad: true},
-		{name: "not ASCII", values: []string{"Bearer aäb"}, isBad: true},
-		{name: "too long", values: []string{"Bearer " + strings.Repeat("x", maxKeyBytes+1)}, isBad: true},
+		{name: "two headers", values: []string{"Bearer abc", "Bearer abc"}, isInvalid: true},
+		{name: "two keys", values: []string{"Bearer abc, Bearer def"}, isInvalid: true},
+		{name: "two words", values: []string{"Bearer abc def"}, isInvalid: true},
+		{name: "empty", values: []string{""}, isInvalid: true},
+		{name: "scheme only", values: []string{"Bearer"}, isInvalid: true},
+		{name: "scheme and space", values: []string{"Bearer  "}, isInvalid: true},
+		{name: "other scheme", values: []string{"Basic abc"}, isInvalid: true},
+		{name: "no scheme", values: []string{"abc"}, isInvalid: true},
+		{name: "control character", values: []string{"Bearer a\x00b"}, isInvalid: true},
+		{name: "not ASCII", values: []string{"Bearer aäb"}, isInvalid: true},
+		{name: "too long", values: []string{"Bearer " + strings.Repeat("x", maxKeyBytes+1)}, isInvalid: true},
 	}
 	for _, c := range cases {
 		got := ParseAuthorization(c.values)
-		if (got.Err != nil) != c.isBad || got.IsSet != (c.key != "") || c.key != "" && got.Key != DigestOf(c.key) {
+		if (got.Err != nil) != c.isInvalid || got.IsSet != (c.key != "") || c.key != "" && got.Key != DigestOf(c.key) {
 			t.Errorf("%s: %+v", c.name, got)
 		}
-		if c.isBad && !errs.Is(got.Err, errs.Unauthenticated) {
+		if c.isInvalid && !errs.Is(got.Err, errs.Unauthenticated) {
 			t.Errorf("%s: error %v", c.name, got.Err)
 		}
 	}
 }
 
-// Whatever a header holds, it gives one key, none, or a typed error that does not repeat it.
+// Any header value gives one key, none, or a typed error that does not repeat the value.
 func FuzzParseAuthorization(f *testing.F) {
 	for _, value := range []string{"", "Bearer abc", "bearer  abc ", "Bearer", "Basic dTpw", "Bearer a,b", "Bearer a b", "\tBearer\tabc", "Bearer \x7f", "Bearer äöü"} {
 		f.Add(value)
