--- a/core/freshness/freshness_test.go
+++ b/core/freshness/freshness_test.go
@@ -7,28 +7,28 @@
 
 const bound = 5 * time.Second
 
-func TestAProofHoldsForTheBound(t *testing.T) {
+func TestProofHoldsForTheBound(t *testing.T) {
 	p := New(bound)
 	if p.Holds(0) || !p.IsFailing(0) {
-		t.Error("holds before the first proof")
+		t.Error("holds before the first confirmation")
 	}
 	p.Confirm(10 * time.Second)
 	if !p.Holds(10*time.Second) || !p.Holds(14900*time.Millisecond) || p.Holds(15*time.Second) {
 		t.Error("does not hold for the bound")
 	}
 	if p.IsFailing(12*time.Second) || !p.IsFailing(12500*time.Millisecond) {
-		t.Error("fails at another time than half of the bound")
+		t.Error("does not fail exactly at half of the bound")
 	}
-	p.Confirm(9 * time.Second) // an older read ends later
+	p.Confirm(9 * time.Second) // an older read that ends later
 	if age, ok := p.Age(11 * time.Second); !ok || age != time.Second {
 		t.Errorf("age %v, %v", age, ok)
 	}
 }
 
-func TestWithoutABoundAnyProofHolds(t *testing.T) {
+func TestProofHoldsForeverWithoutBound(t *testing.T) {
 	p := New(0)
 	if p.Holds(time.Hour) {
-		t.Error("holds before the first proof")
+		t.Error("holds before the first confirmation")
 	}
 	p.Confirm(0)
 	if !p.Holds(1000*time.Hour) || p.IsFailing(1000*time.Hour) {
--- a/core/freshness/model_test.go
+++ b/core/freshness/model_test.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// The model is one gateway, the store, one key and time in steps. Every order of a few events is played; a request that was sent later
-// than the bound after the revocation was confirmed must not run.
+// The model has one gateway, the store, one key and discrete time. It explores every sequence of a few
+// events. A request that is sent later than the bound after the confirmation of the revocation must not run.
 
 const (
 	modelBound = 3 // steps
-	modelDepth = 7 // events in an order
+	modelDepth = 7 // events in a sequence
 	step       = time.Second
 )
 
-// action is one event of an order.
+// action is one event of a sequence.
 type action uint8
 
 const (
-	tick      action = iota // time passes
-	suspend                 // time passes while the gateway's host is suspended
-	revoke                  // the store confirms that the key is taken away
-	readBegin               // the gateway asks the store, by its own way or through a peer
-	readEnd                 // the answer comes
-	restart                 // the gateway starts anew
-	peerTells               // a peer that has just read the newest configuration sends its word
-	hear                    // the gateway takes such a word from its socket
-	actions
+	tick        action = iota // time passes
+	suspend                   // time passes while the gateway's host is suspended
+	revoke                    // the store confirms the revocation of the key
+	readBegin                 // the gateway sends a read to the store, directly or through a peer
+	readEnd                   // the gateway receives the answer
+	restart                   // the gateway restarts
+	peerSend                  // a peer that has just read the newest configuration sends a message
+	peerReceive               // the gateway reads such a message from its socket
+	actionCount
 )
 
 func (a action) String() string {
 	return [...]string{"tick", "suspend", "revoke", "read", "answer", "restart", "peer tells", "hear"}[a]
 }
 
-// world is a state of the model.
-type world struct {
-	now       int // steps since the host's start, suspension included
-	revoked   int // when the revocation was confirmed; -1 before it
-	proof     Proof
-	knowsGone bool // the configuration in force does not hold the key
-
-	reading   bool
-	askedAt   int
-	answer    bool // whether the store's answer holds the key
-	answered  bool
-	word      bool // a peer's word lies in the socket
-	wordHolds bool // it is of a configuration that holds the key
-	wordAge   int  // what it says of its age
-	usesWords bool // the way that was not chosen: the word of peers counts as proof
+// modelState is a state of the model.
+type modelState struct {
+	now                 int // steps since the host's start, including suspension
+	revoked             int // when the revocation was confirmed; -1 before it
+	proof               Proof
+	isRevocationApplied bool // the configuration in force does not contain the key
+
+	isReading       bool
+	readStart       int
+	hasKeyInAnswer  bool // whether the store's answer contains the key
+	isAnswered      bool
+	hasMessage      bool // a peer's message is in the socket buffer
+	hasKeyInMessage bool // it is from a configuration that contains the key
+	messageAge      int  // the age that it states
+	isPeerTrusted   bool // the rejected alternative: messages of peers count as proof
 }
 
-func (w *world) apply(a action) bool {
+func (w *modelState) apply(a action) bool {
 	switch a {
 	case tick:
 		w.now++
-		w.serve()
-		w.hear() // a process that runs empties its socket
+		w.answerRead()
+		w.receiveMessage() // a running process empties its socket buffer
 	case suspend:
 		w.now++
 	case revoke:
@@ -64,88 +64,90 @@
 		}
 		w.revoked = w.now
 	case readBegin:
-		if w.reading {
+		if w.isReading {
 			return false
 		}
-		w.reading, w.askedAt, w.answered = true, w.now, false
+		w.isReading, w.readStart, w.isAnswered = true, w.now, false
 	case readEnd:
-		return w.readEnd()
+		return w.finishRead()
 	case restart:
-		w.proof, w.knowsGone, w.reading, w.word = New(modelBound*step), false, false, false
-	case peerTells:
-		w.word, w.wordHolds, w.wordAge = true, w.revoked < 0, 0
-	case hear:
-		return w.hear()
+		w.proof, w.isRevocationApplied, w.isReading, w.hasMessage = New(modelBound*step), false, false, false
+	case peerSend:
+		w.hasMessage, w.hasKeyInMessage, w.messageAge = true, w.revoked < 0, 0
+	case peerReceive:
+		return w.receiveMessage()
 	}
 	return true
 }
 
-// serve has the store answer a read that is under way, at any moment between question and answer; the model takes the first one.
-func (w *world) serve() {
-	if w.reading && !w.answered {
-		w.answered, w.answer = true, w.revoked < 0
+// answerRead answers a read in progress. The store may answer at any time between request and answer; the
+// model uses the earliest.
+func (w *modelState) answerRead() {
+	if w.isReading && !w.isAnswered {
+		w.isAnswered, w.hasKeyInAnswer = true, w.revoked < 0
 	}
 }
 
-func (w *world) readEnd() bool {
-	if !w.reading {
+func (w *modelState) finishRead() bool {
+	if !w.isReading {
 		return false
 	}
-	w.serve()
-	w.reading = false
-	w.knowsGone = w.knowsGone || !w.answer
-	w.proof.Confirm(time.Duration(w.askedAt) * step)
+	w.answerRead()
+	w.isReading = false
+	w.isRevocationApplied = w.isRevocationApplied || !w.hasKeyInAnswer
+	w.proof.Confirm(time.Duration(w.readStart) * step)
 	return true
 }
 
-// hear takes a peer's word as it would be taken: as old as it says, by a clock that does not tell how long it lay in the socket.
-func (w *world) hear() bool {
-	if !w.word || !w.usesWords {
+// receiveMessage handles a peer's message with the age that it states. The gateway's clock does not show how
+// long the message was in the socket buffer.
+func (w *modelState) receiveMessage() bool {
+	if !w.hasMessage || !w.isPeerTrusted {
 		return false
 	}
-	w.word = false
-	if w.wordHolds {
-		w.proof.Confirm(time.Duration(w.now-w.wordAge) * step)
+	w.hasMessage = false
+	if w.hasKeyInMessage {
+		w.proof.Confirm(time.Duration(w.now-w.messageAge) * step)
 	}
 	return true
 }
 
-// violation reports whether a request that is sent now would run although it must not.
-func (w *world) violation() bool {
+// isViolated reports whether a request that is sent now would run although it must not.
+func (w *modelState) isViolated() bool {
 	isLate := w.revoked >= 0 && w.now-w.revoked > modelBound
-	return isLate && w.proof.Holds(time.Duration(w.now)*step) && !w.knowsGone
+	return isLate && w.proof.Holds(time.Duration(w.now)*step) && !w.isRevocationApplied
 }
 
-// explore plays all orders and returns the first that breaks the rule.
-func explore(w world, depth int, order []action) []action {
-	if w.violation() {
-		return order
+// explore explores all sequences and returns the first one that violates the rule.
+func explore(w modelState, depth int, sequence []action) []action {
+	if w.isViolated() {
+		return sequence
 	}
 	if depth == 0 {
 		return nil
 	}
-	for a := range actions {
+	for a := range actionCount {
 		next := w
 		if !next.apply(a) {
 			continue
 		}
-		if found := explore(next, depth-1, append(order[:len(order):len(order)], a)); found != nil {
+		if found := explore(next, depth-1, append(sequence[:len(sequence):len(sequence)], a)); found != nil {
 			return found
 		}
 	}
 	return nil
 }
 
-// start is a gateway that has just read a configuration with the key; some time has passed.
-func start(usesWords bool) world {
-	w := world{revoked: -1, proof: New(modelBound * step), usesWords: usesWords}
+// initialState is a gateway that has just read a configuration with the key.
+func initialState(isPeerTrusted bool) modelState {
+	w := modelState{revoked: -1, proof: New(modelBound * step), isPeerTrusted: isPeerTrusted}
 	w.proof.Confirm(0)
 	return w
 }
 
-// Use of a revoked key: no order of events lets a request run by it later than the bound.
-func TestNoOrderRunsARequestByARevokedKey(t *testing.T) {
-	w := start(false)
+// Guards against use of a revoked key: no sequence of events admits a request with it later than the bound.
+func TestNoSequenceAdmitsARevokedKeyAfterTheBound(t *testing.T) {
+	w := initialState(false)
 	for range modelBound {
 		if found := explore(w, modelDepth, nil); found != nil {
 			t.Fatalf("after %d steps: %v", w.now, found)
@@ -154,13 +156,13 @@
 	}
 }
 
-// Use of a revoked key: if the word of peers counted as proof, one that lies in the socket while the host is suspended would be
-// believed to be young.
-func TestTheWordOfPeersProvesNothing(t *testing.T) {
-	w := start(true)
+// Guards against use of a revoked key: if messages of peers counted as proof, one that stays in the socket
+// buffer while the host is suspended would count as recent.
+func TestPeerMessagesAreUnsafeAsProof(t *testing.T) {
+	w := initialState(true)
 	found := explore(w, modelDepth, nil)
 	if found == nil {
-		t.Fatal("the model does not find that the word of peers is unsafe")
+		t.Fatal("the model does not detect that messages of peers are unsafe as proof")
 	}
 	t.Log(found)
 }
