--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy names the mechanisms by which gateways decide, so that each can be switched off by itself and what it is worth
-// be measured. The table of these measurements is in docs/POLICIES.md.
+// Package policy names the mechanisms by which gateways decide. Each can be disabled separately, so that its
+// effect can be measured. The table of these measurements is in docs/POLICIES.md.
 package policy
 
 import (
@@ -9,40 +9,48 @@
 	"arbutusramp/core/errs"
 )
 
-// Name is that of one mechanism.
+// Name is the name of one mechanism.
 type Name string
 
-// The mechanisms.
+// The mechanisms. Each comment says what happens while the mechanism is off.
 const (
-	// ComeBack tells callers who would be late when to come back; off, they are sent on.
+	// ComeBack rejects first attempts that would be late, with a time to retry after; off, they are sent to a
+	// target.
 	ComeBack Name = "come-back"
-	// Hold keeps those who were sent away before until there is room; off, they are sent on.
+	// Hold queues second attempts until there is capacity; off, they are sent to a target.
 	Hold Name = "hold"
-	// GiveWay cuts off batch items whose slots online requests need; off, these wait.
+	// GiveWay preempts batch items whose slots online requests need; off, online requests wait for these
+	// slots.
 	GiveWay Name = "give-way"
-	// Turns has gateways start batch items in turns; off, all start one in the same free slot.
+	// Turns makes gateways start batch items in turns; off, all start one in the same free slot.
 	Turns Name = "turns"
-	// InTimeFirst starts items that can be in time before those that can't; off, they go by rank and due time.
+	// InTimeFirst starts items that can meet their due time before those that cannot; off, the order is rank
+	// and due time.
 	InTimeFirst Name = "in-time-first"
-	// OwnDomain prefers targets of the own failure domain; off, all are alike.
+	// OwnDomain prefers targets of the gateway's own failure domain; off, all domains are equal.
 	OwnDomain Name = "own-domain"
-	// PeerLoads counts what other gateways have at targets; off, each knows its own requests alone.
+	// PeerLoads counts the loads of other gateways at targets; off, each gateway counts only its own
+	// requests.
 	PeerLoads Name = "peer-loads"
-	// PeerWord suspects targets that have failed other gateways; off, each finds out by itself.
+	// PeerWord suspects targets that have failed other gateways; off, each gateway detects failures itself.
 	PeerWord Name = "peer-word"
-	// Silence suspects targets that send nothing; off, only failed connections and answers tell.
+	// Silence suspects targets that send nothing; off, only failed connections and answers count.
 	Silence Name = "silence"
-	// LearnedSilence derives from a service's answers how long is silent; off, one time holds for all.
+	// LearnedSilence derives the silence limit from the event times of a service; off, one limit applies to
+	// all services.
 	LearnedSilence Name = "learned-silence"
-	// Checkpoints writes how far running items have come; off, only owners that stop write it.
+	// Checkpoints records the progress of running items regularly; off, only owners that stop record it.
 	Checkpoints Name = "checkpoints"
-	// StorePeers reaches a lost store through other gateways; off, a gateway that has lost it waits.
+	// StorePeers reaches an unreachable store through other gateways; off, a gateway waits until it reaches
+	// the store itself.
 	StorePeers Name = "store-peers"
-	// Relays has one gateway of each domain pass reports on; off, each tells each other one.
+	// Relays makes one gateway of each domain forward reports; off, each gateway sends its reports to every
+	// other one.
 	Relays Name = "relays"
-	// Quarantine sends requests under which targets have crashed to no more targets; off, they are sent on.
+	// Quarantine sends a request that has crashed targets to no further ones; off, it is still sent.
 	Quarantine Name = "quarantine"
-	// QuarantineScopes holds back also what such requests have in common with others; off, each content counts alone.
+	// QuarantineScopes also quarantines the scopes that such requests share with others; off, each content
+	// counts by itself.
 	QuarantineScopes Name = "quarantine-scopes"
 )
 
@@ -54,22 +62,22 @@
 	}
 }
 
-// Off is the set of mechanisms that are switched off. The zero value has all on.
+// Off is the set of disabled mechanisms. In the zero value all are enabled.
 type Off map[Name]bool
 
-// Parse reads names. Error: errs.BadSettings.
+// Parse parses names of mechanisms. Error: errs.BadSettings.
 func Parse(names []string) (Off, error) {
 	off := make(Off, len(names))
 	for _, n := range names {
 		if !slices.Contains(All(), Name(n)) {
-			return nil, errs.Newf(errs.BadSettings, "%q is no mechanism; there are %s", n, Names())
+			return nil, errs.Newf(errs.BadSettings, "%q is not a mechanism; the mechanisms are %s", n, Names())
 		}
 		off[Name(n)] = true
 	}
 	return off, nil
 }
 
-// Names returns the names of all mechanisms for a message.
+// Names returns the names of all mechanisms, for a message.
 func Names() string {
 	var list []string
 	for _, n := range All() {
@@ -78,5 +86,5 @@
 	return strings.Join(list, ", ")
 }
 
-// Allows says whether a mechanism is on.
+// Allows reports whether a mechanism is enabled.
 func (o Off) Allows(n Name) bool { return !o[n] }
