--- a/core/fleet/batch.go
+++ b/core/fleet/batch.go
@@ -50,11 +50,11 @@
 
 // canStart reports whether a slot of a target is free for a gateway with that many gateways ahead of it.
 func (f *Fleet) canStart(now time.Time, c candidate, ahead int) bool {
-	startable := c.freeSlots() - f.opts.StartSpare
-	if startable <= 0 {
+	batchSlots := c.freeSlots() - f.opts.StartSpare
+	if batchSlots <= 0 {
 		return false
 	}
-	withoutSlot := ahead - (startable - 1) // gateways ahead that have no slot of their own at this target
+	withoutSlot := ahead - (batchSlots - 1) // gateways ahead that have no slot of their own at this target
 	return withoutSlot <= 0 || now.Sub(c.target.freeSince) >= time.Duration(withoutSlot)*staggerInterval
 }
 
@@ -106,7 +106,7 @@
 		return 0
 	}
 	holders := f.batchHolders(ts)
-	own := 0
+	ownCount := 0
 	for excess > 0 {
 		slices.SortFunc(holders, func(a, b batchHolder) int {
 			return cmp.Or(cmp.Compare(b.items, a.items), cmp.Compare(hashPair(string(a.peer), ts.ID), hashPair(string(b.peer), ts.ID)))
@@ -116,11 +116,11 @@
 		}
 		holders[0].items--
 		if holders[0].peer == f.opts.Self {
-			own++
+			ownCount++
 		}
 		excess--
 	}
-	return own
+	return ownCount
 }
 
 func (f *Fleet) batchHolders(ts *targetState) []batchHolder {
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -306,17 +306,17 @@
 // another has clearly more free slots.
 func TestBatchItemsPreferTheOwnDomain(t *testing.T) {
 	cases := []struct {
-		near, far int // requests at the targets
-		want      string
+		ownDomain, otherDomain int // requests at the targets
+		want                   string
 	}{
 		{0, 0, "t0"}, {1, 0, "t0"}, {2, 0, "t0"}, {testSlots, 0, "t1"}, {testSlots, testSlots - 1, "t1"}, {testSlots - 1, testSlots, "t0"},
 	}
 	for _, c := range cases {
 		f := testFleet("self", 2)
-		begin(f, "t0", structs.ClassOnline, c.near)
-		begin(f, "t1", structs.ClassOnline, c.far)
+		begin(f, "t0", structs.ClassOnline, c.ownDomain)
+		begin(f, "t1", structs.ClassOnline, c.otherDomain)
 		if got, ok := f.PickBatch(start, "llm", nil); !ok || got.Target.ID != c.want {
-			t.Errorf("with %d near and %d far: %s, %v", c.near, c.far, got.Target.ID, ok)
+			t.Errorf("with %d in the own domain and %d in the other: %s, %v", c.ownDomain, c.otherDomain, got.Target.ID, ok)
 		}
 	}
 }
--- a/core/fleet/pace.go
+++ b/core/fleet/pace.go
@@ -17,7 +17,7 @@
 	silenceGapFactor        = 12
 	silenceFirstEventFactor = 4
 	// minSilenceLimit and maxSilenceLimit bound the derived limit: a lost packet is retransmitted after 200
-	// ms, and callers leave after two seconds without an event.
+	// ms, and callers give up after two seconds without an event.
 	minSilenceLimit = 300 * time.Millisecond
 	maxSilenceLimit = 1800 * time.Millisecond
 )
@@ -28,7 +28,7 @@
 	eventGap   time.Duration // between two events; 0 if unknown
 }
 
-// updateMean adds an observation to a mean; a mean of 0 has none yet.
+// updateMean adds an observation to a mean; a mean of 0 has no observations yet.
 func updateMean(mean *time.Duration, d time.Duration) {
 	if *mean == 0 {
 		*mean = d
@@ -38,16 +38,16 @@
 }
 
 // FirstEvent records the time that a stream of a service took to its first event.
-func (f *Fleet) FirstEvent(service string, took time.Duration) {
+func (f *Fleet) FirstEvent(service string, elapsed time.Duration) {
 	p := f.timings[service]
-	updateMean(&p.firstEvent, took)
+	updateMean(&p.firstEvent, elapsed)
 	f.timings[service] = p
 }
 
 // NextEvent records the time between two events of a stream.
-func (f *Fleet) NextEvent(service string, pause time.Duration) {
+func (f *Fleet) NextEvent(service string, gap time.Duration) {
 	p := f.timings[service]
-	updateMean(&p.eventGap, pause)
+	updateMean(&p.eventGap, gap)
 	f.timings[service] = p
 }
 
--- a/core/fleet/pick.go
+++ b/core/fleet/pick.go
@@ -45,8 +45,8 @@
 	return fmt.Sprintf("%s %s online=%d batch=%d slots=%d peers=%d", c.Target.ID, c.Why, c.Load.Online, c.Load.Batch, c.Target.Slots, c.Peers)
 }
 
-func (f *Fleet) choice(c candidate, why string) Choice {
-	return Choice{Target: c.target.Target, Load: c.load, Peers: len(f.peers), Why: why}
+func (f *Fleet) choice(c candidate, reason string) Choice {
+	return Choice{Target: c.target.Target, Load: c.load, Peers: len(f.peers), Why: reason}
 }
 
 // PickOnline chooses the target for an online request; ok is false when there is no candidate. Healthy
@@ -54,7 +54,7 @@
 func (f *Fleet) PickOnline(now time.Time, service string, tried []string) (c Choice, ok bool) {
 	stages := []struct {
 		isUsable func(*targetState) bool
-		note     string
+		suffix   string
 	}{
 		{func(ts *targetState) bool { return ts.health.state(now) == healthy }, ""},
 		{func(ts *targetState) bool { return ts.health.state(now) == probation }, " on probation"},
@@ -66,7 +66,7 @@
 			continue
 		}
 		chosen := bestCandidate(list)
-		return f.choice(chosen, tierNames[chosen.tier()]+stage.note), true
+		return f.choice(chosen, tierNames[chosen.tier()]+stage.suffix), true
 	}
 	return Choice{}, false
 }
@@ -105,9 +105,9 @@
 	}
 }
 
-// domainCostBonus is how many more requests a target in the gateway's own failure domain may have than one in
-// another domain and still be preferred.
-const domainCostBonus = 2
+// onlineDomainBonus is how many more requests a target in the gateway's own failure domain may have than one
+// in another domain and still be preferred.
+const onlineDomainBonus = 2
 
 // cost is the load in requests. Where a slot is free, batch items count in full, because they use memory and
 // step time; at a full target they are preempted anyway.
@@ -117,7 +117,7 @@
 		cost = c.load.total()
 	}
 	if !c.isSameDomain {
-		cost += domainCostBonus
+		cost += onlineDomainBonus
 	}
 	return cost
 }
--- a/core/fleet/wait.go
+++ b/core/fleet/wait.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Held records how long an online request of a service has held its slot. It is called only for requests that
-// did not wait for a slot: for others the gateway does not know when they began to run.
+// did not wait for a slot: for others the time at which they began to run is unknown.
 func (f *Fleet) Held(service string, d time.Duration) {
 	mean := f.holdTimes[service]
 	updateMean(&mean, d)
--- a/core/freshness/freshness.go
+++ b/core/freshness/freshness.go
@@ -27,9 +27,9 @@
 func New(bound time.Duration) Proof { return Proof{bound: bound} }
 
 // Confirm records that a read which began at that time has returned the newest configuration.
-func (p *Proof) Confirm(began time.Duration) {
-	if !p.isConfirmed || began > p.readStart {
-		p.readStart, p.isConfirmed = began, true
+func (p *Proof) Confirm(readStart time.Duration) {
+	if !p.isConfirmed || readStart > p.readStart {
+		p.readStart, p.isConfirmed = readStart, true
 	}
 }
 
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -6,9 +6,9 @@
 // arrives some milliseconds late; what peers admit in the meantime is a debt of the bucket, which is repaid
 // before anything else is admitted.
 //
-// A gateway that receives no reports from some of its peers does not know what they admit. It then uses only
-// the share of each bucket that belongs to itself and to the peers whose reports it receives, so that all
-// sides of a partition together stay within one bucket.
+// A gateway that receives no reports from some of its peers has no count of what they admit. It then uses
+// only the share of each bucket that belongs to itself and to the peers whose reports it receives, so that
+// all sides of a partition together stay within one bucket.
 package quota
 
 import (
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -87,9 +87,9 @@
 	if len(a.Counts()) != 0 {
 		t.Error("a count is reported too often")
 	}
-	left, _ := admitAll(b, now)
-	if full, _ := admitAll(fullLedger(now), now); left != full-2 {
-		t.Errorf("%d of %d left after two admissions of a peer", left, full)
+	remaining, _ := admitAll(b, now)
+	if full, _ := admitAll(fullLedger(now), now); remaining != full-2 {
+		t.Errorf("%d of %d left after two admissions of a peer", remaining, full)
 	}
 }
 
@@ -178,16 +178,16 @@
 // Guards against a restarted process that spends again what its peers have spent: it starts with at most
 // one token per bucket if its peers were running before.
 func TestJoiningGatewayStartsWithoutBurst(t *testing.T) {
-	joins := New(start, options())
-	joins.Apply(start, "a", Report{Start: "1"})
-	joins.SetQuotas(start, limited("w"))
-	if n, _ := admitAll(joins, start); n > 1 {
+	joining := New(start, options())
+	joining.Apply(start, "a", Report{Start: "1"})
+	joining.SetQuotas(start, limited("w"))
+	if n, _ := admitAll(joining, start); n > 1 {
 		t.Errorf("%d admitted while joining running peers", n)
 	}
-	together := New(start, options())
-	together.Apply(start, "a", Report{Start: "1", IsFirst: true})
-	together.SetQuotas(start, limited("w"))
-	if n, _ := admitAll(together, start); n < burst/2 {
+	simultaneous := New(start, options())
+	simultaneous.Apply(start, "a", Report{Start: "1", IsFirst: true})
+	simultaneous.SetQuotas(start, limited("w"))
+	if n, _ := admitAll(simultaneous, start); n < burst/2 {
 		t.Errorf("%d admitted after all gateways started together", n)
 	}
 }
--- a/core/quota/sim_test.go
+++ b/core/quota/sim_test.go
@@ -55,7 +55,7 @@
 
 type simGateway struct {
 	isDown         bool
-	starts         int
+	startCount     int
 	storeLostSince time.Time // zero while it reaches the store
 }
 
@@ -129,9 +129,9 @@
 	if s.partitionSide[from] != s.partitionSide[to] || s.rng.Float64() < simLossRate {
 		return
 	}
-	starts := s.gateways[to].starts
+	startCount := s.gateways[to].startCount
 	s.after(simNetworkDelay+time.Duration(s.rng.IntN(2))*time.Millisecond, func() {
-		if g := s.gateways[to]; !g.isDown && g.starts == starts && s.partitionSide[from] == s.partitionSide[to] {
+		if g := s.gateways[to]; !g.isDown && g.startCount == startCount && s.partitionSide[from] == s.partitionSide[to] {
 			deliver()
 		}
 	})
@@ -223,14 +223,14 @@
 // excess is the largest number of requests admitted in any window beyond what is allowed in it.
 func (l *simLoad) excess(o Options) float64 {
 	allowed := (l.quota.PerSecond*o.Window.Seconds()+l.quota.Burst)*(1+o.Excess) + o.Slack
-	most, from := 0, 0
+	largest, from := 0, 0
 	for i, at := range l.admitted {
 		for at.Sub(l.admitted[from]) > o.Window {
 			from++
 		}
-		most = max(most, i-from+1)
+		largest = max(largest, i-from+1)
 	}
-	return float64(most) - allowed
+	return float64(largest) - allowed
 }
 
 // faultKind is the kind of fault injected into the gateways of a run.
@@ -358,15 +358,15 @@
 	})
 }
 
-func (s *simulation) kill(i int, down time.Duration) {
+func (s *simulation) kill(i int, downtime time.Duration) {
 	g := s.gateways[i]
 	if g.isDown {
 		return
 	}
 	g.isDown = true
-	g.starts++
+	g.startCount++
 	s.strategy.gatewayStopped(s, i)
-	s.after(down, func() {
+	s.after(downtime, func() {
 		g.isDown = false
 		s.strategy.gatewayStarted(s, i)
 	})
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -20,10 +20,10 @@
 const stopDetectionDelay = peerSilenceLimit + 2*simNetworkDelay
 
 func (r *reportedCounts) gatewayStopped(s *simulation, gateway int) {
-	starts := s.gateways[gateway].starts
+	startCount := s.gateways[gateway].startCount
 	s.after(stopDetectionDelay, func() {
 		for i, l := range r.ledgers {
-			if s.gateways[gateway].isDown && s.gateways[gateway].starts == starts && s.partitionSide[i] == s.partitionSide[gateway] {
+			if s.gateways[gateway].isDown && s.gateways[gateway].startCount == startCount && s.partitionSide[i] == s.partitionSide[gateway] {
 				l.Forget(s.now, simPeer(gateway))
 			}
 		}
@@ -47,7 +47,7 @@
 		}
 	}
 	r.ledgers[gateway] = l
-	r.report(s, gateway, s.gateways[gateway].starts, 0)
+	r.report(s, gateway, s.gateways[gateway].startCount, 0)
 }
 
 func simPeer(i int) Peer { return Peer(fmt.Sprint(i)) }
@@ -60,21 +60,21 @@
 	simFirstReports    = 20 // number of reports after a start with IsFirst set
 )
 
-func (r *reportedCounts) report(s *simulation, from, starts, n int) {
-	if s.gateways[from].starts != starts {
+func (r *reportedCounts) report(s *simulation, from, startCount, n int) {
+	if s.gateways[from].startCount != startCount {
 		return // the gateway has restarted since
 	}
-	report := Report{Start: fmt.Sprint(starts), IsFirst: n < simFirstReports, Counts: r.ledgers[from].Counts()}
+	report := Report{Start: fmt.Sprint(startCount), IsFirst: n < simFirstReports, Counts: r.ledgers[from].Counts()}
 	for to := range s.gateways {
 		if to != from {
 			s.send(from, to, func() { r.ledgers[to].Apply(s.now, simPeer(from), report) })
 		}
 	}
-	r.awaitChange(s, from, starts, n+1, simRefreshInterval)
+	r.awaitChange(s, from, startCount, n+1, simRefreshInterval)
 }
 
 // awaitChange sends the next report as soon as a count has changed, or when the remaining time has passed.
-func (r *reportedCounts) awaitChange(s *simulation, from, starts, n int, remaining time.Duration) {
+func (r *reportedCounts) awaitChange(s *simulation, from, startCount, n int, remaining time.Duration) {
 	s.after(simReportInterval, func() {
 		for _, b := range r.ledgers[from].buckets {
 			if b.reportsLeft > 0 {
@@ -82,10 +82,10 @@
 			}
 		}
 		if remaining <= simReportInterval {
-			r.report(s, from, starts, n)
+			r.report(s, from, startCount, n)
 			return
 		}
-		r.awaitChange(s, from, starts, n, remaining-simReportInterval)
+		r.awaitChange(s, from, startCount, n, remaining-simReportInterval)
 	})
 }
 
@@ -114,11 +114,11 @@
 
 func (f *fixedShare) gatewayStarted(s *simulation, gateway int) {
 	f.buckets[gateway] = make(map[string]*bucket)
-	part := 1 / float64(len(s.gateways))
+	share := 1 / float64(len(s.gateways))
 	for i := range s.loads {
 		b := &bucket{quota: s.loads[i].quota, refilledAt: s.now}
 		b.headroom = s.options.headroom(b.quota)
-		b.tokens = b.capacity(part)
+		b.tokens = b.capacity(share)
 		f.buckets[gateway][s.loads[i].name] = b
 	}
 }
--- a/core/serving/target.go
+++ b/core/serving/target.go
@@ -10,5 +10,5 @@
 	Addr     string // IP:port
 	Domain   string // failure domain
 	Slots    int    // requests that it processes at once
-	Draining bool   // it is about to leave and gets no new requests
+	Draining bool   // it is being removed and gets no new requests
 }
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -64,11 +64,11 @@
 
 // maxQueueTime is how long the request may be queued.
 func (r Request) maxQueueTime() time.Duration {
-	stay := r.IdleTimeout
-	if stay == 0 || r.Remaining > 0 && r.Remaining < stay {
-		stay = r.Remaining
+	timeLeft := r.IdleTimeout
+	if timeLeft == 0 || r.Remaining > 0 && r.Remaining < timeLeft {
+		timeLeft = r.Remaining
 	}
-	return time.Duration(maxQueueTimeShare * float64(stay))
+	return time.Duration(maxQueueTimeShare * float64(timeLeft))
 }
 
 // retryAfter is when the caller should retry: once a slot is expected to be free, not before engines have had
@@ -174,7 +174,7 @@
 // IsExpired reports whether the request has reached its maximum queue time.
 func (q *QueuedRequest) IsExpired(now time.Time) bool { return !now.Before(q.expiresAt) }
 
-// Dequeue removes a queued request that is sent or whose caller has left. An expired request that is sent
+// Dequeue removes a queued request that is sent or whose caller has given up. An expired request that is sent
 // without free capacity does not count as an observation of the dequeue rate.
 func (c *Controller) Dequeue(now time.Time, q *QueuedRequest, isAdmitted bool) {
 	for i, other := range c.queue {
--- a/core/shed/shed_test.go
+++ b/core/shed/shed_test.go
@@ -50,7 +50,7 @@
 	var d Controller
 	r := typicalRequest()
 	r.Wait = 400 * ms
-	perTenth := make(map[time.Duration]int)
+	retriesPer100ms := make(map[time.Duration]int)
 	const callers = 200
 	for i := range callers {
 		now := start.Add(time.Duration(i) * 2 * ms)
@@ -58,9 +58,9 @@
 		if got.Verdict != RetryLater || got.After < 1200*ms || got.After > r.Remaining/LeftShare {
 			t.Fatalf("caller %d: %v after %v", i, got.Verdict, got.After)
 		}
-		perTenth[now.Add(got.After).Sub(start).Truncate(100*ms)]++
+		retriesPer100ms[now.Add(got.After).Sub(start).Truncate(100*ms)]++
 	}
-	for at, n := range perTenth {
+	for at, n := range retriesPer100ms {
 		if n > callers/4 {
 			t.Errorf("%d of %d retry within 100 ms, after %v", n, callers, at)
 		}
@@ -68,7 +68,7 @@
 }
 
 // Guards against second attempts that take slots from requests able to meet their goal in a lasting overload,
-// so that all are late. That happens when second attempts are sent whatever the lengths of the engines'
+// so that all are late. That happens when second attempts are sent regardless of the lengths of the engines'
 // queues.
 func TestQueuedRequestsYieldToFirstAttempts(t *testing.T) {
 	var d Controller
--- a/core/shed/timeouts.go
+++ b/core/shed/timeouts.go
@@ -17,8 +17,8 @@
 	// maxSamples is how many requests of a route are counted before all counts are halved, because callers
 	// change.
 	maxSamples = 400
-	// maxRoutes bounds the number of tracked routes. Routes come and go; beyond the bound all are learned
-	// anew.
+	// maxRoutes bounds the number of tracked routes. Routes are added and removed; beyond the bound all
+	// samples are dropped and collected again.
 	maxRoutes = 4096
 )
 
