--- a/core/fleet/batch.go
+++ b/core/fleet/batch.go
@@ -54,8 +54,8 @@
 	if batchSlots <= 0 {
 		return false
 	}
-	withoutSlot := ahead - (batchSlots - 1) // gateways ahead that have no slot of their own at this target
-	return withoutSlot <= 0 || now.Sub(c.target.freeSince) >= time.Duration(withoutSlot)*staggerInterval
+	gatewaysWithoutSlot := ahead - (batchSlots - 1) // gateways ahead that have no slot of their own at this target
+	return gatewaysWithoutSlot <= 0 || now.Sub(c.target.freeSince) >= time.Duration(gatewaysWithoutSlot)*staggerInterval
 }
 
 // gatewaysAhead is how many gateways start batch items before this one.
@@ -77,7 +77,7 @@
 func (f *Fleet) Preempt(now time.Time) map[string]int {
 	f.expirePeers(now)
 	preempted := make(map[string]int)
-	for id, ts := range f.withOwnBatch {
+	for id, ts := range f.ownBatchTargets {
 		if ts.Draining || ts.health.state(now) == suspect {
 			preempted[id] = ts.ownLoad.Batch
 			continue
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -46,10 +46,10 @@
 type Fleet struct {
 	opts    Options
 	targets map[string]*targetState // by target id
-	// withOwnBatch holds the targets at which this gateway has batch items, out of what may be many hundred
-	// targets.
-	withOwnBatch map[string]*targetState
-	peers        map[Peer]*peer
+	// ownBatchTargets holds the targets at which this gateway has batch items, out of what may be many
+	// hundred targets.
+	ownBatchTargets map[string]*targetState
+	peers           map[Peer]*peer
 	// nextExpiry is a time before which no peer can expire; zero until it is computed.
 	nextExpiry time.Time
 	demand     Demand
@@ -107,7 +107,7 @@
 
 // New returns an empty view.
 func New(o Options) *Fleet {
-	return &Fleet{opts: o, targets: make(map[string]*targetState), withOwnBatch: make(map[string]*targetState), peers: make(map[Peer]*peer), holdTimes: make(map[string]time.Duration), timings: make(map[string]eventTiming)}
+	return &Fleet{opts: o, targets: make(map[string]*targetState), ownBatchTargets: make(map[string]*targetState), peers: make(map[Peer]*peer), holdTimes: make(map[string]time.Duration), timings: make(map[string]eventTiming)}
 }
 
 // Put adds a target or applies a change to it.
@@ -128,7 +128,7 @@
 // Remove drops a target. Requests that it still has end by themselves.
 func (f *Fleet) Remove(id string) {
 	delete(f.targets, id)
-	delete(f.withOwnBatch, id)
+	delete(f.ownBatchTargets, id)
 }
 
 // Targets returns all listed targets.
@@ -157,13 +157,13 @@
 	}
 }
 
-// trackOwnBatch adds a target to withOwnBatch or removes it, by this gateway's load there.
+// trackOwnBatch adds a target to ownBatchTargets or removes it, by this gateway's load there.
 func (f *Fleet) trackOwnBatch(id string, ts *targetState) {
 	if ts.ownLoad.Batch == 0 {
-		delete(f.withOwnBatch, id)
+		delete(f.ownBatchTargets, id)
 		return
 	}
-	f.withOwnBatch[id] = ts
+	f.ownBatchTargets[id] = ts
 }
 
 // updateLoad applies a change to the loads and records when slots become free by it.
--- a/core/fleet/peers_test.go
+++ b/core/fleet/peers_test.go
@@ -51,13 +51,13 @@
 			t.Fatalf("step %d: peer %s still counts after a silence of %v", step, name, now.Sub(p.lastSeen))
 		}
 	}
-	for id := range f.withOwnBatch {
+	for id := range f.ownBatchTargets {
 		if f.targets[id] == nil {
 			t.Fatalf("step %d: removed target %s is listed with items of this gateway", step, id)
 		}
 	}
 	for id, ts := range f.targets {
-		if got, want := f.withOwnBatch[id] == ts, ts.ownLoad.Batch > 0; got != want {
+		if got, want := f.ownBatchTargets[id] == ts, ts.ownLoad.Batch > 0; got != want {
 			t.Fatalf("step %d: target %s has %d items of this gateway, listed: %v", step, id, ts.ownLoad.Batch, got)
 		}
 		var sum Load
--- a/core/quota/sim_test.go
+++ b/core/quota/sim_test.go
@@ -59,7 +59,7 @@
 	storeLostSince time.Time // zero while it reaches the store
 }
 
-// revokeWithin is how long a gateway that has lost the store may rely on keys.
+// revokeWithin is how long a gateway that has lost the store may accept API keys.
 const revokeWithin = 5 * time.Second
 
 // isEntitled reports whether callers of the gateway are entitled to service. They are not once the store has
@@ -77,7 +77,7 @@
 // simResult is the outcome of a run.
 type simResult struct {
 	entitled int     // requests within the limit
-	rejected int     // of these, rejected
+	rejected int     // of these, not admitted
 	excess   float64 // most admitted in any window beyond the bound, in requests; negative below it
 	messages int
 }
--- a/core/shed/fairness_test.go
+++ b/core/shed/fairness_test.go
@@ -26,8 +26,8 @@
 	stepInterval   = 10 * ms
 )
 
-// fairnessSim plays that load in steps of stepInterval against one controller and slots that serve in order
-// of arrival.
+// fairnessSim simulates that load in steps of stepInterval against one controller and slots that serve in
+// order of arrival.
 type fairnessSim struct {
 	rng             *rand.Rand
 	now             time.Time
@@ -88,7 +88,7 @@
 	if c.ledger != nil {
 		d := c.ledger.Admit(c.now, workspaceName(x.workspace))
 		if !d.IsAdmitted {
-			return // requests over the quota are not counted as owed
+			return // requests over the quota have no claim to service
 		}
 		x.isNearLimit = d.IsNearLimit
 	}
--- a/core/shed/shed_test.go
+++ b/core/shed/shed_test.go
@@ -100,7 +100,7 @@
 // That happens when capacity usable by new requests is reserved for them throughout the overload. A queued
 // request must be sent while its caller still waits, and one for which that is not expected must be rejected
 // immediately.
-func TestQueuedRequestsAreSentBeforeTheyExpire(t *testing.T) {
+func TestQueuedRequestsAreSentWithinMaxQueueTime(t *testing.T) {
 	var d Controller
 	retry := typicalRequest()
 	retry.Wait, retry.Remaining = 300*ms, 3800*ms
