--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -12,19 +12,21 @@
 )
 
 const (
-	// queuePollInterval is how often a queued request looks for room. A slot is held for some hundred milliseconds.
+	// queuePollInterval is how often a queued request checks for a free slot. A request holds a slot for a few
+	// hundred milliseconds.
 	queuePollInterval = 10 * time.Millisecond
-	// maxControllers bounds the services that are known. Services come and go; with more, all are learned anew.
+	// maxControllers bounds the number of services with a controller. Services come and go. At the bound all
+	// controllers are dropped and start again without history.
 	maxControllers = 1024
 )
 
-// controller is a service's shed.Controller under a lock.
+// controller is the shed.Controller of one service, guarded by a mutex.
 type controller struct {
 	mu sync.Mutex
 	shed.Controller
 }
 
-// controllers are those of all services.
+// controllers holds the controller of each service. It is safe for concurrent use.
 type controllers struct {
 	off       policy.Off
 	mu        sync.Mutex
@@ -35,53 +37,57 @@
 	return &controllers{off: off, byService: make(map[string]*controller)}
 }
 
-func (d *controllers) of(service string) *controller {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	got, ok := d.byService[service]
+// get returns the controller of a service and creates it on first use.
+func (l *controllers) get(service string) *controller {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c, ok := l.byService[service]
 	if !ok {
-		if len(d.byService) >= maxControllers {
-			clear(d.byService)
+		if len(l.byService) >= maxControllers {
+			clear(l.byService)
 		}
-		got = &controller{Controller: shed.Controller{Off: d.off}}
-		d.byService[service] = got
+		c = &controller{Controller: shed.Controller{Off: l.off}}
+		l.byService[service] = c
 	}
-	return got
+	return c
 }
 
-// admit returns once the request may be sent to a target. Nothing of it has been sent anywhere before. Errors:
-// errs.Overloaded (its caller should come back, or it can't be served), the end of ctx.
+// admit returns nil once the request may be sent to a target. No part of the request is sent anywhere before.
+// Errors: errs.Overloaded, if the caller should retry later or the request can't be served, and the error of
+// ctx.
 func (x *exchange) admit(ctx context.Context) error {
-	left := x.callerLeft()
-	full := x.gw.timeouts.Note(x.route.Name, left)
-	r := x.outlook(full)
-	d := x.gw.controllers.of(x.service)
-	d.mu.Lock()
-	decision := d.Arrive(time.Now(), r)
-	d.mu.Unlock()
-	x.noteVerdict(decision.Verdict, r)
+	timeLeft := x.callerTimeLeft()
+	initialTimeout := x.gw.timeouts.Note(x.route.Name, timeLeft)
+	request := x.newShedRequest(initialTimeout)
+	ctrl := x.gw.controllers.get(x.service)
+	ctrl.mu.Lock()
+	decision := ctrl.Arrive(time.Now(), request)
+	ctrl.mu.Unlock()
+	x.logVerdict(decision.Verdict, request)
 	switch decision.Verdict {
 	case shed.Send:
 		return nil
 	case shed.Queue:
-		return x.queue(ctx, d, decision.Queued, full)
+		return x.queue(ctx, ctrl, decision.Queued, initialTimeout)
 	}
-	e := errs.Newf(errs.Overloaded, "%s: a slot is expected to be free after %d ms, an answer is wanted within %d ms",
-		decision.Verdict, r.Wait.Milliseconds(), r.Goal.Milliseconds())
-	return e.WithRetry(decision.After)
+	err := errs.Newf(errs.Overloaded, "%s: a slot is expected to be free after %d ms, the route's goal for an answer is %d ms",
+		decision.Verdict, request.Wait.Milliseconds(), request.Goal.Milliseconds())
+	return err.WithRetry(decision.After)
 }
 
-// outlook is what the request may expect now.
-func (x *exchange) outlook(full time.Duration) shed.Request {
-	p := x.gw.view.Prospect(x.service)
+// newShedRequest returns what the admission decision depends on: the current prospects of the service and the
+// limits of the request and its route.
+func (x *exchange) newShedRequest(initialTimeout time.Duration) shed.Request {
+	prospect := x.gw.view.Prospect(x.service)
 	return shed.Request{
-		Wait: p.Wait, Hold: p.Hold, Pace: p.Pace, Goal: x.route.Goal,
-		Remaining: x.callerLeft(), InitialTimeout: full, IdleTimeout: x.route.Stay, HigherRanks: x.higherRanks(),
+		Wait: prospect.Wait, Hold: prospect.Hold, Pace: prospect.Pace, Goal: x.route.Goal,
+		Remaining: x.callerTimeLeft(), InitialTimeout: initialTimeout, IdleTimeout: x.route.Stay, HigherRanks: x.higherRanks(),
 	}
 }
 
-// higherRanks is how many ranks of requests go before this one in an overload. Those of workspaces that are about to go over their
-// quota give way to all of their own rank, so that a loud workspace does not push out the others before its quota binds.
+// higherRanks returns the number of request ranks that take precedence over this request in an overload. A
+// request of a workspace that is close to its quota yields to all others of its own rank, so that a workspace
+// with many requests does not displace the others before its quota applies.
 func (x *exchange) higherRanks() int {
 	n := x.route.HigherRanks(x.req.Caller.RankOn(x.route))
 	if x.isNearLimit {
@@ -90,52 +96,54 @@
 	return n
 }
 
-// queue keeps the request until there is room for it.
-func (x *exchange) queue(ctx context.Context, d *controller, t *shed.QueuedRequest, full time.Duration) error {
+// queue holds the request until a slot is free for it. It returns the error of ctx if ctx ends first.
+func (x *exchange) queue(ctx context.Context, ctrl *controller, queued *shed.QueuedRequest, initialTimeout time.Duration) error {
 	began := time.Now()
-	defer func() { x.stages.held = time.Since(began) }()
+	defer func() { x.stages.queueTime = time.Since(began) }()
 	for {
 		if !sleep.For(ctx, queuePollInterval) {
-			d.dequeue(t, false)
+			ctrl.dequeue(queued, false)
 			return ctx.Err()
 		}
-		if d.canRecheck(t) && d.recheck(t, x.outlook(full)) == shed.Send {
-			d.dequeue(t, true)
+		if ctrl.canRecheck(queued) && ctrl.recheck(queued, x.newShedRequest(initialTimeout)) == shed.Send {
+			ctrl.dequeue(queued, true)
 			return nil
 		}
 	}
 }
 
-// canRecheck says whether a decision on a queued request could be another than to queue it: what it may expect need not
-// be worked out for those that are not the first.
-func (d *controller) canRecheck(t *shed.QueuedRequest) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.IsFirst(t) || t.IsExpired(time.Now())
+// canRecheck reports whether a recheck of a queued request could yield another verdict than shed.Queue. Only
+// the first request of the queue and expired ones can, so the prospects of the others need not be computed.
+func (c *controller) canRecheck(queued *shed.QueuedRequest) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.IsFirst(queued) || queued.IsExpired(time.Now())
 }
 
-func (d *controller) recheck(t *shed.QueuedRequest, r shed.Request) shed.Verdict {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.Recheck(time.Now(), t, r)
+func (c *controller) recheck(queued *shed.QueuedRequest, r shed.Request) shed.Verdict {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.Recheck(time.Now(), queued, r)
 }
 
-func (d *controller) dequeue(t *shed.QueuedRequest, isAdmitted bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.Dequeue(time.Now(), t, isAdmitted)
+func (c *controller) dequeue(queued *shed.QueuedRequest, isAdmitted bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.Dequeue(time.Now(), queued, isAdmitted)
 }
 
-// callerLeft is what the caller still waited when the request came; 0 if it did not say.
-func (x *exchange) callerLeft() time.Duration {
+// callerTimeLeft returns how much longer the caller was willing to wait when the request arrived; 0 if it
+// sent no deadline.
+func (x *exchange) callerTimeLeft() time.Duration {
 	if x.req.Deadline.IsZero() {
 		return 0
 	}
 	return x.req.Deadline.Sub(x.req.Arrived)
 }
 
-// noteVerdict writes why a request is not sent at once. That of one that is shows in its line "sent".
-func (x *exchange) noteVerdict(v shed.Verdict, r shed.Request) {
+// logVerdict logs why a request is not sent immediately. A request that is sent immediately has the log line
+// "sent".
+func (x *exchange) logVerdict(v shed.Verdict, r shed.Request) {
 	if v == shed.Send {
 		return
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,65 +18,68 @@
 )
 
 const (
-	// maxHeld is how much of an answer that is no stream is read before its header is
-	// passed on, so that an answer that breaks off can be asked for again elsewhere.
-	maxHeld = 1 << 20
-	// watchEvery is how often an attempt looks at whether its target has fallen silent.
-	watchEvery = 60 * time.Millisecond
-	// streamPatience is how long an attempt of a request that may go on elsewhere waits for the next
-	// part of its answer although its target answers others: an answer can get lost. Longer
-	// than queues are as a rule, so that overload does not send every request twice; and at least twice as long as
-	// targets that work may be silent.
-	streamPatience = time.Second
-	// callPatience is the same for plain calls, in case their route's goal is shorter.
-	callPatience = 250 * time.Millisecond
-	// slowWrite is how long the caller of a stream takes for one part when it reads too slowly: what the target makes meanwhile is unread, and
-	// targets cut off answers that stay unread.
-	slowWrite = time.Second
-	// eventStream is the media type of streamed answers.
-	eventStream = "text/event-stream"
+	// maxBufferedBytes is how many bytes of a non-streamed answer are read before its header is passed on, so
+	// that an incomplete answer can be requested again from another target.
+	maxBufferedBytes = 1 << 20
+	// idleCheckInterval is how often an attempt checks whether its target has stopped sending.
+	idleCheckInterval = 60 * time.Millisecond
+	// minStreamAnswerTimeout is the minimum time that an attempt of a retryable stream request waits for the
+	// next part of its answer although its target answers other requests: an answer can get lost. It is
+	// longer than the usual wait in a queue, so that an overload does not send every request twice. The
+	// timeout is also at least twice as long as a working target may send nothing.
+	minStreamAnswerTimeout = time.Second
+	// minCallAnswerTimeout is the same minimum for plain calls whose route has a shorter goal.
+	minCallAnswerTimeout = 250 * time.Millisecond
+	// slowWriteThreshold is the duration of one write from which the caller of a stream counts as too slow.
+	// The answer of the target is not read during the write, and targets cut off answers that stay unread.
+	slowWriteThreshold = time.Second
+	// eventStreamType is the media type of streamed answers.
+	eventStreamType = "text/event-stream"
 )
 
-// attempt is a request at one target.
+// attempt is one execution of a request at one target.
 type attempt struct {
 	*exchange
 	run    *fleetview.Run
 	cancel context.CancelFunc
-	// from is the id of the event after which the target was asked to go on; empty from the start.
-	from string
-	// isSilent is set by the watcher when it cancels the attempt.
-	isSilent atomic.Bool
-	// heard is when the last part of the answer came, or the request was sent, in
-	// nanoseconds since the request's arrival: the time of day may jump.
-	heard atomic.Int64
-	// isWriting says that the caller is being written to: the target is not read meanwhile.
+	// resumedAfter is the id of the event after which the target was asked to resume; empty for a run from
+	// the beginning.
+	resumedAfter string
+	// hasTimedOut is set by the watcher when it cancels the attempt.
+	hasTimedOut atomic.Bool
+	// lastActivity is when the last part of the answer arrived, or when the request was sent, in nanoseconds
+	// since the arrival of the request. It is not a wall-clock time, because the wall clock may jump.
+	lastActivity atomic.Int64
+	// isWriting is true during a write to the caller. The target is not read meanwhile.
 	isWriting atomic.Bool
-	// readLate says that the target was last read only after the caller had taken slowWrite for a part.
-	readLate bool
+	// isReadLate is true if the last write to the caller took at least slowWriteThreshold, so that the target
+	// was read late.
+	isReadLate bool
 }
 
-func (a *attempt) do(ctx context.Context) error {
+// sendAndRelay sends the request to the target and relays the answer to the caller.
+func (a *attempt) sendAndRelay(ctx context.Context) error {
 	ctx, a.cancel = context.WithCancel(ctx)
 	defer a.cancel()
-	sent := time.Now()
-	a.heard.Store(int64(sent.Sub(a.req.Arrived)))
-	a.mayHaveRun++
-	a.from = a.lastID
-	a.stages.noteSent(sent)
-	a.logSent(sent)
-	canMove := a.route.Idempotent() && a.mayHaveRun < a.route.Attempts
-	stop := a.watch(ctx, sent, canMove)
+	sentAt := time.Now()
+	a.lastActivity.Store(int64(sentAt.Sub(a.req.Arrived)))
+	a.possibleRuns++
+	a.resumedAfter = a.lastEventID
+	a.stages.noteSent(sentAt)
+	a.logSent(sentAt)
+	canRetryElsewhere := a.route.Idempotent() && a.possibleRuns < a.route.Attempts
+	stop := a.watchIdle(ctx, sentAt, canRetryElsewhere)
 	defer stop()
 	a.run.WhenEnded(a.cancel)
 	ans, err := a.gw.targets.Send(ctx, platform.TargetCall{
-		Target: a.run.Target, Request: a.req, TimeLeft: a.until.Sub(sent),
-		ResumeAfter: a.from, Once: !a.route.Idempotent(),
+		Target: a.run.Target, Request: a.req, TimeLeft: a.deadline.Sub(sentAt),
+		ResumeAfter: a.resumedAfter, Once: !a.route.Idempotent(),
 	})
 	if err != nil {
-		return a.failed(ctx, err)
+		return a.sendError(ctx, err)
 	}
 	defer ans.Body.Close()
-	if err := a.refused(ans); err != nil {
+	if err := a.refusalError(ans); err != nil {
 		return err
 	}
 	a.noteActivity()
@@ -86,26 +89,26 @@
 	return a.relayWhole(ctx, ans)
 }
 
-// watch cancels an attempt whose target keeps silent, if the request may move to another. The
-// target of one that may not becomes suspect, and the request waits on: its answer may be made.
-// Only a target of streams is judged by its silence: it sends something all the time while it
-// works. One plain call that takes long says nothing of its target.
-func (a *attempt) watch(ctx context.Context, sent time.Time, canMove bool) (stop func()) {
+// watchIdle cancels an attempt whose target has stopped sending, if the request may be retried at another
+// target. If it may not, the target is only marked suspect and the attempt keeps waiting, since its answer
+// may still come. Only silence in streams counts against a target: a target sends stream events continuously
+// while it works. A single plain call that takes long does not show that its target has failed.
+func (a *attempt) watchIdle(ctx context.Context, sentAt time.Time, canRetryElsewhere bool) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
-		for sleep.For(ctx, watchEvery) {
+		for sleep.For(ctx, idleCheckInterval) {
 			if a.isWriting.Load() {
 				continue
 			}
-			silent := a.route.Kind == serving.KindStream && a.run.IsIdle(sent)
-			if silent {
-				a.suspect("silent")
+			isIdle := a.route.Kind == serving.KindStream && a.run.IsIdle(sentAt)
+			if isIdle {
+				a.noteTargetFailure("silent")
 			}
-			if !silent && !a.isOverdue() {
+			if !isIdle && !a.isOverdue() {
 				continue
 			}
-			if canMove {
-				a.isSilent.Store(true)
+			if canRetryElsewhere {
+				a.hasTimedOut.Store(true)
 				a.cancel()
 				return
 			}
@@ -114,45 +117,46 @@
 	return cancel
 }
 
-// isOverdue says that this answer alone is missing.
+// isOverdue reports whether the answer of this attempt has made no progress for too long, even if the target
+// answers other requests.
 func (a *attempt) isOverdue() bool {
-	patience := max(streamPatience, 2*a.run.IdleLimit())
+	answerTimeout := max(minStreamAnswerTimeout, 2*a.run.IdleLimit())
 	if a.route.Kind == serving.KindSafe {
-		patience = max(callPatience, a.route.Goal*3/2)
+		answerTimeout = max(minCallAnswerTimeout, a.route.Goal*3/2)
 	}
-	return time.Since(a.req.Arrived)-time.Duration(a.heard.Load()) > patience+a.run.QueueWait()
+	return time.Since(a.req.Arrived)-time.Duration(a.lastActivity.Load()) > answerTimeout+a.run.QueueWait()
 }
 
-// noteActivity notes a part of the answer.
+// noteActivity records that a part of the answer has arrived.
 func (a *attempt) noteActivity() {
-	a.heard.Store(int64(time.Since(a.req.Arrived)))
+	a.lastActivity.Store(int64(time.Since(a.req.Arrived)))
 	a.run.NoteActivity()
 }
 
-// logSent writes where the request goes before it does. The line at its end is missing when this process
-// is killed under it: then this is all that says where it was.
+// logSent logs the target before the request is sent to it. If this process is killed during the attempt, the
+// final line of the request is missing and this line is the only record of its target.
 func (a *attempt) logSent(now time.Time) {
-	a.gw.sent.Info(now, "sent", "request", a.req.ID, "route", a.route.Name, "attempt", len(a.tried), "target", a.run.Choice.String(),
-		"after_event", a.lastID, "left_ms", a.until.Sub(now).Milliseconds())
+	a.gw.sentLog.Info(now, "sent", "request", a.req.ID, "route", a.route.Name, "attempt", len(a.tried), "target", a.run.Choice.String(),
+		"after_event", a.lastEventID, "left_ms", a.deadline.Sub(now).Milliseconds())
 }
 
-// suspect counts a failure against the target and logs when that changes what is believed of it.
-func (a *attempt) suspect(why string) {
+// noteTargetFailure counts a failure against the target and logs it if the target becomes suspect.
+func (a *attempt) noteTargetFailure(reason string) {
 	if a.run.Failed() {
-		a.gw.log.Warn("target suspect", "target", a.run.Target.ID, "addr", a.run.Target.Addr, "why", why, "request", a.req.ID)
+		a.gw.log.Warn("target suspect", "target", a.run.Target.ID, "addr", a.run.Target.Addr, "why", reason, "request", a.req.ID)
 	}
 }
 
-// endedHere is the failure of an attempt that was not ended by its target: of the given type if the target
-// was silent for too long. It is nil if the target has ended it.
-func (a *attempt) endedHere(ctx context.Context, silent errs.Type) error {
+// localError returns the error of an attempt that was not ended by its target, with type timeoutType if the
+// target sent nothing for too long. It returns nil if the target ended the attempt.
+func (a *attempt) localError(ctx context.Context, timeoutType errs.Type) error {
 	if a.run.HasEnded() {
-		err := errs.New(errs.StreamBroken, "the target has started again").WithRan(errs.RanUnknown)
-		a.brokenOff(err)
+		err := errs.New(errs.StreamBroken, "the target has restarted").WithRan(errs.RanUnknown)
+		a.reportBrokenOff(err)
 		return err
 	}
-	if a.isSilent.Load() {
-		err := errs.New(silent, "the target has sent nothing for too long")
+	if a.hasTimedOut.Load() {
+		err := errs.New(timeoutType, "the target has sent nothing for too long")
 		a.gw.quarantine.FellSilent(a.brokenRun(err))
 		return err
 	}
@@ -162,155 +166,158 @@
 	return nil
 }
 
-// failed is the failure of a request that got no answer.
-func (a *attempt) failed(ctx context.Context, err error) error {
-	if ended := a.endedHere(ctx, errs.TargetFailed); ended != nil {
-		return ended
+// sendError returns the error of an attempt that got no answer.
+func (a *attempt) sendError(ctx context.Context, err error) error {
+	if localErr := a.localError(ctx, errs.TargetFailed); localErr != nil {
+		return localErr
 	}
-	a.suspect(err.Error())
+	a.noteTargetFailure(err.Error())
 	if errs.As(err).Ran == errs.RanNo {
-		a.mayHaveRun--
+		a.possibleRuns--
 		return err
 	}
-	a.brokenOff(err)
+	a.reportBrokenOff(err)
 	return err
 }
 
-// refused tells an answer by which the target says that it has not begun with the request, or one
-// that belongs to another request.
-func (a *attempt) refused(ans *platform.TargetAnswer) error {
+// refusalError returns the error of an answer by which the target states that it has not started the request,
+// or of an answer that belongs to another request; otherwise nil.
+func (a *attempt) refusalError(ans *platform.TargetAnswer) error {
 	switch {
 	case ans.OtherInstance:
-		a.mayHaveRun--
+		a.possibleRuns--
 		a.gw.view.Drop(a.run.Target.ID)
 		a.gw.log.Warn("target gone", "target", a.run.Target.ID, "addr", a.run.Target.Addr, "why", "another instance answers", "request", a.req.ID)
-		return errs.New(errs.TargetFailed, "another target has the address").WithRan(errs.RanNo)
+		return errs.New(errs.TargetFailed, "another target uses the address").WithRan(errs.RanNo)
 	case ans.NotRun:
-		a.mayHaveRun--
+		a.possibleRuns--
 		a.run.NoteActivity()
-		return errs.Newf(errs.TargetFailed, "the target refuses the request with %d", ans.Status).WithRan(errs.RanNo)
+		return errs.Newf(errs.TargetFailed, "the target refused the request with status %d", ans.Status).WithRan(errs.RanNo)
 	case ans.Foreign:
-		a.cancel() // the connection is out of step: it must not be used again
+		a.cancel() // requests and answers on the connection no longer match: it must not be reused
 		return errs.New(errs.TargetFailed, "the answer belongs to another request")
 	}
 	return nil
 }
 
 func isStream(ans *platform.TargetAnswer) bool {
-	return ans.Status == http.StatusOK && strings.HasPrefix(ans.Header.Get("Content-Type"), eventStream)
+	return ans.Status == http.StatusOK && strings.HasPrefix(ans.Header.Get("Content-Type"), eventStreamType)
 }
 
-// relayStream passes events on one by one, whole, so that the stream can go on after any of them.
-// The header waits for the first event: until then the request can still fail over.
+// relayStream passes on whole events one at a time, so that the stream can be resumed after any of them. The
+// header is sent with the first event: until then the request can still be retried elsewhere.
 func (a *attempt) relayStream(ctx context.Context, ans *platform.TargetAnswer) error {
-	in := events.NewReader(ans.Body)
+	reader := events.NewReader(ans.Body)
 	for hasPassed := false; ; {
-		e, err := in.Next()
+		e, err := reader.Next()
 		if err == io.EOF {
-			a.begin(ans, -1) // a stream without events has a header, too
+			a.sendHeader(ans, -1) // a stream without events still has a header
 			return nil
 		}
 		if err != nil {
-			return a.broken(ctx, err)
+			return a.brokenOffError(ctx, err)
 		}
 		a.noteActivity()
 		if sinceFirst := a.run.Event(); !hasPassed && sinceFirst >= quarantine.PassTime {
 			hasPassed = true
 			a.gw.quarantine.Passed(a.content)
 		}
-		a.begin(ans, -1)
+		a.sendHeader(ans, -1)
 		if err := a.write(e.Raw); err != nil {
 			return err
 		}
 		if e.ID != "" {
-			a.lastID = e.ID
+			a.lastEventID = e.ID
 		}
 	}
 }
 
-// begin sends the header, once for all attempts: a stream that goes on keeps its first one.
-func (a *attempt) begin(ans *platform.TargetAnswer, length int64) {
-	if a.begun {
+// sendHeader sends the header to the caller, once for all attempts: a resumed stream keeps its first header.
+// A length of -1 means unknown.
+func (a *attempt) sendHeader(ans *platform.TargetAnswer, length int64) {
+	if a.hasSentHeader {
 		return
 	}
-	a.begun = true
-	a.stages.noteFirst(time.Now())
+	a.hasSentHeader = true
+	a.stages.noteAnswerStart(time.Now())
 	a.out.Begin(ans.Status, ans.Header, length)
 }
 
-// broken is the failure of an answer that has broken off.
-func (a *attempt) broken(ctx context.Context, err error) error {
-	if ended := a.endedHere(ctx, errs.StreamBroken); ended != nil {
-		return ended
+// brokenOffError returns the error of an answer that broke off.
+func (a *attempt) brokenOffError(ctx context.Context, err error) error {
+	if localErr := a.localError(ctx, errs.StreamBroken); localErr != nil {
+		return localErr
 	}
-	if a.readLate {
-		return errs.Newf(errs.StreamBroken, "the answer was cut off while its caller read too slowly: %v", err)
+	if a.isReadLate {
+		return errs.Newf(errs.StreamBroken, "the answer was cut off because its caller read too slowly: %v", err)
 	}
-	a.suspect(err.Error())
-	a.brokenOff(err)
-	return errs.Newf(errs.StreamBroken, "the answer has broken off: %v", err)
+	a.noteTargetFailure(err.Error())
+	a.reportBrokenOff(err)
+	return errs.Newf(errs.StreamBroken, "the answer broke off: %v", err)
 }
 
-// brokenOff notes that the target has broken off the request, or its answer, or has ended under it.
-func (a *attempt) brokenOff(err error) { a.gw.quarantine.BrokenOff(a.brokenRun(err)) }
+// reportBrokenOff reports to the quarantine that the target broke off the request or its answer, or
+// restarted during it.
+func (a *attempt) reportBrokenOff(err error) { a.gw.quarantine.BrokenOff(a.brokenRun(err)) }
 
-// brokenRun is the attempt as the quarantine is told of it.
+// brokenRun describes the attempt for the quarantine.
 func (a *attempt) brokenRun(err error) quarantine.Broken {
 	return quarantine.Broken{
-		Content: a.content, Target: a.run.Target, Start: a.run.Target.ID, Began: a.run.Began(), From: a.from, To: a.lastID,
+		Content: a.content, Target: a.run.Target, Start: a.run.Target.ID, Began: a.run.Began(), From: a.resumedAfter, To: a.lastEventID,
 		HasPassed: a.run.AnsweredFor() >= quarantine.PassTime, HasCrashed: a.run.HasEnded(), Err: err,
 	}
 }
 
-// relayWhole passes on an answer that is no stream. It is held until it is complete, up to
-// maxHeld, so that a broken one can be asked for again.
+// relayWhole passes on an answer that is not a stream. It buffers the body until it is complete, up to
+// maxBufferedBytes, so that an incomplete answer can be requested again.
 func (a *attempt) relayWhole(ctx context.Context, ans *platform.TargetAnswer) error {
-	body, err := io.ReadAll(io.LimitReader(ans.Body, maxHeld))
+	body, err := io.ReadAll(io.LimitReader(ans.Body, maxBufferedBytes))
 	if err != nil {
-		return a.broken(ctx, err)
+		return a.brokenOffError(ctx, err)
 	}
 	a.noteActivity()
-	if ans.Status >= http.StatusInternalServerError && a.retryFailed() {
-		return errs.Newf(errs.TargetFailed, "the target answers %d", ans.Status)
+	if ans.Status >= http.StatusInternalServerError && a.canRetryStatus() {
+		return errs.Newf(errs.TargetFailed, "the target answered with status %d", ans.Status)
 	}
-	if a.begun {
-		return errs.Newf(errs.StreamBroken, "the next target answers %d within a stream", ans.Status)
+	if a.hasSentHeader {
+		return errs.Newf(errs.StreamBroken, "the next target answered with status %d within a stream", ans.Status)
 	}
-	if len(body) < maxHeld {
-		a.begin(ans, int64(len(body)))
+	if len(body) < maxBufferedBytes {
+		a.sendHeader(ans, int64(len(body)))
 		return a.write(body)
 	}
-	a.begin(ans, ans.Length)
+	a.sendHeader(ans, ans.Length)
 	if err := a.write(body); err != nil {
 		return err
 	}
-	return a.copyRest(ctx, ans)
+	return a.relayRest(ctx, ans)
 }
 
-// retryFailed says whether a target's own failure is followed by another attempt. The answer of
-// the last attempt goes to the caller as it is.
-func (a *attempt) retryFailed() bool {
-	return a.route.Kind == serving.KindSafe && a.mayHaveRun < a.route.Attempts
+// canRetryStatus reports whether an error status of the target leads to another attempt. The answer of the
+// last attempt is passed to the caller unchanged.
+func (a *attempt) canRetryStatus() bool {
+	return a.route.Kind == serving.KindSafe && a.possibleRuns < a.route.Attempts
 }
 
-// write passes a part on to the caller, and takes as long as that does.
+// write writes p to the caller and blocks until that is done.
 func (a *attempt) write(p []byte) error {
 	began := time.Now()
 	a.isWriting.Store(true)
 	err := a.out.Write(p)
-	took := time.Since(began)
-	a.readLate = took >= slowWrite
-	if took >= watchEvery {
-		a.noteActivity() // that it was not read is no silence of the target
+	writeTime := time.Since(began)
+	a.isReadLate = writeTime >= slowWriteThreshold
+	if writeTime >= idleCheckInterval {
+		a.noteActivity() // the target was not read during the write, so this is not silence of the target
 	}
 	a.isWriting.Store(false)
 	if err != nil {
-		return errs.Newf(errs.Cancelled, "the caller has gone: %v", err)
+		return errs.Newf(errs.Cancelled, "the caller disconnected: %v", err)
 	}
 	return nil
 }
 
-func (a *attempt) copyRest(ctx context.Context, ans *platform.TargetAnswer) error {
+// relayRest passes on the part of a body that exceeds maxBufferedBytes.
+func (a *attempt) relayRest(ctx context.Context, ans *platform.TargetAnswer) error {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := ans.Body.Read(buf)
@@ -323,7 +330,7 @@
 			return nil
 		}
 		if err != nil {
-			return a.broken(ctx, err)
+			return a.brokenOffError(ctx, err)
 		}
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway serves requests of callers that wait: it sends each to a target, follows the
-// answer, and decides when another target gets it and when it is given up.
+// Package gateway serves online requests, whose callers wait for the answer. It sends each request to a
+// target, relays the answer, and decides when to retry at another target and when to give up.
 package gateway
 
 import (
@@ -23,22 +23,22 @@
 )
 
 const (
-	// fullRetry is when a caller should come back whose request found every target full or
-	// none at all: about as long as an online stream holds its slot.
-	fullRetry = 600 * time.Millisecond
+	// defaultRetryAfter is the time after which a caller should retry if no target was available and the
+	// error names no other time. It is about as long as an online stream holds its slot.
+	defaultRetryAfter = 600 * time.Millisecond
 )
 
-// Gateway serves online requests.
+// Gateway serves online requests. It is safe for concurrent use.
 type Gateway struct {
-	targets platform.TargetCaller
-	view    *fleetview.View
-	beliefs Beliefs
-	log     hclog.Logger
-	served  *logging.Routine
-	sent    *logging.Routine
-	shedLog *logging.Routine
-	reg     metrics.Registry
-	// timeouts are how long the callers of each route wait.
+	targets   platform.TargetCaller
+	view      *fleetview.View
+	config    Beliefs
+	log       hclog.Logger
+	servedLog *logging.Routine
+	sentLog   *logging.Routine
+	shedLog   *logging.Routine
+	reg       metrics.Registry
+	// timeouts holds, for each route, how long its callers usually wait.
 	timeouts    *shed.CallerTimeouts
 	controllers *controllers
 	access      Access
@@ -46,100 +46,100 @@
 	quarantine  Quarantine
 }
 
-// Access says whom a request comes from.
+// Access authorizes requests.
 type Access interface {
-	// Authorize returns whom a request of a route comes from. Errors: errs.Unauthenticated, errs.ConfigStale.
+	// Authorize returns the caller of a request to a route. Errors: errs.Unauthenticated, errs.ConfigStale.
 	Authorize(route *serving.Route, c workspace.Credential) (serving.Caller, error)
 }
 
-// Quotas bound the requests of workspaces.
+// Quotas limits the request rate of workspaces.
 type Quotas interface {
-	// Admit takes the allowance for one request of a workspace.
+	// Admit takes one request from the quota of a workspace.
 	Admit(workspace string) quota.Decision
-	// Refund gives the allowance of a request back that no target has run.
+	// Refund returns a request to the quota of its workspace, if no target has run it.
 	Refund(workspace string)
 }
 
-// Quarantine keeps requests under which targets have crashed from targets.
+// Quarantine blocks requests that have crashed targets.
 type Quarantine interface {
 	// Check returns an error of type errs.Quarantined if a request must not be sent to a target.
 	Check(c *quarantine.Content) error
-	// AdmitRequest is Check for a request that is about to be sent.
+	// AdmitRequest is like Check, for a request that is about to be sent.
 	AdmitRequest(c *quarantine.Content) error
-	// BrokenOff notes a run that a target has broken off.
+	// BrokenOff records a run that its target broke off.
 	BrokenOff(b quarantine.Broken)
-	// FellSilent notes a run that this process has ended because its target sent nothing for too long.
+	// FellSilent records a run that this process ended because its target sent nothing for too long.
 	FellSilent(b quarantine.Broken)
-	// Passed notes that a run has passed; see quarantine.PassTime.
+	// Passed records that a run lasted for quarantine.PassTime after its first event.
 	Passed(c *quarantine.Content)
-	// Served notes that a target has served a request whole.
+	// Served records that a target has answered a request completely.
 	Served(c *quarantine.Content)
 }
 
-// Beliefs are what the process believes of the configuration, for logs.
+// Beliefs is the state of the configuration in this process, for logs.
 type Beliefs interface {
-	// Version is the configuration's version in force.
+	// Version returns the version of the configuration in force.
 	Version() uint64
-	// Age is how long ago the store last said what the configuration is.
+	// Age returns the time since the store last confirmed the configuration.
 	Age() time.Duration
 }
 
-// Options are what a Gateway needs to know.
+// Options configures a Gateway. All fields but Off are required.
 type Options struct {
 	Targets platform.TargetCaller
 	View    *fleetview.View
 	Beliefs Beliefs
 	Access  Access
 	Quotas  Quotas
-	// Quarantine is asked before each send.
+	// Quarantine is checked when a request arrives and before each send.
 	Quarantine Quarantine
 
-	Off     policy.Off // mechanisms that are switched off
+	Off     policy.Off // policies that are disabled
 	Log     hclog.Logger
 	Metrics metrics.Registry
 }
 
-// New returns a gateway.
+// New returns a gateway that serves with the given options.
 func New(o Options) *Gateway {
-	return &Gateway{targets: o.Targets, view: o.View, beliefs: o.Beliefs, access: o.Access, quotas: o.Quotas, quarantine: o.Quarantine, log: o.Log,
-		served: logging.NewRoutine(o.Log), sent: logging.NewRoutine(o.Log), shedLog: logging.NewRoutine(o.Log),
+	return &Gateway{targets: o.Targets, view: o.View, config: o.Beliefs, access: o.Access, quotas: o.Quotas, quarantine: o.Quarantine, log: o.Log,
+		servedLog: logging.NewRoutine(o.Log), sentLog: logging.NewRoutine(o.Log), shedLog: logging.NewRoutine(o.Log),
 		reg: o.Metrics, timeouts: shed.NewCallerTimeouts(), controllers: newControllers(o.Off)}
 }
 
-// exchange is one request on its way.
+// exchange is the state of one request and its answer.
 type exchange struct {
-	gw      *Gateway
-	route   *serving.Route
-	service string
-	req     *serving.Request
-	content *quarantine.Content
-	out     platform.CallerAnswer
-	until   time.Time // the system answers by then at the latest
-	limitOf string    // whose limit that is, for the log
+	gw             *Gateway
+	route          *serving.Route
+	service        string
+	req            *serving.Request
+	content        *quarantine.Content
+	out            platform.CallerAnswer
+	deadline       time.Time // the request ends with an answer or an error by then
+	deadlineSource string    // source of that deadline, for the log: "route" or "caller"
 
-	tried []string // targets that got it or could not be reached
-	// mayHaveRun counts the targets that may have begun with it.
-	mayHaveRun int
-	// hasQuota says that the request has taken its workspace's allowance.
+	tried []string // ids of the targets that got the request or were unreachable
+	// possibleRuns counts the targets that may have started the request.
+	possibleRuns int
+	// hasQuota is true once the request has taken from the quota of its workspace.
 	hasQuota bool
-	// isNearLimit says that its workspace is about to go over its quota.
-	isNearLimit bool
-	begun       bool     // the caller has the header of an answer
-	lastID      string   // of the last event that the caller has
-	choices     []string // targets with what spoke for each, for the log line
-	stages      stages
+	// isNearLimit is true if the workspace is close to its quota.
+	isNearLimit   bool
+	hasSentHeader bool     // the header of an answer has been sent to the caller
+	lastEventID   string   // id of the last event that was sent to the caller
+	choices       []string // the targets with the reasons for their choice, for the log
+	stages        stages
 }
 
-// Serve answers one request. It returns once the answer is complete or given up.
+// Serve answers one request. It returns when the answer is complete or the request has failed.
 func (g *Gateway) Serve(ctx context.Context, route *serving.Route, r *serving.Request, out platform.CallerAnswer) {
 	x := &exchange{
 		gw: g, route: route, service: route.Service(r.ID), req: r, content: quarantine.NewContent(r).In(route.Name, ""), out: out,
-		until: r.Arrived.Add(route.Timeout), limitOf: "route", lastID: r.ResumeAfter,
+		deadline: r.Arrived.Add(route.Timeout), deadlineSource: "route", lastEventID: r.ResumeAfter,
 	}
-	if !r.Deadline.IsZero() && r.Deadline.Before(x.until) {
-		x.until, x.limitOf = r.Deadline, "caller"
+	if !r.Deadline.IsZero() && r.Deadline.Before(x.deadline) {
+		x.deadline, x.deadlineSource = r.Deadline, "caller"
 	}
-	ctx, cancel := context.WithDeadline(ctx, x.until)
+	ctx, cancel := context.WithDeadline(ctx, x.deadline)
 	defer cancel()
 	err := x.gw.quarantine.Check(x.content)
 	if err == nil {
@@ -149,43 +149,43 @@
 		err = x.admit(ctx)
 	}
 	if err == nil {
-		err = x.run(ctx)
+		err = x.tryTargets(ctx)
 	}
-	if x.hasQuota && x.mayHaveRun == 0 {
+	if x.hasQuota && x.possibleRuns == 0 {
 		x.gw.quotas.Refund(r.Caller.Workspace)
 	}
-	err = x.cause(ctx, err)
+	err = x.failureCause(ctx, err)
 	x.record(err)
 	if err != nil {
-		x.finish(ctx, err)
+		x.answerError(ctx, err)
 	}
 }
 
-// cause is why the request was given up. An attempt only knows that its context has ended: that the time was
-// over and that the caller has gone have different causes and are told apart here.
-func (x *exchange) cause(ctx context.Context, err error) error {
+// failureCause returns why the request failed. An attempt only sees that its context has ended; this tells an
+// expired deadline from a caller that disconnected. A nil err stays nil.
+func (x *exchange) failureCause(ctx context.Context, err error) error {
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return errs.Newf(errs.DeadlineExceeded, "no whole answer in time: %v", err)
+		return errs.Newf(errs.DeadlineExceeded, "no complete answer before the deadline: %v", err)
 	case ctx.Err() != nil:
-		return errs.New(errs.Cancelled, "the caller has gone")
+		return errs.New(errs.Cancelled, "the caller disconnected")
 	}
 	return err
 }
 
-// run tries one target after the other. A nil error means that the caller has a whole answer.
-func (x *exchange) run(ctx context.Context) error {
+// tryTargets tries targets one after the other. A nil error means that the caller has a complete answer.
+func (x *exchange) tryTargets(ctx context.Context) error {
 	for {
-		err := x.attempt(ctx)
+		err := x.tryNextTarget(ctx)
 		if err == nil || ctx.Err() != nil || !x.canRetry(err) {
 			return err
 		}
 	}
 }
 
-// canRetry says whether another target may get the request after this failure.
+// canRetry reports whether the request may be sent to another target after err.
 func (x *exchange) canRetry(err error) bool {
 	e := errs.As(err)
 	switch e.Type {
@@ -195,17 +195,17 @@
 	if e.Ran == errs.RanNo {
 		return true
 	}
-	return x.route.Idempotent() && x.mayHaveRun < x.route.Attempts
+	return x.route.Idempotent() && x.possibleRuns < x.route.Attempts
 }
 
-// attempt sends the request to one target and relays its answer.
-func (x *exchange) attempt(ctx context.Context) error {
+// tryNextTarget sends the request to one target and relays its answer.
+func (x *exchange) tryNextTarget(ctx context.Context) error {
 	if err := x.recheckKey(); err != nil {
 		return err
 	}
 	run, ok := x.gw.view.StartOnline(x.service, x.tried)
 	if !ok {
-		return x.noTarget()
+		return x.noTargetError()
 	}
 	defer run.Done()
 	if err := x.gw.quarantine.AdmitRequest(x.content); err != nil {
@@ -214,7 +214,7 @@
 	x.tried = append(x.tried, run.Target.ID)
 	x.choices = append(x.choices, run.Choice.String())
 	a := &attempt{exchange: x, run: run}
-	err := a.do(ctx)
+	err := a.sendAndRelay(ctx)
 	if err == nil {
 		run.Held()
 		x.gw.quarantine.Served(x.content)
@@ -222,74 +222,75 @@
 	return err
 }
 
-// noTarget is the failure of a request for which no target is left.
-func (x *exchange) noTarget() error {
-	e := errs.Newf(errs.NoTarget, "no target of service %s is left after %d", x.service, len(x.tried))
-	if x.mayHaveRun > 0 {
+// noTargetError returns the error of a request for which no untried target is left.
+func (x *exchange) noTargetError() error {
+	e := errs.Newf(errs.NoTarget, "no target of service %s is left after trying %d", x.service, len(x.tried))
+	if x.possibleRuns > 0 {
 		return e.WithRan(errs.RanUnknown)
 	}
-	return e.WithRetry(fullRetry)
+	return e.WithRetry(defaultRetryAfter)
 }
 
-// finish gives up: with a typed answer, or, where a part of one is out, by breaking it off.
-func (x *exchange) finish(ctx context.Context, err error) {
-	if x.begun {
+// answerError fails the request: with an error answer or, if a part of an answer has been sent, by aborting
+// that answer.
+func (x *exchange) answerError(ctx context.Context, err error) {
+	if x.hasSentHeader {
 		x.out.Abort()
 		return
 	}
-	x.out.Fail(x.finalError(ctx, err))
+	x.out.Fail(x.callerError(ctx, err))
 }
 
-// finalError is what the caller is told. That a request has not run is said only if no target
-// may have begun with it.
-func (x *exchange) finalError(ctx context.Context, err error) *errs.Error {
+// callerError returns the error that the caller gets. It states that the request has not run only if no
+// target may have started it.
+func (x *exchange) callerError(ctx context.Context, err error) *errs.Error {
 	if ctx.Err() != nil {
 		err = errs.New(errs.DeadlineExceeded, "no answer in time")
 	}
-	if ctx.Err() != nil && x.mayHaveRun == 0 {
-		err = errs.New(errs.NoTarget, "no target has taken the request in time").WithRan(errs.RanNo)
+	if ctx.Err() != nil && x.possibleRuns == 0 {
+		err = errs.New(errs.NoTarget, "no target accepted the request before the deadline").WithRan(errs.RanNo)
 	}
 	e := errs.As(err)
-	if x.mayHaveRun > 0 {
+	if x.possibleRuns > 0 {
 		return e.WithRan(errs.RanUnknown)
 	}
 	if e.Type == errs.Unauthenticated || e.Type == errs.Quarantined {
-		return e // coming back does not help
+		return e // a retry would fail the same way
 	}
 	return e.WithRan(errs.RanNo).WithRetry(x.retryAfter(time.Duration(e.RetryAfterMs) * time.Millisecond))
 }
 
-// retryAfter is when the caller should send the request again: after the time that the failure names, or a usual
-// one, but in time.
-func (x *exchange) retryAfter(named time.Duration) time.Duration {
-	if named == 0 {
-		named = fullRetry
+// retryAfter returns when the caller should retry: after the time that the error names, or defaultRetryAfter
+// if it names none, but early enough before the deadline of the caller.
+func (x *exchange) retryAfter(suggested time.Duration) time.Duration {
+	if suggested == 0 {
+		suggested = defaultRetryAfter
 	}
 	if x.req.Deadline.IsZero() {
-		return named
+		return suggested
 	}
-	return max(time.Millisecond, min(named, time.Until(x.req.Deadline)/shed.LeftShare))
+	return max(time.Millisecond, min(suggested, time.Until(x.req.Deadline)/shed.LeftShare))
 }
 
-// record writes the request's log line and counts it.
+// record logs the outcome of the request and counts it in the metrics.
 func (x *exchange) record(err error) {
 	now := time.Now()
-	took := now.Sub(x.req.Arrived)
-	x.observe(now)
+	total := now.Sub(x.req.Arrived)
+	x.observeStages(now)
 	outcome := "served"
 	if err != nil {
 		outcome = string(errs.As(err).Type)
 	}
 	metrics.GetOrRegisterCounter("online."+x.route.Kind.String()+"."+outcome, x.gw.reg).Inc(1)
 	args := []any{
-		"request", x.req.ID, "workspace", x.req.Caller.Workspace, "route", x.route.Name, "config", x.gw.beliefs.Version(),
-		"config_age_ms", x.gw.beliefs.Age().Milliseconds(), "service", x.service, "targets", x.choices,
-		"may_have_run", x.mayHaveRun, "held_ms", x.stages.held.Milliseconds(), "first_ms", x.stages.firstAfter().Milliseconds(), "outcome", outcome, "ms", took.Milliseconds(),
+		"request", x.req.ID, "workspace", x.req.Caller.Workspace, "route", x.route.Name, "config", x.gw.config.Version(),
+		"config_age_ms", x.gw.config.Age().Milliseconds(), "service", x.service, "targets", x.choices,
+		"may_have_run", x.possibleRuns, "held_ms", x.stages.queueTime.Milliseconds(), "first_ms", x.stages.timeToAnswerStart().Milliseconds(), "outcome", outcome, "ms", total.Milliseconds(),
 	}
 	if err == nil {
-		x.gw.served.Info(now, "request", args...)
+		x.gw.servedLog.Info(now, "request", args...)
 		return
 	}
-	x.gw.log.Warn("request", append(args, "content", x.content.Fingerprint().String(), "error", err.Error(), "begun", x.begun, "last_event", x.lastID,
-		"limit_ms", x.until.Sub(x.req.Arrived).Milliseconds(), "limit_of", x.limitOf)...)
+	x.gw.log.Warn("request", append(args, "content", x.content.Fingerprint().String(), "error", err.Error(), "begun", x.hasSentHeader, "last_event", x.lastEventID,
+		"limit_ms", x.deadline.Sub(x.req.Arrived).Milliseconds(), "limit_of", x.deadlineSource)...)
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -11,51 +11,52 @@
 	"arbutusramp/core/shed"
 )
 
-// Congestion collapse: in an overload of some seconds everything is admitted and every answer is late.
-func TestAnOverloadSendsNewCallersAwayAndServesThoseWhoComeBack(t *testing.T) {
+// Guards against congestion collapse: an overload of a few seconds admits every request and all answers are
+// late.
+func TestOverloadRejectsFirstAttemptsAndServesRetries(t *testing.T) {
 	const (
-		hold  = 800 * time.Millisecond
-		limit = 5 * time.Second
+		holdTime      = 800 * time.Millisecond
+		callerTimeout = 5 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(1, slowly(hold, stream(first3, nil)))
-		send := func(left time.Duration) *caller {
-			out := &caller{}
-			b.gw.Serve(context.Background(), route(serving.KindStream, 1, false), &serving.Request{ID: "id", Arrived: time.Now(), Deadline: time.Now().Add(left)}, out)
+		b := newHarness(1, delayed(holdTime, streamAnswer(firstEvents, nil)))
+		send := func(timeLeft time.Duration) *fakeCaller {
+			out := &fakeCaller{}
+			b.gw.Serve(context.Background(), newRoute(serving.KindStream, 1, false), &serving.Request{ID: "id", Arrived: time.Now(), Deadline: time.Now().Add(timeLeft)}, out)
 			return out
 		}
-		for range 10 { // one after the other: none waits, and callers and slots become known
-			if out := send(limit); out.err != nil {
+		for range 10 { // sequential requests without queueing, from which the gateway learns timeouts and hold times
+			if out := send(callerTimeout); out.err != nil {
 				t.Fatal(out.err)
 			}
 		}
-		outcomes := make(chan *caller)
-		const burst = 12 // 4 slots, and room in time for one in the queue
+		answers := make(chan *fakeCaller)
+		const burst = 12 // 4 fill the slots, and 1 queued request can still be served in time
 		for range burst {
-			go func() { outcomes <- send(limit) }()
+			go func() { answers <- send(callerTimeout) }()
 			synctest.Wait()
 		}
-		away := 0
+		rejected := 0
 		for range burst {
-			out := <-outcomes
+			out := <-answers
 			if out.err == nil {
 				continue
 			}
-			away++
-			if out.err.Type != errs.Overloaded || out.err.Ran != errs.RanNo || out.err.RetryAfterMs < 1000 || out.err.RetryAfterMs > limit.Milliseconds()/shed.LeftShare {
+			rejected++
+			if out.err.Type != errs.Overloaded || out.err.Ran != errs.RanNo || out.err.RetryAfterMs < 1000 || out.err.RetryAfterMs > callerTimeout.Milliseconds()/shed.LeftShare {
 				t.Errorf("%+v", out.err)
 			}
 		}
-		if away != burst-5 {
-			t.Errorf("%d of %d were sent away", away, burst)
+		if rejected != burst-5 {
+			t.Errorf("%d of %d were rejected", rejected, burst)
 		}
-		for range burst { // callers on their second attempt wait in the queue, however long it is
-			go func() { outcomes <- send(limit - time.Second) }()
+		for range burst { // callers on their second attempt stay in the queue, whatever its length
+			go func() { answers <- send(callerTimeout - time.Second) }()
 			synctest.Wait()
 		}
 		for range burst {
-			if out := <-outcomes; out.err != nil {
-				t.Errorf("sent away again: %+v", out.err)
+			if out := <-answers; out.err != nil {
+				t.Errorf("rejected again: %+v", out.err)
 			}
 		}
 	})
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -12,16 +12,17 @@
 	"arbutusramp/core/serving"
 )
 
-// A request that is quarantined is answered at once, sent nowhere and charged to no quota, and its caller is not told to send it again.
-func TestAQuarantinedRequestIsRejectedAtOnce(t *testing.T) {
+// Guards against serving a quarantined request: it must be rejected immediately, without a send, a quota
+// charge or a time to retry after.
+func TestQuarantinedRequestIsRejectedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(2, whole(200, "ok", nil))
+		b := newHarness(2, wholeAnswer(200, "ok", nil))
 		b.workspace = "w"
-		b.quarantined = errs.New(errs.Quarantined, "targets have crashed under it")
-		out := &caller{}
-		b.serve(context.Background(), route(serving.KindSafe, 2, false), out)
-		if len(b.sent) != 0 || b.admitted != 0 || out.at != 0 {
-			t.Errorf("%d sends, %d charged, answered after %v", len(b.sent), b.admitted, out.at)
+		b.quarantineErr = errs.New(errs.Quarantined, "targets have crashed under it")
+		out := &fakeCaller{}
+		b.serve(context.Background(), newRoute(serving.KindSafe, 2, false), out)
+		if len(b.sentTo) != 0 || b.admitted != 0 || out.answeredAfter != 0 {
+			t.Errorf("%d sends, %d charged, answered after %v", len(b.sentTo), b.admitted, out.answeredAfter)
 		}
 		if out.err == nil || out.err.Type != errs.Quarantined || out.err.Ran != errs.RanNo || out.err.RetryAfterMs != 0 {
 			t.Errorf("error %+v", out.err)
@@ -29,48 +30,50 @@
 	})
 }
 
-// Guards against a request that waits, or goes on elsewhere, while its content is quarantined.
-func TestARequestIsCheckedBeforeEachSend(t *testing.T) {
+// Guards against sending a request whose content is quarantined while it waits or between two attempts.
+func TestRequestIsCheckedBeforeEachSend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(3, stream(first3, io.ErrUnexpectedEOF), stream(last2, nil))
-		b.scripts[0] = quarantiningAfter(b, b.scripts[0])
-		out := &caller{}
-		b.serve(context.Background(), route(serving.KindStream, 3, true), out)
-		if len(b.sent) != 1 || !out.aborted {
-			t.Errorf("%d sends, broken off %v", len(b.sent), out.aborted)
+		b := newHarness(3, streamAnswer(firstEvents, io.ErrUnexpectedEOF), streamAnswer(lastEvents, nil))
+		b.scripts[0] = quarantineOnSend(b, b.scripts[0])
+		out := &fakeCaller{}
+		b.serve(context.Background(), newRoute(serving.KindStream, 3, true), out)
+		if len(b.sentTo) != 1 || !out.isAborted {
+			t.Errorf("%d sends, aborted %v", len(b.sentTo), out.isAborted)
 		}
 	})
 }
 
-// quarantiningAfter has the bench quarantine all requests from the send of s on.
-func quarantiningAfter(b *bench, s script) script {
+// quarantineOnSend wraps s so that each send makes the harness quarantine all later requests.
+func quarantineOnSend(b *harness, s script) script {
 	return func(ctx context.Context, c platform.TargetCall) (*platform.TargetAnswer, error) {
 		b.mu.Lock()
-		b.quarantined = errs.New(errs.Quarantined, "targets have crashed under it")
+		b.quarantineErr = errs.New(errs.Quarantined, "targets have crashed under it")
 		b.mu.Unlock()
 		return s(ctx, c)
 	}
 }
 
-// Guards against not counting a target that is lost with its connections open: an attempt that is given up since nothing comes is told.
-func TestSilentAttemptsAreTold(t *testing.T) {
+// Guards against missing the crash of a target whose connections stay open: an attempt that ends because the
+// target sends nothing must be reported to the quarantine.
+func TestSilentAttemptsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(3, dark, stream(first3, nil))
-		b.serve(context.Background(), route(serving.KindStream, 3, true), &caller{})
+		b := newHarness(3, neverAnswer, streamAnswer(firstEvents, nil))
+		b.serve(context.Background(), newRoute(serving.KindStream, 3, true), &fakeCaller{})
 		synctest.Wait()
-		if len(b.fellSilent) != 1 || b.fellSilent[0].Target.ID != b.sentFirst() || len(b.brokenOff) != 0 {
-			t.Errorf("%+v told as silent, %+v as broken off", b.fellSilent, b.brokenOff)
+		if len(b.silentRuns) != 1 || b.silentRuns[0].Target.ID != b.firstTarget() || len(b.brokenRuns) != 0 {
+			t.Errorf("%+v reported as silent, %+v as broken off", b.silentRuns, b.brokenRuns)
 		}
 		time.Sleep(time.Second)
 	})
 }
 
-// What is told of runs that targets break off: from and to which event they went, and nothing of refusals and of runs that end here.
-func TestBrokenRunsAreTold(t *testing.T) {
-	broken := io.ErrUnexpectedEOF
+// Covers which broken runs are reported, with the events at which they began and ended. Refusals and
+// runs that this process ends are not reported.
+func TestBrokenRunsAreReported(t *testing.T) {
+	unexpectedEOF := io.ErrUnexpectedEOF
 	type run struct {
-		from, to string
-		hasEnded bool
+		from, to   string
+		hasCrashed bool
 	}
 	cases := []struct {
 		name    string
@@ -79,28 +82,28 @@
 		want    []run
 		served  int
 	}{
-		{"a stream from the start, and one that goes on", route(serving.KindStream, 3, true),
-			[]script{stream(first3, broken), stream("id: 4\ndata: d\n\n", broken), stream("id: 5\ndata: e\n\n", nil)}, []run{{"", "3", false}, {"3", "4", false}}, 1},
-		{"no answer", route(serving.KindSafe, 2, false), []script{lostAnswer, whole(200, "ok", nil)}, []run{{"", "", false}}, 1},
-		{"part of an answer", route(serving.KindUnsafe, 2, false), []script{whole(200, "o", broken)}, []run{{"", "", false}}, 0},
-		{"a refusal and no connection", route(serving.KindUnsafe, 1, false), []script{refusal, noConnection, whole(200, "ok", nil)}, nil, 1},
-		{"a failure of the target's own", route(serving.KindUnsafe, 1, false), []script{whole(500, "bad", nil)}, nil, 1},
-		{"a target that has started again", route(serving.KindUnsafe, 1, false), []script{dark}, []run{{"", "", true}}, 0},
+		{"a stream from the beginning and a resumed one", newRoute(serving.KindStream, 3, true),
+			[]script{streamAnswer(firstEvents, unexpectedEOF), streamAnswer("id: 4\ndata: d\n\n", unexpectedEOF), streamAnswer("id: 5\ndata: e\n\n", nil)}, []run{{"", "3", false}, {"3", "4", false}}, 1},
+		{"no answer", newRoute(serving.KindSafe, 2, false), []script{loseAnswer, wholeAnswer(200, "ok", nil)}, []run{{"", "", false}}, 1},
+		{"part of an answer", newRoute(serving.KindUnsafe, 2, false), []script{wholeAnswer(200, "o", unexpectedEOF)}, []run{{"", "", false}}, 0},
+		{"a refused request and a refused connection", newRoute(serving.KindUnsafe, 1, false), []script{refuseRequest, refuseConnection, wholeAnswer(200, "ok", nil)}, nil, 1},
+		{"an error status of the target", newRoute(serving.KindUnsafe, 1, false), []script{wholeAnswer(500, "bad", nil)}, nil, 1},
+		{"a restarted target", newRoute(serving.KindUnsafe, 1, false), []script{neverAnswer}, []run{{"", "", true}}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(3, c.scripts...)
+				b := newHarness(3, c.scripts...)
 				go func() {
 					time.Sleep(100 * time.Millisecond)
-					if len(c.want) > 0 && c.want[0].hasEnded {
-						b.view.Ended([]string{b.sentFirst()})
+					if len(c.want) > 0 && c.want[0].hasCrashed {
+						b.view.Ended([]string{b.firstTarget()})
 					}
 				}()
-				b.serve(context.Background(), c.route, &caller{})
+				b.serve(context.Background(), c.route, &fakeCaller{})
 				synctest.Wait()
 				var got []run
-				for _, r := range b.brokenOff {
+				for _, r := range b.brokenRuns {
 					got = append(got, run{r.From, r.To, r.HasCrashed})
 				}
 				if len(got) != len(c.want) || b.served != c.served {
--- a/internal/gateway/stages.go
+++ b/internal/gateway/stages.go
@@ -6,54 +6,55 @@
 	"arbutusramp/internal/telemetry"
 )
 
-// stages are the moments that divide a request's time. A zero moment was not reached.
+// stages holds the times that divide the processing of a request. A zero time was not reached.
 type stages struct {
-	held  time.Duration // before it was sent, for want of room
-	sent  time.Time     // to its first target
-	last  time.Time     // to the target that has answered
-	first time.Time     // the caller got the first part of an answer
+	queueTime   time.Duration // spent in the queue before the request was sent
+	firstSent   time.Time     // when it was sent to its first target
+	lastSent    time.Time     // when it was sent to the target that answered
+	answerStart time.Time     // when the first part of an answer was passed to the caller
 }
 
-// noteSent is called before each attempt; the first one counts.
+// noteSent records the start of an attempt. Attempts that start after an answer has begun are ignored.
 func (s *stages) noteSent(now time.Time) {
-	if s.sent.IsZero() {
-		s.sent = now
+	if s.firstSent.IsZero() {
+		s.firstSent = now
 	}
-	if s.first.IsZero() {
-		s.last = now
+	if s.answerStart.IsZero() {
+		s.lastSent = now
 	}
 }
 
-// noteFirst is called as an answer begins.
-func (s *stages) noteFirst(now time.Time) {
-	if s.first.IsZero() {
-		s.first = now
+// noteAnswerStart records the start of the answer. Only the first call counts.
+func (s *stages) noteAnswerStart(now time.Time) {
+	if s.answerStart.IsZero() {
+		s.answerStart = now
 	}
 }
 
-// firstAfter is how long the first part of an answer took from when the request was last sent; 0 without one.
-func (s *stages) firstAfter() time.Duration {
-	if s.first.IsZero() {
+// timeToAnswerStart returns the time from the last send to the first part of an answer; 0 without an answer.
+func (s *stages) timeToAnswerStart() time.Duration {
+	if s.answerStart.IsZero() {
 		return 0
 	}
-	return s.first.Sub(s.last)
+	return s.answerStart.Sub(s.lastSent)
 }
 
-// observe adds the request's times to the histograms of its kind, in the registry: the whole, and those of the stages that it
-// has reached. A target that queues shows in first_ms, a slow caller or pauses of the target in relay_ms.
-func (x *exchange) observe(now time.Time) {
+// observeStages adds the durations of the request to the histograms of its kind: the total, and those of the
+// stages that it reached. The queueing time of a target shows in first_ms, a slow caller or pauses of the
+// target in relay_ms.
+func (x *exchange) observeStages(now time.Time) {
 	kind := "online." + x.route.Kind.String()
 	telemetry.Observe(x.gw.reg, kind+".ms", now.Sub(x.req.Arrived))
-	if x.stages.held > 0 {
-		telemetry.Observe(x.gw.reg, kind+".held_ms", x.stages.held)
+	if x.stages.queueTime > 0 {
+		telemetry.Observe(x.gw.reg, kind+".held_ms", x.stages.queueTime)
 	}
-	if x.stages.sent.IsZero() {
+	if x.stages.firstSent.IsZero() {
 		return
 	}
-	telemetry.Observe(x.gw.reg, kind+".choose_ms", x.stages.sent.Sub(x.req.Arrived))
-	if x.stages.first.IsZero() {
+	telemetry.Observe(x.gw.reg, kind+".choose_ms", x.stages.firstSent.Sub(x.req.Arrived))
+	if x.stages.answerStart.IsZero() {
 		return
 	}
-	telemetry.Observe(x.gw.reg, kind+".first_ms", x.stages.first.Sub(x.stages.sent))
-	telemetry.Observe(x.gw.reg, kind+".relay_ms", now.Sub(x.stages.first))
+	telemetry.Observe(x.gw.reg, kind+".first_ms", x.stages.answerStart.Sub(x.stages.firstSent))
+	telemetry.Observe(x.gw.reg, kind+".relay_ms", now.Sub(x.stages.answerStart))
 }
