--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -6,97 +6,101 @@
 	"sync"
 )
 
-// conns are the callers' connections. They can be closed between requests without losing one: the
-// HTTP server's own closing looks at a state that changes only after a request's header has been
-// read, so that it can close a connection under a request that is about to be passed on.
-type conns struct {
+// connTracker is a listener that tracks the open connections of callers. It can close idle connections
+// without losing a request. The HTTP server's own shutdown can't: its connection state changes only after the
+// header of a request has been read, so it may close a connection whose request is about to be passed on. A
+// connTracker is safe for concurrent use.
+type connTracker struct {
 	net.Listener
 
-	mu  sync.Mutex
-	all map[*conn]bool
+	mu   sync.Mutex
+	open map[*trackedConn]bool
 }
 
-func trackConns(l net.Listener) *conns { return &conns{Listener: l, all: make(map[*conn]bool)} }
+func newConnTracker(l net.Listener) *connTracker {
+	return &connTracker{Listener: l, open: make(map[*trackedConn]bool)}
+}
 
-// conn is one connection. It is busy from the first byte of a request to the end of the answer.
-type conn struct {
+// trackedConn is one connection. It has a request from the first byte of the request to the end of its answer.
+type trackedConn struct {
 	net.Conn
-	owner *conns
+	tracker *connTracker
 
-	mu     sync.Mutex
-	busy   bool
-	closed bool
+	mu         sync.Mutex
+	hasRequest bool
+	isClosed   bool
 }
 
 // Accept implements net.Listener.
-func (c *conns) Accept() (net.Conn, error) {
+func (c *connTracker) Accept() (net.Conn, error) {
 	inner, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	tracked := &conn{Conn: inner, owner: c}
+	tracked := &trackedConn{Conn: inner, tracker: c}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.all[tracked] = true
+	c.open[tracked] = true
 	return tracked, nil
 }
 
-// state is the HTTP server's hook: an answer is complete.
-func (c *conns) state(inner net.Conn, s http.ConnState) {
-	if tracked, ok := inner.(*conn); ok && s == http.StateIdle {
+// handleState is the ConnState hook of the HTTP server. A connection that becomes idle has answered its
+// request.
+func (c *connTracker) handleState(inner net.Conn, s http.ConnState) {
+	if tracked, ok := inner.(*trackedConn); ok && s == http.StateIdle {
 		tracked.mu.Lock()
-		tracked.busy = false
+		tracked.hasRequest = false
 		tracked.mu.Unlock()
 	}
 }
 
-// closeIdle closes the connections that have no request.
-func (c *conns) closeIdle() {
-	for _, one := range c.list() {
-		one.closeIfIdle()
+// closeIdle closes the connections without a request.
+func (c *connTracker) closeIdle() {
+	for _, conn := range c.list() {
+		conn.closeIfIdle()
 	}
 }
 
-// busy is the number of connections with a request.
-func (c *conns) busy() int {
+// countBusy returns the number of connections with a request.
+func (c *connTracker) countBusy() int {
 	n := 0
-	for _, one := range c.list() {
-		if one.isBusy() {
+	for _, conn := range c.list() {
+		if conn.isBusy() {
 			n++
 		}
 	}
 	return n
 }
 
-func (c *conns) list() []*conn {
+func (c *connTracker) list() []*trackedConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := make([]*conn, 0, len(c.all))
-	for one := range c.all {
-		list = append(list, one)
+	list := make([]*trackedConn, 0, len(c.open))
+	for conn := range c.open {
+		list = append(list, conn)
 	}
 	return list
 }
 
-// Read implements net.Conn. Bytes that come to a connection that was closed as idle are not handed
-// on: their request has not been read, and its caller may send it elsewhere.
-func (c *conn) Read(p []byte) (int, error) {
+// Read implements net.Conn. Bytes that arrive after the connection was closed as idle are discarded: the
+// request has not been read, so its caller may send it elsewhere.
+func (c *trackedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n == 0 {
 		return n, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed {
+	if c.isClosed {
 		return 0, net.ErrClosed
 	}
-	c.busy = true
+	c.hasRequest = true
 	return n, err
 }
 
-// CloseWrite ends the answers' direction alone, which the HTTP server does before it closes a connection
-// whose caller may still send.
-func (c *conn) CloseWrite() error {
+// CloseWrite closes the write direction only. The HTTP server does this before it closes a connection whose
+// caller may still send.
+func (c *trackedConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
 	}
@@ -104,25 +108,25 @@
 }
 
 // Close implements net.Conn.
-func (c *conn) Close() error {
-	c.owner.mu.Lock()
-	delete(c.owner.all, c)
-	c.owner.mu.Unlock()
+func (c *trackedConn) Close() error {
+	c.tracker.mu.Lock()
+	delete(c.tracker.open, c)
+	c.tracker.mu.Unlock()
 	return c.Conn.Close()
 }
 
-func (c *conn) closeIfIdle() {
+func (c *trackedConn) closeIfIdle() {
 	c.mu.Lock()
-	idle := !c.busy
-	c.closed = c.closed || idle
+	isIdle := !c.hasRequest
+	c.isClosed = c.isClosed || isIdle
 	c.mu.Unlock()
-	if idle {
-		_ = c.Close() // it may have been closed by its caller
+	if isIdle {
+		_ = c.Close() // the caller may have closed it already
 	}
 }
 
-func (c *conn) isBusy() bool {
+func (c *trackedConn) isBusy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.busy
+	return c.hasRequest
 }
--- a/internal/node/conns_test.go
+++ b/internal/node/conns_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// pipeListener accepts one end of a pipe.
+// pipeListener is a listener whose Accept returns one end of a pipe.
 type pipeListener struct {
 	net.Listener
 	conn net.Conn
@@ -16,33 +16,31 @@
 
 func (l *pipeListener) Accept() (net.Conn, error) { return l.conn, nil }
 
-func trackedPipe(t *testing.T) (c *conns, server *conn, caller net.Conn) {
+func trackedPipe(t *testing.T) (c *connTracker, server *trackedConn, caller net.Conn) {
 	t.Helper()
 	inner, caller := net.Pipe()
-	c = trackConns(&pipeListener{conn: inner})
+	c = newConnTracker(&pipeListener{conn: inner})
 	accepted, err := c.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { inner.Close(); caller.Close() })
-	return c, accepted.(*conn), caller
+	return c, accepted.(*trackedConn), caller
 }
 
-// Symptom: a request that came four seconds after the signal to stop was passed on to a target, and its
-// connection closed without an answer.
-// Sequence: the connection was idle; a request came in; its header was being read when all idle
-// connections were closed; the handler ran all the same.
-// Cause: to the HTTP server a connection is idle until a request's header has been read whole.
-func TestAConnectionIsBusyFromTheFirstByte(t *testing.T) {
+// Guards against closing a connection whose request has begun to arrive, which would pass the request on and
+// leave it without an answer. To the HTTP server a connection is idle until the whole header of a request has
+// been read, so an idle connection could be closed while its next header was being read.
+func TestConnectionIsBusyFromFirstByte(t *testing.T) {
 	c, server, caller := trackedPipe(t)
-	c.state(server, http.StateIdle)
+	c.handleState(server, http.StateIdle)
 	go func() { _, _ = caller.Write([]byte("G")) }() // ends with the pipe at the latest
 	if n, err := server.Read(make([]byte, 10)); n != 1 || err != nil {
 		t.Fatal(n, err)
 	}
 	c.closeIdle()
-	if c.busy() != 1 {
-		t.Error("a connection with a part of a request is not busy")
+	if c.countBusy() != 1 {
+		t.Error("a connection with a partial request is not busy")
 	}
 	done := make(chan struct{})
 	go func() {
@@ -50,17 +48,17 @@
 		_, _ = io.ReadFull(caller, make([]byte, 2))
 	}()
 	if _, err := server.Write([]byte("ok")); err != nil {
-		t.Errorf("the connection was closed under a request: %v", err)
+		t.Errorf("a connection with a request was closed: %v", err)
 	}
 	<-done
-	c.state(server, http.StateIdle)
+	c.handleState(server, http.StateIdle)
 	c.closeIdle()
-	if c.busy() != 0 || len(c.list()) != 0 {
+	if c.countBusy() != 0 || len(c.list()) != 0 {
 		t.Error("an idle connection was not closed")
 	}
 }
 
-// slowRead returns bytes that were on their way while the connection was closed.
+// slowRead returns bytes that arrive while the connection is being closed.
 type slowRead struct {
 	net.Conn
 	closing func()
@@ -71,8 +69,8 @@
 	return copy(p, "GET"), nil
 }
 
-// What comes in just as the connection is closed must not become a request.
-func TestBytesOfAClosedConnectionAreNotRead(t *testing.T) {
+// Guards against handling a request that arrives while its connection is being closed.
+func TestClosedConnectionReturnsNoBytes(t *testing.T) {
 	c, server, _ := trackedPipe(t)
 	server.Conn = slowRead{server.Conn, c.closeIdle}
 	if n, err := server.Read(make([]byte, 10)); n != 0 || !errors.Is(err, net.ErrClosed) {
--- a/internal/node/detour_test.go
+++ b/internal/node/detour_test.go
@@ -11,31 +11,31 @@
 	"arbutusramp/standin/keyedlog"
 )
 
-// Symptom: one gateway went on with an old configuration and refused jobs for as long as the store turned it away, while all
-// others had the new one. Sequence: the store refuses the calls of one host; the operator publishes a configuration; callers
-// come to that host. Cause: a gateway learned of configurations and wrote jobs by its own way to the store only.
-func TestAGatewayThatTheStoreTurnsAwayWorksThroughItsPeer(t *testing.T) {
+// Guards against a gateway that keeps an old configuration and rejects jobs while the store refuses the calls
+// of its host alone. This happened when a gateway read configurations and wrote jobs only through its direct
+// path to the store.
+func TestGatewayRefusedByStoreWorksThroughPeer(t *testing.T) {
 	s := newSystem(t, 1)
 	defer s.stopAll()
-	own := s.store.(*keyedlog.View).Sibling()
-	ownServer := httptest.NewServer(wiretest.StoreHandler(own))
-	t.Cleanup(ownServer.Close)
-	s.start("g1", strings.TrimPrefix(ownServer.URL, "http://"))
-	turnedAway := s.gateways[1]
-	for len(turnedAway.share.PeersWithStore()) == 0 {
+	directStore := s.store.(*keyedlog.View).Sibling()
+	directServer := httptest.NewServer(wiretest.StoreHandler(directStore))
+	t.Cleanup(directServer.Close)
+	s.start("g1", strings.TrimPrefix(directServer.URL, "http://"))
+	refusedGateway := s.gateways[1]
+	for len(refusedGateway.loadShare.PeersWithStore()) == 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
-	own.Set(keyedlog.Faults{Refuse: true})
+	directStore.Set(keyedlog.Faults{Refuse: true})
 	s.must(wiretest.Configure(t.Context(), s.store, wiretest.MoreRoutes()))
-	addr := turnedAway.CallerAddr()
+	addr := refusedGateway.CallerAddr()
 	for {
 		if status, _ := s.caller.Send(addr, http.MethodPost, "/new/x", "r1", "echo"); status == http.StatusOK {
 			break
 		}
-		time.Sleep(10 * time.Millisecond) // the test's own time limit ends this
+		time.Sleep(10 * time.Millisecond) // bounded by the timeout of the test
 	}
 	s.runJob(addr, addr)
-	if !turnedAway.paths.Lost() {
-		t.Error("the gateway has reached the store by its own way: the test shows nothing")
+	if !refusedGateway.storePaths.Lost() {
+		t.Error("the gateway reached the store directly, so the test covers nothing")
 	}
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -9,59 +9,60 @@
 	"arbutusramp/core/sleep"
 )
 
-// Shares of the grace at which a process that stops goes a step further. With a grace of 8 s, the
-// balancer has sent callers elsewhere after 2 to 3 s; a streamed answer takes about 1 s.
+// Shares of the grace period at which a stopping process takes its next step. With a grace of 8 s, the
+// balancer has redirected callers after 2 to 3 s. A streamed answer takes about 1 s.
 const (
-	// stopTakingAt is when nothing new is taken: connections without a request are closed, and a request on another one is rejected.
-	// Requests that came before have over half of the grace left; those that come later might be cut off by the end.
-	stopTakingAt = 0.375
-	// breakOffAt is when requests still in flight are broken off, so that the process is gone
-	// by itself before it is killed.
-	breakOffAt = 0.95
-	// quietStop is how long no request may have come before a process that stops ends early.
-	quietStop = 2500 * time.Millisecond
-	// drainPollInterval is how often that is looked at.
+	// stopAcceptingShare is when the process stops accepting: idle connections are closed and new requests on
+	// others are rejected. Requests that arrived before have over half of the grace period left. Requests
+	// accepted later might be cut off when it ends.
+	stopAcceptingShare = 0.375
+	// closeAllShare is when connections with requests are closed, so that the process exits before it is
+	// killed.
+	closeAllShare = 0.95
+	// earlyStopIdleTime is the time without a request after which a stopping process exits early.
+	earlyStopIdleTime = 2500 * time.Millisecond
+	// drainPollInterval is how often these conditions are checked.
 	drainPollInterval = 50 * time.Millisecond
 )
 
-// callerSide is what draining needs of the callers' connections.
-type callerSide interface {
-	// closeIdle closes connections that have no request.
+// callerConns is the part of the caller connections that drain needs.
+type callerConns interface {
+	// closeIdle closes the connections without a request.
 	closeIdle()
-	// stopTaking takes no further connection or request.
-	stopTaking()
-	// busy is the number of connections with a request, from its first byte on.
-	busy() int
-	// quietFor is the time since the last request came.
-	quietFor() time.Duration
-	// breakOff closes all connections.
-	breakOff()
+	// stopAccepting rejects new connections and requests.
+	stopAccepting()
+	// countBusy returns the number of connections with a request, from its first byte on.
+	countBusy() int
+	// idleTime returns the time since the last request arrived.
+	idleTime() time.Duration
+	// closeAll closes all connections.
+	closeAll()
 }
 
-// drain goes on serving while callers still come, and ends between requests. The balancer learns
-// only by its next questions that this process is not ready.
-func drain(callers callerSide, grace time.Duration, log hclog.Logger) {
+// drain keeps serving while callers still arrive, and returns when no request is in flight or the grace
+// period is nearly over. The balancer sees only at its next readiness check that this process is not ready.
+func drain(callers callerConns, grace time.Duration, log hclog.Logger) {
 	began := time.Now()
-	at := func(share float64) time.Time { return began.Add(time.Duration(share * float64(grace))) }
-	log.Info("stopping", "busy", callers.busy(), "grace", grace.String())
-	quietUntil(callers, began, at(stopTakingAt))
-	callers.stopTaking()
-	for time.Now().Before(at(breakOffAt)) {
+	timeAt := func(share float64) time.Time { return began.Add(time.Duration(share * float64(grace))) }
+	log.Info("stopping", "busy", callers.countBusy(), "grace", grace.String())
+	waitIdle(callers, began, timeAt(stopAcceptingShare))
+	callers.stopAccepting()
+	for time.Now().Before(timeAt(closeAllShare)) {
 		callers.closeIdle()
-		if callers.busy() == 0 {
+		if callers.countBusy() == 0 {
 			return
 		}
 		sleep.For(context.Background(), drainPollInterval)
 	}
-	log.Warn("requests were broken off by the stop", "busy", callers.busy())
-	callers.breakOff()
+	log.Warn("closing connections with requests in flight", "busy", callers.countBusy())
+	callers.closeAll()
 }
 
-// quietUntil waits until a time, or until callers have stayed away for long.
-func quietUntil(callers callerSide, began, until time.Time) {
-	for time.Now().Before(until) {
-		calm := min(callers.quietFor(), time.Since(began))
-		if callers.busy() == 0 && calm > quietStop {
+// waitIdle returns at the deadline, or earlier once no request has arrived for earlyStopIdleTime.
+func waitIdle(callers callerConns, began, deadline time.Time) {
+	for time.Now().Before(deadline) {
+		idle := min(callers.idleTime(), time.Since(began))
+		if callers.countBusy() == 0 && idle > earlyStopIdleTime {
 			return
 		}
 		sleep.For(context.Background(), drainPollInterval)
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -8,59 +8,57 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// fakeCallers notes when each step of a drain came, in time since the stop.
-type fakeCallers struct {
-	began      time.Time
-	idleClosed time.Duration // first
-	shut       time.Duration
-	broken     time.Duration
-	busyFor    time.Duration // requests are in flight until then
-	last       time.Duration // when the last request came
+// fakeCallerConns records when each step of a drain happened, as the time since its start.
+type fakeCallerConns struct {
+	began              time.Time
+	idleClosedAt       time.Duration // time of the first call
+	stoppedAcceptingAt time.Duration
+	closedAllAt        time.Duration
+	busyUntil          time.Duration // until then there are requests in flight
+	lastRequestAt      time.Duration // when the last request arrived
 }
 
-func (f *fakeCallers) since() time.Duration { return time.Since(f.began) }
+func (f *fakeCallerConns) elapsed() time.Duration { return time.Since(f.began) }
 
-func (f *fakeCallers) closeIdle() {
-	if f.idleClosed == 0 {
-		f.idleClosed = f.since()
+func (f *fakeCallerConns) closeIdle() {
+	if f.idleClosedAt == 0 {
+		f.idleClosedAt = f.elapsed()
 	}
 }
 
-func (f *fakeCallers) stopTaking() { f.shut = f.since() }
-func (f *fakeCallers) breakOff()   { f.broken = f.since() }
+func (f *fakeCallerConns) stopAccepting() { f.stoppedAcceptingAt = f.elapsed() }
+func (f *fakeCallerConns) closeAll()      { f.closedAllAt = f.elapsed() }
 
-func (f *fakeCallers) busy() int {
-	if f.since() < f.busyFor {
+func (f *fakeCallerConns) countBusy() int {
+	if f.elapsed() < f.busyUntil {
 		return 1
 	}
 	return 0
 }
 
-func (f *fakeCallers) quietFor() time.Duration { return max(0, f.since()-f.last) }
+func (f *fakeCallerConns) idleTime() time.Duration { return max(0, f.elapsed()-f.lastRequestAt) }
 
 const testGrace = 8 * time.Second
 
-func drainWith(f *fakeCallers) time.Duration {
+func runDrain(f *fakeCallerConns) time.Duration {
 	f.began = time.Now()
 	drain(f, testGrace, hclog.NewNullLogger())
-	return f.since()
+	return f.elapsed()
 }
 
-// Symptom: a stream was cut off in the middle though its request had come six seconds after the
-// signal to stop.
-// Sequence: a caller kept a connection; the process went on serving on it until its end; the
-// caller's next request came shortly before.
-// Cause: kept connections were closed only at the very end, not between requests before it.
-func TestNoRequestComesTooLateToBeAnswered(t *testing.T) {
+// Guards against cutting off a stream whose request arrives late in the grace period, for example 6 s after
+// the signal to stop. This happened when keep-alive connections were closed only at the end, so that a caller
+// could send its next request shortly before.
+func TestDrainLeavesTimeToAnswerLastRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeCallers{busyFor: 20 * time.Second, last: 20 * time.Second}
-		took := drainWith(f)
-		const answer = 1500 * time.Millisecond // the longest usual answer
-		if f.idleClosed == 0 || f.idleClosed+answer > f.broken {
-			t.Errorf("kept connections closed after %v, requests broken off after %v", f.idleClosed, f.broken)
+		f := &fakeCallerConns{busyUntil: 20 * time.Second, lastRequestAt: 20 * time.Second}
+		took := runDrain(f)
+		const answer = 1500 * time.Millisecond // longest usual duration of an answer
+		if f.idleClosedAt == 0 || f.idleClosedAt+answer > f.closedAllAt {
+			t.Errorf("idle connections closed after %v, busy ones after %v", f.idleClosedAt, f.closedAllAt)
 		}
-		if f.shut+answer > f.broken {
-			t.Errorf("listener closed after %v, requests broken off after %v", f.shut, f.broken)
+		if f.stoppedAcceptingAt+answer > f.closedAllAt {
+			t.Errorf("listener closed after %v, busy connections after %v", f.stoppedAcceptingAt, f.closedAllAt)
 		}
 		if took >= testGrace {
 			t.Errorf("the stop took %v: the process was killed", took)
@@ -68,25 +66,25 @@
 	})
 }
 
-// Guards against taking a request so late that an answer which takes long is cut off by the end.
-func TestARequestThatIsTakenHasHalfOfTheGraceLeft(t *testing.T) {
+// Guards against accepting a request so late that a long answer is cut off at the end of the grace period.
+func TestAcceptedRequestHasHalfOfGraceLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeCallers{busyFor: 20 * time.Second, last: 20 * time.Second}
-		drainWith(f)
-		if f.shut+testGrace/2 > f.broken || f.idleClosed+testGrace/2 > f.broken {
-			t.Errorf("nothing is taken after %v, idle connections are closed after %v, requests broken off after %v", f.shut, f.idleClosed, f.broken)
+		f := &fakeCallerConns{busyUntil: 20 * time.Second, lastRequestAt: 20 * time.Second}
+		runDrain(f)
+		if f.stoppedAcceptingAt+testGrace/2 > f.closedAllAt || f.idleClosedAt+testGrace/2 > f.closedAllAt {
+			t.Errorf("new requests rejected after %v, idle connections closed after %v, busy ones after %v", f.stoppedAcceptingAt, f.idleClosedAt, f.closedAllAt)
 		}
 	})
 }
 
-func TestAQuietProcessStopsEarly(t *testing.T) {
+func TestIdleProcessStopsEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeCallers{busyFor: 800 * time.Millisecond, last: 500 * time.Millisecond}
-		if took := drainWith(f); took > testGrace/2 || took < quietStop {
+		f := &fakeCallerConns{busyUntil: 800 * time.Millisecond, lastRequestAt: 500 * time.Millisecond}
+		if took := runDrain(f); took > testGrace/2 || took < earlyStopIdleTime {
 			t.Errorf("the stop took %v", took)
 		}
-		if f.broken != 0 {
-			t.Error("connections were broken off")
+		if f.closedAllAt != 0 {
+			t.Error("busy connections were closed")
 		}
 	})
 }
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -23,24 +23,24 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Variant changes an entry for tests and labs. The zero value changes nothing.
+// Variant changes an entry for tests and experiments. The zero value changes nothing.
 type Variant struct {
-	// Check counts violations of invariants over several entries; nil has each count its own.
+	// Check counts violations of invariants across several entries; if nil, each entry counts its own.
 	Check *invariant.Checker
-	// Broken switches guards of the job shards off.
+	// Broken disables guards of the job shards.
 	Broken jobs.Broken
-	// Tuning replaces times and bounds of the job shards.
+	// Tuning replaces durations and bounds of the job shards.
 	Tuning batch.Tuning
 }
 
-// NewEntry returns an entry that listens and does not run yet. Errors: errs.BadSettings.
+// NewEntry returns an entry that listens but does not run yet. Errors: errs.BadSettings.
 func NewEntry(s settings.Entry, logger hclog.Logger, reg metrics.Registry) (*entry.Entry, error) {
 	return NewEntryVariant(s, logger, reg, Variant{})
 }
 
-// NewEntryVariant is NewEntry with the changes of v.
+// NewEntryVariant is like NewEntry, with the changes of v.
 func NewEntryVariant(s settings.Entry, logger hclog.Logger, reg metrics.Registry, v Variant) (*entry.Entry, error) {
-	k, err := newKit(s, logger, reg, v)
+	c, err := newEntryComponents(s, logger, reg, v)
 	if err != nil {
 		return nil, err
 	}
@@ -48,167 +48,168 @@
 		Settings: s,
 		Logger:   logger,
 		Metrics:  reg,
-		Log:      k.log,
-		Hosts:    k.hosts,
-		Weights:  k.weights,
-		Config:   k.config,
-		Keys:     k.keys,
+		Log:      c.platformLog,
+		Hosts:    c.hosts,
+		Weights:  c.weights,
+		Config:   c.config,
+		Keys:     c.keys,
 
-		Quarantine: k.quarantine,
+		Quarantine: c.quarantine,
 	})
 	if err != nil {
 		return nil, err
 	}
-	e.Join(k.parts(e.PeerAddr()))
+	e.Join(c.newParts(e.PeerAddr()))
 	return e, nil
 }
 
-// kit is what the parts of one entry process have in common.
-type kit struct {
-	set     settings.Entry
-	variant Variant
-	logger  hclog.Logger
-	metrics metrics.Registry
-	log     platform.Log
-	hosts   *members
-	weights platform.WeightStore // nil without a URL: plans then show no sizes
-	keys    *keyring.Keyring
-	config  *follow.Follower
-	fleet   *reconcile.Fleet
-	// quarantine keeps requests under which targets have crashed from targets.
+// entryComponents holds what the parts of one entry process share.
+type entryComponents struct {
+	settings    settings.Entry
+	variant     Variant
+	logger      hclog.Logger
+	metrics     metrics.Registry
+	platformLog platform.Log
+	hosts       *cachedHostList
+	weights     platform.WeightStore // nil without a URL; plans then show no sizes
+	keys        *keyring.Keyring
+	config      *follow.Follower
+	fleet       *reconcile.Fleet
+	// quarantine blocks requests that have crashed targets.
 	quarantine entryQuarantine
 }
 
-func newKit(s settings.Entry, logger hclog.Logger, reg metrics.Registry, v Variant) (*kit, error) {
+func newEntryComponents(s settings.Entry, logger hclog.Logger, reg metrics.Registry, v Variant) (*entryComponents, error) {
 	values, err := keyring.EntryValues(s)
 	if err != nil {
 		return nil, err
 	}
-	k := &kit{
-		set:     s,
-		variant: v,
-		logger:  logger,
-		metrics: reg,
-		log:     loghttp.New(s.Platform.LogURL),
-		hosts:   &members{HostList: hosthttp.New(s.Platform.HostListURL)},
-		keys:    keyring.New(values),
+	c := &entryComponents{
+		settings:    s,
+		variant:     v,
+		logger:      logger,
+		metrics:     reg,
+		platformLog: loghttp.New(s.Platform.LogURL),
+		hosts:       &cachedHostList{HostList: hosthttp.New(s.Platform.HostListURL)},
+		keys:        keyring.New(values),
 	}
 	if s.Platform.WeightsURL != "" {
-		k.weights = weightshttp.New(s.Platform.WeightsURL)
+		c.weights = weightshttp.New(s.Platform.WeightsURL)
 	}
-	k.config = follow.New(follow.Options{
+	c.config = follow.New(follow.Options{
 		Self:       s,
-		Log:        k.log,
-		Members:    k.hosts.known,
+		Log:        c.platformLog,
+		Members:    c.hosts.lastHosts,
 		Logger:     logger,
 		Metrics:    reg,
 		Check:      v.Check,
-		PeerKeys:   k.keys.PeerKeys,
-		RetiredKey: k.keys.RetiredPeerKey,
+		PeerKeys:   c.keys.PeerKeys,
+		RetiredKey: c.keys.RetiredPeerKey,
 	})
-	k.quarantine = newEntryQuarantine(logger.Named("quarantine"), reg)
-	k.fleet = reconcile.NewFleet(reconcile.FleetOptions{
-		Members:   k.hosts.known,
-		Weights:   k.weights,
+	c.quarantine = newEntryQuarantine(logger.Named("quarantine"), reg)
+	c.fleet = reconcile.NewFleet(reconcile.FleetOptions{
+		Members:   c.hosts.lastHosts,
+		Weights:   c.weights,
 		BytesPerS: float64(s.Platform.WeightsBytesPerS),
 	})
-	return k, nil
+	return c, nil
 }
 
-// parts makes what works beside the entry itself. peerAddr is where other entries reach it.
-func (k *kit) parts(peerAddr string) entry.Parts {
-	m := k.jobs(peerAddr)
-	owner := newStage(m.Run)
-	placement := k.placement()
-	operators := k.operators(placement)
+// newParts builds the parts that work besides the listeners of the entry. peerAddr is where other entries
+// reach it.
+func (c *entryComponents) newParts(peerAddr string) entry.Parts {
+	manager := c.newBatchManager(peerAddr)
+	jobOwner := newDrainableTask(manager.Run)
+	reconciler := c.newReconciler()
+	adminAPI := c.newAdmin(reconciler)
 	return entry.Parts{
-		Batch:  m,
-		Jobs:   serveJobs(m),
-		Config: k.config,
-		Orders: k.fleet,
-		SeeAll: placement.Candidate,
-		Admin:  operators.Handler,
+		Batch:  manager,
+		Jobs:   serveJobs(manager),
+		Config: c.config,
+		Orders: c.fleet,
+		SeeAll: reconciler.Candidate,
+		Admin:  adminAPI.Handler,
 		Peers: servePeers([]peerRoute{
-			{batch.PeerPath, m.PeerHandler},
-			{follow.PeerPath, k.config.PeerHandler},
-		}, k.logger),
-		Ready:       []func() bool{isClosed(k.config.Ready())},
-		ConfigFresh: k.config.Fresh,
-		Run: []func(context.Context) error{k.config.Run, placement.Run, owner.run, func(ctx context.Context) error {
-			return k.quarantine.Run(ctx, quarantine.NewLogStore(k.log))
+			{batch.PeerPath, manager.PeerHandler},
+			{follow.PeerPath, c.config.PeerHandler},
+		}, c.logger),
+		Ready:       []func() bool{checkClosed(c.config.Ready())},
+		ConfigFresh: c.config.Fresh,
+		Run: []func(context.Context) error{c.config.Run, reconciler.Run, jobOwner.run, func(ctx context.Context) error {
+			return c.quarantine.Run(ctx, quarantine.NewLogStore(c.platformLog))
 		}},
 		Drain: []func(context.Context){
-			// An operator's watch is held for long; without this a stop would wait for it.
-			func(context.Context) { operators.Close() },
-			owner.drain,
+			// An operator's watch request stays open for long; unless it is closed, the stop waits for it.
+			func(context.Context) { adminAPI.Close() },
+			jobOwner.drain,
 		},
 	}
 }
 
-func (k *kit) jobs(peerAddr string) *batch.Manager {
+func (c *entryComponents) newBatchManager(peerAddr string) *batch.Manager {
 	return batch.New(batch.Options{
-		Settings:   k.set,
-		Log:        k.log,
-		Config:     k.config,
-		Members:    k.hosts.known,
-		Logger:     k.logger,
-		Metrics:    k.metrics,
+		Settings:   c.settings,
+		Log:        c.platformLog,
+		Config:     c.config,
+		Members:    c.hosts.lastHosts,
+		Logger:     c.logger,
+		Metrics:    c.metrics,
 		PeerAddr:   peerAddr,
-		Check:      k.variant.Check,
-		Broken:     k.variant.Broken,
-		Tuning:     k.variant.Tuning,
-		PeerKeys:   k.keys.PeerKeys,
-		RetiredKey: k.keys.RetiredPeerKey,
+		Check:      c.variant.Check,
+		Broken:     c.variant.Broken,
+		Tuning:     c.variant.Tuning,
+		PeerKeys:   c.keys.PeerKeys,
+		RetiredKey: c.keys.RetiredPeerKey,
 	})
 }
 
-func (k *kit) placement() *reconcile.Reconciler {
+func (c *entryComponents) newReconciler() *reconcile.Reconciler {
 	return reconcile.New(reconcile.Options{
-		Self:    k.set,
-		Log:     k.log,
-		Config:  k.config,
-		Members: k.hosts.known,
-		Fleet:   k.fleet,
-		Logger:  k.logger,
-		Metrics: k.metrics,
+		Self:    c.settings,
+		Log:     c.platformLog,
+		Config:  c.config,
+		Members: c.hosts.lastHosts,
+		Fleet:   c.fleet,
+		Logger:  c.logger,
+		Metrics: c.metrics,
 	})
 }
 
-// view is what plans and status of this entry rest on.
-func (k *kit) view(placement *reconcile.Reconciler) plan.View {
+// planView returns the view of the fleet for plans and status of this entry.
+func (c *entryComponents) planView(reconciler *reconcile.Reconciler) plan.View {
 	return plan.View{
-		Fleet:   k.fleet.View(k.config.Current()),
-		Partial: k.set.MaxSides > 0 && !placement.Candidate(),
+		Fleet:   c.fleet.View(c.config.Current()),
+		Partial: c.settings.MaxSides > 0 && !reconciler.Candidate(),
 	}
 }
 
-func (k *kit) operators(placement *reconcile.Reconciler) *admin.Admin {
+func (c *entryComponents) newAdmin(reconciler *reconcile.Reconciler) *admin.Admin {
 	return admin.New(admin.Options{
-		Self:    k.set,
-		Keys:    k.keys,
-		Config:  k.config,
-		Log:     k.log,
-		View:    func() plan.View { return k.view(placement) },
-		Weights: k.weights,
-		Logger:  k.logger,
-		Metrics: k.metrics,
+		Self:    c.settings,
+		Keys:    c.keys,
+		Config:  c.config,
+		Log:     c.platformLog,
+		View:    func() plan.View { return c.planView(reconciler) },
+		Weights: c.weights,
+		Logger:  c.logger,
+		Metrics: c.metrics,
 	})
 }
 
-// serveJobs passes the job paths on with the workspace that asks.
-func serveJobs(m *batch.Manager) fasthttp.RequestHandler {
+// serveJobs returns a handler that passes requests for jobs on with the workspace of their caller.
+func serveJobs(manager *batch.Manager) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		caller, ok := entry.CallerOf(ctx)
 		if !ok {
 			ctx.SetStatusCode(fasthttp.StatusUnauthorized)
 			return
 		}
-		m.CallerHandler(ctx, caller.Workspace)
+		manager.CallerHandler(ctx, caller.Workspace)
 	}
 }
 
-// isClosed returns whether c has been closed.
-func isClosed(c <-chan struct{}) func() bool {
+// checkClosed returns a function that reports whether c has been closed.
+func checkClosed(c <-chan struct{}) func() bool {
 	return func() bool {
 		select {
 		case <-c:
--- a/internal/node/entry_test.go
+++ b/internal/node/entry_test.go
@@ -9,10 +9,9 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Symptom: a comparison of policies shows no difference between them.
-// Events: the settings name a policy for choosing targets; every entry uses the default.
-// Cause: the setting is read and not passed on.
-func TestTheChoiceOfTargetsIsThatOfTheSettings(t *testing.T) {
+// Guards against a route policy in the settings that is read but not passed on: every entry would use the
+// default, and a comparison of policies would show no difference.
+func TestRoutePolicyOfSettingsIsUsed(t *testing.T) {
 	s := settings.DefaultEntry()
 	s.RoutePolicy = "no such policy"
 	if _, err := NewEntry(s, hclog.NewNullLogger(), metrics.NewRegistry()); !errs.Is(err, errs.BadSettings) {
--- a/internal/node/entryquarantine.go
+++ b/internal/node/entryquarantine.go
@@ -8,20 +8,21 @@
 	"arbutusramp/internal/quarantine"
 )
 
-// entryQuarantine is the quarantine of an entry: sides tell it of the crashes of their targets, and pass on what it tells.
+// entryQuarantine is the quarantine of an entry. Sides report crashes of their targets to it and get its
+// updates.
 type entryQuarantine struct {
 	*quarantine.Quarantine
-	news crashNews
+	notifier crashNotifier
 }
 
-// crashNews gets a token when there is something to tell.
-type crashNews struct {
+// crashNotifier signals changed when there are updates to send.
+type crashNotifier struct {
 	quarantine.NoFleet
 	changed chan struct{}
 }
 
 // ReportSoon implements quarantine.Fleet.
-func (n crashNews) ReportSoon() {
+func (n crashNotifier) ReportSoon() {
 	select {
 	case n.changed <- struct{}{}:
 	default:
@@ -29,11 +30,11 @@
 }
 
 func newEntryQuarantine(log hclog.Logger, reg metrics.Registry) entryQuarantine {
-	news := crashNews{changed: make(chan struct{}, 1)}
-	return entryQuarantine{news: news, Quarantine: quarantine.New(quarantine.Options{
-		Threshold: corequarantine.DefaultThreshold, Hold: corequarantine.DefaultHold, Prober: quarantine.NoFleet{}, Fleet: news, Log: log, Metrics: reg,
+	notifier := crashNotifier{changed: make(chan struct{}, 1)}
+	return entryQuarantine{notifier: notifier, Quarantine: quarantine.New(quarantine.Options{
+		Threshold: corequarantine.DefaultThreshold, Hold: corequarantine.DefaultHold, Prober: quarantine.NoFleet{}, Fleet: notifier, Log: log, Metrics: reg,
 	})}
 }
 
 // Changed implements entry.Quarantine.
-func (q entryQuarantine) Changed() <-chan struct{} { return q.news.changed }
+func (q entryQuarantine) Changed() <-chan struct{} { return q.notifier.changed }
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -40,75 +40,76 @@
 )
 
 const (
-	// startSpare slots stay free at a target after a batch item has started there, keepSpare
-	// are made free again by preempting items. None: an online request gets its slot within a few
-	// milliseconds by preemption.
-	startSpare = 0
-	keepSpare  = 0
-
-	// spreadBytes is how many bytes of a text in the record of its result all gateways together may read. A text that lies apart costs
-	// its reader a call, and its owner one; 512 KiB take the store's link as long as such calls take.
-	spreadBytes = 512 << 10
-
-	// headerTimeout bounds how long a caller may take for a request's header, idleTimeout how long
-	// a connection stays open between requests. Both are above what the operator allows
-	// callers, so that none is cut off that keeps to it.
+	// startSpareSlots is how many slots stay free at a target after a batch item has started there,
+	// keepSpareSlots how many are freed by preempting batch items. Both are 0: an online request gets its
+	// slot within a few milliseconds by preemption.
+	startSpareSlots = 0
+	keepSpareSlots  = 0
+
+	// inlineReadBytes bounds the bytes that all gateways together read of a text that is stored in the record
+	// of its result. A text that is stored separately costs one call for its reader and one for its owner;
+	// reading 512 KiB takes as much time on the store's link as these calls.
+	inlineReadBytes = 512 << 10
+
+	// headerTimeout bounds the time for reading the header of a request, idleTimeout the time that a
+	// connection stays open between requests. Both exceed the limits that the operator sets for callers, so
+	// that no caller within those limits is cut off.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 90 * time.Second
-	// maxHeaderBytes is likewise above the operator's limit.
+	// maxHeaderBytes also exceeds the operator's limit.
 	maxHeaderBytes = 64 << 10
 )
 
-// Gateway is a process that takes callers' requests on the users' platform.
+// Gateway is a process that serves the requests of callers on the users' platform.
 type Gateway struct {
-	set    settings.Gateway
-	log    hclog.Logger
-	reg    metrics.Registry
-	view   *fleetview.View
-	watch  *watch.Watch
-	jobs   *backlog.Manager
-	share  *loadshare.Share
-	quotas *quotas.Quotas
-	// quarantine keeps requests under which targets have crashed from reaching more.
-	quarantine *quarantine.Quarantine
-	paths      *storepath.Paths
-	peers      *peerDirectory
-	server     *http.Server
-	callers    *conns
-	sides      []*http.Server // of the other listeners: see readyOn
-	sideOn     []net.Listener
-
-	stopping atomic.Bool
-	// rejecting says that requests that come now are rejected: the process ends soon.
-	rejecting atomic.Bool
-	active    atomic.Int64
-	lastCall  atomic.Int64 // in nanoseconds since began
-	began     time.Time
+	settings  settings.Gateway
+	log       hclog.Logger
+	reg       metrics.Registry
+	view      *fleetview.View
+	watch     *watch.Watch
+	jobs      *backlog.Manager
+	loadShare *loadshare.Share
+	quotas    *quotas.Quotas
+	// quarantine blocks requests that have crashed targets.
+	quarantine   *quarantine.Quarantine
+	storePaths   *storepath.Paths
+	peers        *peerDirectory
+	server       *http.Server
+	conns        *connTracker
+	auxServers   []*http.Server // of the other listeners, see readyOn
+	auxListeners []net.Listener
+
+	isStopping atomic.Bool
+	// isRejecting is true when new requests are rejected because the process exits soon.
+	isRejecting   atomic.Bool
+	inFlightCount atomic.Int64
+	lastRequest   atomic.Int64 // in nanoseconds since began
+	began         time.Time
 }
 
-// NewGateway takes the process's listeners and wires its parts.
+// NewGateway opens the listeners of the process and connects its parts. It does not serve before Run.
 func NewGateway(s settings.Gateway, logger hclog.Logger, reg metrics.Registry) (*Gateway, error) {
 	self := fmt.Sprintf("%s-%s", s.Host.ID, uuid.NewString()[:8])
 	client := store.New(s.StoreAddr, reg)
 	targets := runner.New()
 	view := fleetview.New(fleet.Options{
 		Domain: string(s.Host.Domain), Self: fleet.Peer(self),
-		StartSpare: startSpare, KeepSpare: keepSpare, PeerTTL: loadshare.PeerTTL, Off: s.Off,
+		StartSpare: startSpareSlots, KeepSpare: keepSpareSlots, PeerTTL: loadshare.PeerTTL, Off: s.Off,
 	})
-	g := &Gateway{set: s, log: logger, reg: reg, view: view, began: time.Now()}
+	g := &Gateway{settings: s, log: logger, reg: reg, view: view, began: time.Now()}
 	g.quotas = quotas.New(self, quota.Options{Window: s.QuotaWindow, Excess: s.QuotaExcess, Slack: float64(s.QuotaSlack), ClaimTTL: claimTTL(s)}, reg)
 	g.quarantine = quarantine.New(quarantine.Options{
 		Threshold: s.QuarantineAfter, Hold: s.QuarantineHold, Off: s.Off, Prober: targets, Fleet: view, Log: logger.Named("quarantine"), Metrics: reg,
 	})
-	if err := g.reachStore(client, fleet.Peer(self)); err != nil {
+	if err := g.openStorePaths(client, fleet.Peer(self)); err != nil {
 		return nil, err
 	}
 	g.watch = watch.New(watch.Options{
-		Directory: directory.New(g.paths, self), View: view, Quotas: g.quotas, Observer: g.quarantine, RevokeWithin: s.RevokeWithin,
+		Directory: directory.New(g.storePaths, self), View: view, Quotas: g.quotas, Observer: g.quarantine, RevokeWithin: s.RevokeWithin,
 		Clock: bootclock.Now, Log: logger.Named("watch"),
 	})
-	g.jobs = backlog.New(backlog.Options{Member: self, Shards: s.Shards, MinTTL: s.MinTTL, Keep: s.Keep, SpreadBytes: spreadBytes, Off: s.Off, Quarantine: g.quarantine, Rank: g.share.Rank},
-		g.paths, targets, view, g.watch, logger.Named("backlog"), reg)
+	g.jobs = backlog.New(backlog.Options{Member: self, Shards: s.Shards, MinTTL: s.MinTTL, Keep: s.Keep, SpreadBytes: inlineReadBytes, Off: s.Off, Quarantine: g.quarantine, Rank: g.loadShare.Rank},
+		g.storePaths, targets, view, g.watch, logger.Named("backlog"), reg)
 	online := gateway.New(gateway.Options{
 		Targets: targets, View: view, Beliefs: g.watch, Access: g.watch, Quotas: g.quotas, Quarantine: g.quarantine, Off: s.Off,
 		Log: logger.Named("online"), Metrics: reg,
@@ -117,24 +118,24 @@
 		return nil, err
 	}
 	peersLog := logger.Named("peers")
-	g.peers = &peerDirectory{store: g.paths, share: g.share, self: peerListing{Domain: s.Host.Domain, Capacity: capacityOf(s)}, link: dependency.NewLink(peersLog, "peers' addresses"), log: peersLog}
+	g.peers = &peerDirectory{store: g.storePaths, loadShare: g.loadShare, self: peerRecord{Domain: s.Host.Domain, Capacity: cpuCapacity(s)}, storeLink: dependency.NewLink(peersLog, "peer addresses"), log: peersLog}
 	g.registerGauges()
-	g.server = g.callersServer(&ingress.Handler{Router: g.watch, Online: online, Jobs: g.jobs, Closing: g.stopping.Load, Rejecting: g.rejecting.Load, Rejected: g.noteRejected()})
+	g.server = g.newCallerServer(&ingress.Handler{Router: g.watch, Online: online, Jobs: g.jobs, Closing: g.isStopping.Load, Rejecting: g.isRejecting.Load, Rejected: g.newRejectionRecorder()})
 	g.log.Info("started", "id", s.Host.ID, "member", self, "domain", s.Host.Domain, "callers", s.CallerAddr, "store", s.StoreAddr, "shards", s.Shards, "policies_off", len(s.Off))
 	return g, nil
 }
 
-// capacityOf is the processor time that a gateway may use.
-func capacityOf(s settings.Gateway) fanout.Capacity {
+// cpuCapacity returns the processor time that a gateway may use.
+func cpuCapacity(s settings.Gateway) fanout.Capacity {
 	return fanout.CapacityOf(s.CPUShare * float64(s.Cores))
 }
 
-// defaultClaimTTL is how long a silent peer keeps its part of the quotas where keys may be relied upon for ever. It is longer than
-// a restart takes.
+// defaultClaimTTL is how long a silent peer keeps its share of the quotas if keys are trusted without a time
+// limit. It is longer than a restart takes.
 const defaultClaimTTL = 6 * time.Second
 
-// claimTTL is how long a silent peer keeps its part of the quotas: a peer that is cut off can't rely on keys for longer than
-// the bound, counted from its last word.
+// claimTTL returns how long a silent peer keeps its share of the quotas. A peer that is cut off can't trust
+// keys for longer than RevokeWithin after its last message.
 func claimTTL(s settings.Gateway) time.Duration {
 	if s.RevokeWithin == 0 {
 		return defaultClaimTTL
@@ -142,45 +143,46 @@
 	return s.RevokeWithin + loadshare.PeerTTL
 }
 
-func (g *Gateway) callersServer(h http.Handler) *http.Server {
+func (g *Gateway) newCallerServer(h http.Handler) *http.Server {
 	return &http.Server{
-		Handler:           g.counted(h),
+		Handler:           g.countRequests(h),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ConnState:         g.callers.state,
+		ConnState:         g.conns.handleState,
 		ErrorLog:          g.log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
 	}
 }
 
-// noteRejected returns what counts and logs requests that go no further than their route and key.
-func (g *Gateway) noteRejected() func(request string, err error) {
-	lines := logging.NewRoutine(g.log.Named("access"))
+// newRejectionRecorder returns a function that counts and logs requests that are rejected by routing or
+// authorization.
+func (g *Gateway) newRejectionRecorder() func(request string, err error) {
+	rejectedLog := logging.NewRoutine(g.log.Named("access"))
 	return func(request string, err error) {
 		outcome := string(errs.As(err).Type)
 		metrics.GetOrRegisterCounter("access."+outcome, g.reg).Inc(1)
-		lines.Info(time.Now(), "rejected", "request", request, "outcome", outcome, "config", g.watch.Version(),
+		rejectedLog.Info(time.Now(), "rejected", "request", request, "outcome", outcome, "config", g.watch.Version(),
 			"config_age_ms", g.watch.Age().Milliseconds(), "error", err.Error())
 	}
 }
 
-// counted follows how many requests are under way.
-func (g *Gateway) counted(h http.Handler) http.Handler {
+// countRequests wraps h to count the requests in flight and to record when the last one arrived.
+func (g *Gateway) countRequests(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		g.active.Add(1)
-		defer g.active.Add(-1)
-		g.lastCall.Store(int64(time.Since(g.began)))
+		g.inFlightCount.Add(1)
+		defer g.inFlightCount.Add(-1)
+		g.lastRequest.Store(int64(time.Since(g.began)))
 		h.ServeHTTP(w, r)
 	})
 }
 
-// notReady says why callers should go elsewhere; "" when they need not.
-func (g *Gateway) notReady() string {
+// notReadyReason returns why callers should use another gateway; "" if the process is ready.
+func (g *Gateway) notReadyReason() string {
 	switch {
-	case g.stopping.Load():
+	case g.isStopping.Load():
 		return "stopping"
 	case !g.watch.Ready():
-		return "no configuration or no targets read"
+		return "configuration or targets not read"
 	case g.watch.IsStale():
 		return "configuration not confirmed for too long"
 	case !g.jobs.Loaded():
@@ -192,119 +194,119 @@
 }
 
 func (g *Gateway) serveReady(w http.ResponseWriter, r *http.Request) {
-	why := g.notReady()
+	reason := g.notReadyReason()
 	if r.URL.Path != wire.PathReady {
 		http.NotFound(w, r)
 		return
 	}
-	if why != "" {
-		http.Error(w, why, http.StatusServiceUnavailable)
+	if reason != "" {
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	fmt.Fprintln(w, "ready")
 }
 
-// Run serves until ctx ends, then drains.
+// Run serves until ctx ends or a part fails, then drains and stops. It returns the error of a failed part.
 func (g *Gateway) Run(ctx context.Context) error {
-	work, stopWork := context.WithCancel(context.Background())
-	defer stopWork()
-	parts, work := errgroup.WithContext(work)
-	parts.Go(func() error { return g.watch.Run(work) })
-	parts.Go(func() error { return g.share.Run(work) })
-	parts.Go(func() error { return g.peers.run(work) })
-	parts.Go(func() error { return g.quarantine.Run(work, g.paths) })
-	for i := range g.sides {
-		parts.Go(func() error { return served(g.sides[i].Serve(g.sideOn[i])) })
+	workCtx, cancelWork := context.WithCancel(context.Background())
+	defer cancelWork()
+	group, workCtx := errgroup.WithContext(workCtx)
+	group.Go(func() error { return g.watch.Run(workCtx) })
+	group.Go(func() error { return g.loadShare.Run(workCtx) })
+	group.Go(func() error { return g.peers.run(workCtx) })
+	group.Go(func() error { return g.quarantine.Run(workCtx, g.storePaths) })
+	for i := range g.auxServers {
+		group.Go(func() error { return ignoreClosed(g.auxServers[i].Serve(g.auxListeners[i])) })
 	}
-	parts.Go(func() error { return served(g.server.Serve(g.callers)) })
-	jobsOver := make(chan error, 1)
-	go func() { jobsOver <- g.jobs.Run(ctx) }()
+	group.Go(func() error { return ignoreClosed(g.server.Serve(g.conns)) })
+	jobsDone := make(chan error, 1)
+	go func() { jobsDone <- g.jobs.Run(ctx) }()
 	select {
 	case <-ctx.Done():
-	case <-work.Done():
+	case <-workCtx.Done():
 	}
-	g.stopping.Store(true)
-	drain(g, g.set.Grace, g.log)
-	g.breakOff() // nothing is under way; this ends the server's loop
-	err := <-jobsOver
-	stopWork()
-	for _, s := range g.sides {
-		_ = s.Close() // nobody waits for their answers any more
+	g.isStopping.Store(true)
+	drain(g, g.settings.Grace, g.log)
+	g.closeAll() // no request is in flight any more; this ends the server's accept loop
+	err := <-jobsDone
+	cancelWork()
+	for _, s := range g.auxServers {
+		_ = s.Close() // no caller waits for their answers any more
 	}
-	if partsErr := parts.Wait(); partsErr != nil {
-		err = partsErr
+	if groupErr := group.Wait(); groupErr != nil {
+		err = groupErr
 	}
 	g.log.Info("stopped", "error", err)
 	return err
 }
 
-// CallerAddr is where callers reach the process.
-func (g *Gateway) CallerAddr() string { return g.callers.Addr().String() }
+// CallerAddr returns the address for callers.
+func (g *Gateway) CallerAddr() string { return g.conns.Addr().String() }
 
-// ReadyAddr is where the balancer asks whether the process is ready.
-func (g *Gateway) ReadyAddr() string { return g.sideOn[readyOn].Addr().String() }
+// ReadyAddr returns the address of the readiness check for the balancer.
+func (g *Gateway) ReadyAddr() string { return g.auxListeners[readyOn].Addr().String() }
 
-// MetricsAddr is where the metrics are.
-func (g *Gateway) MetricsAddr() string { return g.sideOn[metricsOn].Addr().String() }
+// MetricsAddr returns the address of the metrics.
+func (g *Gateway) MetricsAddr() string { return g.auxListeners[metricsOn].Addr().String() }
 
-// inFlight is the number of requests under way.
-func (g *Gateway) inFlight() int64 { return g.active.Load() }
+// inFlight returns the number of requests in flight.
+func (g *Gateway) inFlight() int64 { return g.inFlightCount.Load() }
 
-// quietFor implements callerSide.
-func (g *Gateway) quietFor() time.Duration {
-	return time.Since(g.began) - time.Duration(g.lastCall.Load())
+// idleTime implements callerConns.
+func (g *Gateway) idleTime() time.Duration {
+	return time.Since(g.began) - time.Duration(g.lastRequest.Load())
 }
 
-// busy implements callerSide.
-func (g *Gateway) busy() int { return g.callers.busy() }
+// countBusy implements callerConns.
+func (g *Gateway) countBusy() int { return g.conns.countBusy() }
 
-// closeIdle implements callerSide.
-func (g *Gateway) closeIdle() { g.callers.closeIdle() }
+// closeIdle implements callerConns.
+func (g *Gateway) closeIdle() { g.conns.closeIdle() }
 
-// stopTaking implements callerSide.
-func (g *Gateway) stopTaking() {
-	g.rejecting.Store(true)
-	if err := g.callers.Close(); err != nil {
-		g.log.Warn("listener not closed", "error", err)
+// stopAccepting implements callerConns.
+func (g *Gateway) stopAccepting() {
+	g.isRejecting.Store(true)
+	if err := g.conns.Close(); err != nil {
+		g.log.Warn("failed to close the listener", "error", err)
 	}
 }
 
-// breakOff implements callerSide.
-func (g *Gateway) breakOff() {
+// closeAll implements callerConns.
+func (g *Gateway) closeAll() {
 	if err := g.server.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		g.log.Warn("connections not closed", "error", err)
+		g.log.Warn("failed to close the connections", "error", err)
 	}
 }
 
-// served drops the error of a server that was closed, or whose listener was.
-func served(err error) error {
+// ignoreClosed drops the error of a server that was closed, or whose listener was.
+func ignoreClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
 		return nil
 	}
 	return err
 }
 
-// GatewayReloader reads a gateway's settings file again.
+// GatewayReloader reloads the settings file of a gateway.
 type GatewayReloader struct {
-	path  string
-	start settings.Gateway
-	log   hclog.Logger
+	path          string
+	startSettings settings.Gateway
+	log           hclog.Logger
 }
 
-// NewGatewayReloader returns the reloader of a gateway that was started with s from the file path.
+// NewGatewayReloader returns the reloader of a gateway that was started with s from the file at path.
 func NewGatewayReloader(path string, s settings.Gateway, logger hclog.Logger) *GatewayReloader {
-	return &GatewayReloader{path: path, start: s, log: logger}
+	return &GatewayReloader{path: path, startSettings: s, log: logger}
 }
 
-// Reload puts the log level into force and names what needs a restart. Error: errs.BadSettings.
+// Reload applies the log level and logs which changed settings need a restart. Error: errs.BadSettings.
 func (r *GatewayReloader) Reload() error {
-	now, err := settings.LoadGateway(r.path)
+	current, err := settings.LoadGateway(r.path)
 	if err != nil {
 		r.log.Error("settings not reloaded", "error", err)
 		return err
 	}
-	r.log.SetLevel(hclog.LevelFromString(now.Logs.Level))
-	r.log.Info("settings reloaded", "level", now.Logs.Level, "needs_restart", strings.Join(settings.GatewayRestart(r.start, now), ", "))
+	r.log.SetLevel(hclog.LevelFromString(current.Logs.Level))
+	r.log.Info("settings reloaded", "level", current.Logs.Level, "needs_restart", strings.Join(settings.GatewayRestart(r.startSettings, current), ", "))
 	return nil
 }
 
--- a/internal/node/gateway_listen.go
+++ b/internal/node/gateway_listen.go
@@ -15,83 +15,83 @@
 	"arbutusramp/platform/store"
 )
 
-// The listeners beside that of callers, in the order in which they are taken.
+// Indexes of the listeners other than that of callers, in the order in which they are opened.
 const (
-	_ = iota // the relay of peers
+	_ = iota // the relay for peers
 	readyOn
 	metricsOn
 )
 
-// reachStore opens the ways to the store: the process's own and those through peers, which it serves in turn
-// at the address where it hears of their loads.
-func (g *Gateway) reachStore(client *store.Client, self fleet.Peer) error {
+// openStorePaths opens the paths to the store: the direct one of this process and those through peers. In
+// turn it serves as a relay for peers, at the address where it receives their load reports.
+func (g *Gateway) openStorePaths(client *store.Client, self fleet.Peer) error {
 	log := g.log.Named("peers")
-	on, err := g.hearPeers(self, log)
+	ln, err := g.listenForPeers(self, log)
 	if err != nil {
 		return err
 	}
-	var others storepath.Peers = g.share
-	if !g.set.Off.Allows(policy.StorePeers) {
-		others = storepath.NoPeers{}
+	var storePeers storepath.Peers = g.loadShare
+	if !g.settings.Off.Allows(policy.StorePeers) {
+		storePeers = storepath.NoPeers{}
 	}
-	g.paths = storepath.New(client, others, g.log.Named("store"), g.reg)
-	g.serve(on, storepath.NewRelay(client, log))
+	g.storePaths = storepath.New(client, storePeers, g.log.Named("store"), g.reg)
+	g.addListener(ln, storepath.NewRelay(client, log))
 	return nil
 }
 
-// portTries is how many free ports are tried for peers.
-const portTries = 10
+// maxPortTries is how many free ports are tried for the peer listener.
+const maxPortTries = 10
 
-// hearPeers opens the sockets for peers, datagrams and connections on the same port. A free port that the system has chosen for
-// one kind may be taken for the other by somebody else, which shows as a process that now and then does not
-// start with port 0; then another one is tried.
-func (g *Gateway) hearPeers(self fleet.Peer, log hclog.Logger) (on net.Listener, err error) {
-	detours := func() bool { return g.paths.Lost() }
+// listenForPeers opens the UDP and TCP sockets for peers on the same port. If the settings name port 0, the
+// system chooses a port that is free for one protocol but may be in use by another process for the other, so
+// that a start would fail now and then; in that case it tries another port.
+func (g *Gateway) listenForPeers(self fleet.Peer, log hclog.Logger) (ln net.Listener, err error) {
+	isStoreLost := func() bool { return g.storePaths.Lost() }
 	tries := 1
-	if _, port, splitErr := net.SplitHostPort(g.set.PeerAddr); splitErr == nil && port == "0" {
-		tries = portTries
+	if _, port, splitErr := net.SplitHostPort(g.settings.PeerAddr); splitErr == nil && port == "0" {
+		tries = maxPortTries
 	}
 	for range tries {
-		if on, err = net.Listen("tcp", g.set.PeerAddr); err != nil {
+		if ln, err = net.Listen("tcp", g.settings.PeerAddr); err != nil {
 			return nil, errors.Wrap(err, "listen for peers")
 		}
-		if g.share, err = loadshare.New(loadshare.Options{
-			Addr: on.Addr().String(), Self: self, Domain: string(g.set.Host.Domain), Capacity: capacityOf(g.set), Off: g.set.Off,
-			View: g.view, Quotas: g.quotas, Quarantine: g.quarantine, Detours: detours, Log: log,
+		if g.loadShare, err = loadshare.New(loadshare.Options{
+			Addr: ln.Addr().String(), Self: self, Domain: string(g.settings.Host.Domain), Capacity: cpuCapacity(g.settings), Off: g.settings.Off,
+			View: g.view, Quotas: g.quotas, Quarantine: g.quarantine, Detours: isStoreLost, Log: log,
 		}); err == nil {
-			return on, nil
+			return ln, nil
 		}
-		if closeErr := on.Close(); closeErr != nil {
-			log.Warn("listener not closed", "error", closeErr)
+		if closeErr := ln.Close(); closeErr != nil {
+			log.Warn("failed to close the listener", "error", closeErr)
 		}
 	}
 	return nil, err
 }
 
-// serve adds one of the process's listeners beside that of callers. Run serves it.
-func (g *Gateway) serve(on net.Listener, h http.Handler) {
-	g.sideOn = append(g.sideOn, on)
-	g.sides = append(g.sides, &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout})
+// addListener adds a listener other than that of callers. Run serves it.
+func (g *Gateway) addListener(ln net.Listener, h http.Handler) {
+	g.auxListeners = append(g.auxListeners, ln)
+	g.auxServers = append(g.auxServers, &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout})
 }
 
 func (g *Gateway) listen() error {
 	for _, l := range []struct {
-		addr string
-		mux  http.Handler
+		addr    string
+		handler http.Handler
 	}{
-		{g.set.ReadyAddr, http.HandlerFunc(g.serveReady)},
-		{g.set.MetricsAddr, telemetry.TextHandler(g.reg)},
+		{g.settings.ReadyAddr, http.HandlerFunc(g.serveReady)},
+		{g.settings.MetricsAddr, telemetry.TextHandler(g.reg)},
 	} {
-		on, err := net.Listen("tcp", l.addr)
+		ln, err := net.Listen("tcp", l.addr)
 		if err != nil {
 			return errors.Wrap(err, "listen")
 		}
-		g.serve(on, l.mux)
+		g.addListener(ln, l.handler)
 	}
-	on, err := net.Listen("tcp", g.set.CallerAddr)
+	ln, err := net.Listen("tcp", g.settings.CallerAddr)
 	if err != nil {
 		return errors.Wrap(err, "listen for callers")
 	}
-	g.callers = trackConns(on)
+	g.conns = newConnTracker(ln)
 	return nil
 }
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -24,45 +24,46 @@
 )
 
 const (
-	// itemEvents is how many events a stream of the stand-in has.
+	// itemEvents is the number of events in a stream of the stand-in target.
 	itemEvents = 20
-	// callTimeout is what callers wait.
-	callTimeout = 5 * time.Second
-	keptConns   = 4
-	targetSlots = 8
+	// callTimeout is how long callers wait for an answer.
+	callTimeout  = 5 * time.Second
+	maxIdleConns = 4
+	targetSlots  = 8
 )
 
-// system is two gateways on a store and two targets, over real sockets.
+// system is a set of gateways with a store and targets, connected through real sockets.
 type system struct {
 	t         *testing.T
 	store     platform.Store
 	storeAddr string
 	caller    *wiretest.Caller
 	gateways  []*Gateway
-	stop      []context.CancelFunc
-	over      []chan error
+	cancels   []context.CancelFunc
+	done      []chan error
 }
 
 func newSystem(t *testing.T, gateways int) *system {
 	return newSystemWith(t, gateways, wiretest.Routes, nil)
 }
 
-// newSystemWith is newSystem with a configuration and what targets are to tell.
-func newSystemWith(t *testing.T, gateways int, config string, ranFor func(request, workspace string, hasKey bool)) *system {
+// newSystemWith is newSystem with a configuration and a function that targets call for each request; nil for
+// none.
+func newSystemWith(t *testing.T, gateways int, config string, noteRun func(request, workspace string, hasKey bool)) *system {
 	s := newSystemWithoutTargets(t, config)
 	for i := range 2 {
 		id := fmt.Sprintf("i-%d", i)
-		target := httptest.NewServer(&wiretest.Target{ID: id, Events: itemEvents, RanFor: ranFor})
+		target := httptest.NewServer(&wiretest.Target{ID: id, Events: itemEvents, RanFor: noteRun})
 		t.Cleanup(target.Close)
-		s.list(id, target)
+		s.listTarget(id, target)
 	}
 	s.startGateways(gateways)
 	return s
 }
 
-// newSystemWithoutTargets is a store with a configuration.
+// newSystemWithoutTargets returns a system that has only a store with a configuration.
 func newSystemWithoutTargets(t *testing.T, config string) *system {
-	s := &system{t: t, store: keyedlog.New(4).View(), caller: wiretest.NewCaller(callTimeout, keptConns)}
+	s := &system{t: t, store: keyedlog.New(4).View(), caller: wiretest.NewCaller(callTimeout, maxIdleConns)}
 	server := httptest.NewServer(wiretest.StoreHandler(s.store))
 	t.Cleanup(server.Close)
 	s.storeAddr = strings.TrimPrefix(server.URL, "http://")
@@ -70,12 +71,12 @@
 	return s
 }
 
-// list puts a target on the list.
-func (s *system) list(id string, target *httptest.Server) {
+// listTarget puts a target on the list.
+func (s *system) listTarget(id string, target *httptest.Server) {
 	s.must(wiretest.List(s.t.Context(), s.store, wiretest.Listing{Name: id, Addr: target.Listener.Addr().String(), Domain: "d", Slots: targetSlots}))
 }
 
-// startGateways starts more gateways that reach the store by its own address.
+// startGateways starts n more gateways that use the address of the system's store.
 func (s *system) startGateways(n int) {
 	for range n {
 		s.start(fmt.Sprintf("g%d", len(s.gateways)), s.storeAddr)
@@ -92,23 +93,23 @@
 func (s *system) start(id, store string) {
 	s.t.Helper()
 	const anyPort = "127.0.0.1:0"
-	set := settings.Gateway{
+	opts := settings.Gateway{
 		CallerAddr: anyPort, ReadyAddr: anyPort, PeerAddr: anyPort, MetricsAddr: anyPort,
 		StoreAddr: store, Shards: 4, MinTTL: 300 * time.Millisecond, Grace: 4 * time.Second,
 		RevokeWithin: 5 * time.Second, QuotaWindow: 5 * time.Second,
 		QuarantineAfter: quarantine.DefaultThreshold, QuarantineHold: quarantine.DefaultHold,
 	}
-	set.Host.ID, set.Host.Domain = structs.HostID(id), "d"
-	g, err := NewGateway(set, hclog.NewNullLogger(), metrics.NewRegistry())
+	opts.Host.ID, opts.Host.Domain = structs.HostID(id), "d"
+	g, err := NewGateway(opts, hclog.NewNullLogger(), metrics.NewRegistry())
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan error, 1)
-	go func() { over <- g.Run(ctx) }()
+	done := make(chan error, 1)
+	go func() { done <- g.Run(ctx) }()
 	s.gateways = append(s.gateways, g)
-	s.stop = append(s.stop, cancel)
-	s.over = append(s.over, over)
+	s.cancels = append(s.cancels, cancel)
+	s.done = append(s.done, done)
 	for status, _ := s.ready(g); status != http.StatusOK; status, _ = s.ready(g) {
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -119,11 +120,11 @@
 }
 
 func (s *system) stopAll() {
-	for _, stop := range s.stop {
-		stop()
+	for _, cancel := range s.cancels {
+		cancel()
 	}
-	for _, over := range s.over {
-		if err := <-over; err != nil {
+	for _, done := range s.done {
+		if err := <-done; err != nil {
 			s.t.Error(err)
 		}
 	}
@@ -148,18 +149,18 @@
 	}
 }
 
-// runJob hands a job in at one gateway and reads it at another.
-func (s *system) runJob(in, out string) {
+// runJob submits a job at one gateway and reads its results at another.
+func (s *system) runJob(submitAddr, readAddr string) {
 	s.t.Helper()
 	items := []wiretest.Item{{ID: "i1", Path: "/batch/1", Body: []byte("hi"), Tokens: 10}, {ID: "i2", Path: "/batch/2", Tokens: 10}}
-	if status, text := s.caller.Submit(in, "job-1", items); status != 202 {
+	if status, text := s.caller.Submit(submitAddr, "job-1", items); status != 202 {
 		s.t.Fatalf("job: %d %s", status, text)
 	}
-	if status, text := s.caller.Body(out, "job-1", "i1"); status != 200 || text != "hi" {
+	if status, text := s.caller.Body(readAddr, "job-1", "i1"); status != 200 || text != "hi" {
 		s.t.Errorf("body: %d %q", status, text)
 	}
 	for next := 0; next < len(items); {
-		status, page := s.caller.Results(out, "job-1", next, time.Second)
+		status, page := s.caller.Results(readAddr, "job-1", next, time.Second)
 		if status != 200 || page.Total != len(items) || page.Next != next+len(page.Results) {
 			s.t.Fatalf("results: %d %+v", status, page)
 		}
@@ -170,30 +171,30 @@
 			}
 		}
 	}
-	if status, _ := s.caller.End(in, "job-1"); status != 200 {
+	if status, _ := s.caller.End(submitAddr, "job-1"); status != 200 {
 		s.t.Errorf("end: %d", status)
 	}
-	if status, _ := s.caller.Results(in, "job-none", 0, 0); status != 404 {
-		s.t.Errorf("a job that nobody handed in: %d", status)
+	if status, _ := s.caller.Results(submitAddr, "job-none", 0, 0); status != 404 {
+		s.t.Errorf("unknown job: %d", status)
 	}
 }
 
-func TestAGatewayThatStopsSaysSoAndServesOn(t *testing.T) {
+func TestStoppingGatewayIsNotReadyAndStillServes(t *testing.T) {
 	s := newSystem(t, 1)
 	g := s.gateways[0]
-	s.stop[0]()
+	s.cancels[0]()
 	for status, _ := s.ready(g); status == http.StatusOK; status, _ = s.ready(g) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	if status, text := s.caller.Send(g.CallerAddr(), http.MethodPost, "/call/x", "r1", "echo"); status != 200 || text != wiretest.AnswerTo("r1", "echo") {
-		t.Errorf("a call after the signal: %d %s", status, text)
+		t.Errorf("call after the stop signal: %d %s", status, text)
 	}
-	if err := <-s.over[0]; err != nil {
+	if err := <-s.done[0]; err != nil {
 		t.Error(err)
 	}
 }
 
-// itemBodies are bodies that a step on the way through JSON, CBOR, base64 or chunks of records may change.
+// itemBodies returns bodies that JSON, CBOR, base64 or the splitting into store records may change.
 func itemBodies() map[string]string {
 	all := make([]byte, 256)
 	for i := range all {
@@ -204,12 +205,12 @@
 		"all-bytes":  string(all),
 		"escaped":    "\"\\\b\f\n\r\t\u0000\u2028<>&é\xff\xfe",
 		"line-ends":  "\r\n\r\n0\r\n\r\n",
-		"two-chunks": strings.Repeat(string(all), 1200), // over one record of the store
+		"two-chunks": strings.Repeat(string(all), 1200), // larger than one record of the store
 	}
 }
 
-// Guards against an item whose body changes between its caller, the store, a target and whoever reads it back.
-func TestBodiesOfItemsAreKeptToTheByte(t *testing.T) {
+// Guards against changing an item's body between its caller, the store, its target and readers of the job.
+func TestItemBodiesAreUnchanged(t *testing.T) {
 	s := newSystemWithoutTargets(t, wiretest.Routes)
 	var mu sync.Mutex
 	sent := make(map[string]string)
@@ -230,7 +231,7 @@
 		target.ServeHTTP(w, r)
 	}))
 	t.Cleanup(server.Close)
-	s.list("i-0", server)
+	s.listTarget("i-0", server)
 	s.startGateways(2)
 	defer s.stopAll()
 	bodies := itemBodies()
@@ -249,7 +250,7 @@
 		}
 	}
 	close(release)
-	for n := 0; n < len(bodies); { // the test's own time limit ends this
+	for n := 0; n < len(bodies); { // bounded by the timeout of the test
 		status, page := s.caller.Results(s.gateways[1].CallerAddr(), "job", 0, time.Second)
 		if status != http.StatusOK {
 			t.Fatalf("results: %d", status)
--- a/internal/node/keys_test.go
+++ b/internal/node/keys_test.go
@@ -10,14 +10,14 @@
 	"arbutusramp/platform/wiretest"
 )
 
-// ranFor keeps for which workspace requests ran.
-type ranFor struct {
+// runRecorder records the workspace for which each request ran.
+type runRecorder struct {
 	mu         sync.Mutex
 	workspaces map[string]string
 	keysSeen   int
 }
 
-func (r *ranFor) note(request, workspace string, hasKey bool) {
+func (r *runRecorder) note(request, workspace string, hasKey bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.workspaces[request] = workspace
@@ -26,19 +26,19 @@
 	}
 }
 
-// of returns for which workspace a request ran, and how many requests came with a key.
-func (r *ranFor) of(request string) (workspace string, keysSeen int) {
+// get returns the workspace for which a request ran, and how many requests reached targets with a key.
+func (r *runRecorder) get(request string) (workspace string, keysSeen int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.workspaces[request], r.keysSeen
 }
 
-// Keys over the whole path: targets get the workspace and never the key; a job belongs to its workspace; a key that is taken away is
-// rejected by all.
-func TestKeysOverTheWholePath(t *testing.T) {
-	seen := &ranFor{workspaces: make(map[string]string)}
-	both := map[string][]string{"w1": {"k1", "k1b"}, "w2": {"k2"}}
-	s := newSystemWith(t, 2, wiretest.KeyedRoutes(1, both, nil), seen.note)
+// Covers keys end to end: targets get the workspace but never the key, a job is visible only to its
+// workspace, and all gateways reject a removed key.
+func TestKeysEndToEnd(t *testing.T) {
+	seen := &runRecorder{workspaces: make(map[string]string)}
+	keysByWorkspace := map[string][]string{"w1": {"k1", "k1b"}, "w2": {"k2"}}
+	s := newSystemWith(t, 2, wiretest.KeyedRoutes(1, keysByWorkspace, nil), seen.note)
 	defer s.stopAll()
 	a, b := s.gateways[0].CallerAddr(), s.gateways[1].CallerAddr()
 	first, second := s.caller.WithKey("k1"), s.caller.WithKey("k2")
@@ -46,7 +46,7 @@
 		if status, text := first.Send(a, http.MethodPost, path, id, "", wire.HeaderWorkspace, "w2"); status != http.StatusOK {
 			t.Errorf("%s: %d %s", path, status, text)
 		}
-		if workspace, keys := seen.of(id); workspace != "w1" || keys > 0 {
+		if workspace, keys := seen.get(id); workspace != "w1" || keys > 0 {
 			t.Errorf("%s ran for %q, %d keys seen", path, workspace, keys)
 		}
 	}
@@ -60,7 +60,7 @@
 		t.Fatalf("job: %d %s", status, text)
 	}
 	status, _ := second.Results(b, "job", 0, 0)
-	for status == http.StatusServiceUnavailable { // it can't be sure yet
+	for status == http.StatusServiceUnavailable { // the gateway can't decide yet
 		status, _ = second.Results(b, "job", 0, 0)
 	}
 	if status != http.StatusNotFound {
@@ -72,7 +72,7 @@
 			t.Fatalf("results: %d", status)
 		}
 	}
-	if workspace, keys := seen.of("i1"); workspace != "w1" || keys > 0 {
+	if workspace, keys := seen.get("i1"); workspace != "w1" || keys > 0 {
 		t.Errorf("the item ran for %q, %d keys seen", workspace, keys)
 	}
 	s.must(wiretest.Configure(t.Context(), s.store, wiretest.KeyedRoutes(2, map[string][]string{"w1": {"k1b"}, "w2": {"k2"}}, nil)))
@@ -90,9 +90,9 @@
 	}
 }
 
-// A quota holds over both gateways together, and what is over it hears when to come back.
-func TestAQuotaHoldsOverAllGateways(t *testing.T) {
-	seen := &ranFor{workspaces: make(map[string]string)}
+// Covers a quota across gateways: their requests together exhaust it, and requests over it get 429.
+func TestQuotaAppliesAcrossGateways(t *testing.T) {
+	seen := &runRecorder{workspaces: make(map[string]string)}
 	const perSecond = 1
 	s := newSystemWith(t, 2, wiretest.KeyedRoutes(1, map[string][]string{"w1": {"k1"}}, map[string]int{"w1": perSecond}), seen.note)
 	defer s.stopAll()
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -13,76 +13,78 @@
 	"arbutusramp/standin/ownaddr"
 )
 
-// Symptom: a gateway that was to listen for peers at a free port did not start now and then, "address already in use".
-// Sequence: the system chooses a port that is free for datagrams; another process has it for connections. Cause: one try. A
-// port that the settings name is tried once, and nothing stays open behind a failure.
-func TestAPortOfPeersThatIsTakenIsSaidAndLeftFree(t *testing.T) {
+// Guards against a gateway that fails to start now and then with "address already in use" when it may listen
+// for peers at any free port. The system chooses a port that is free for UDP while another process uses it
+// for TCP; with a single attempt the start failed. A port that the settings name is tried once, and a failure
+// leaves no socket open.
+func TestPeerPortInUseFailsAndIsReleased(t *testing.T) {
 	taken, err := net.ListenPacket("udp4", ownaddr.New())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	g := &Gateway{set: settings.Gateway{PeerAddr: taken.LocalAddr().String()}, log: hclog.NewNullLogger(), reg: metrics.NewRegistry()}
-	if on, err := g.hearPeers("self", g.log); err == nil {
-		on.Close()
-		t.Fatal("a port that is taken was opened")
+	g := &Gateway{settings: settings.Gateway{PeerAddr: taken.LocalAddr().String()}, log: hclog.NewNullLogger(), reg: metrics.NewRegistry()}
+	if ln, err := g.listenForPeers("self", g.log); err == nil {
+		ln.Close()
+		t.Fatal("a port in use was opened")
 	}
-	again, err := net.Listen("tcp", g.set.PeerAddr)
+	reopened, err := net.Listen("tcp", g.settings.PeerAddr)
 	if err != nil {
-		t.Fatalf("the port is still held: %v", err)
+		t.Fatalf("the port is still in use: %v", err)
 	}
-	again.Close()
+	reopened.Close()
 }
 
-// Symptom: a test that had found a port free for datagrams could not listen for connections there, "address already in use".
-// Sequence: the system gives the number to an outgoing connection of somebody else; the test is given it for datagrams; it
-// listens for connections at it. Cause: each outgoing connection is handed a port of the same range, for its kind alone. Whoever
-// needs one number for both kinds, or a port back after closing it, must not take one from that range.
-func TestAPortThatIsFreeForDatagramsMayBeTakenForConnections(t *testing.T) {
-	datagrams := datagramsAtAConnectionsPort(t)
+// Guards against assuming that a port that is free for UDP is free for TCP: listening there then fails now
+// and then with "address already in use". The system gives each outgoing TCP connection a port of the same
+// range and reserves it for TCP only. Code that needs one port for both protocols, or needs a port back after
+// closing it, must not use that range.
+func TestPortFreeForUDPMayBeInUseForTCP(t *testing.T) {
+	datagrams := listenPacketOnConnPort(t)
 	defer datagrams.Close()
-	if on, err := net.Listen("tcp", datagrams.LocalAddr().String()); !errors.Is(err, syscall.EADDRINUSE) {
-		on.Close()
-		t.Errorf("listening at the port of an outgoing connection: %v", err)
+	if ln, err := net.Listen("tcp", datagrams.LocalAddr().String()); !errors.Is(err, syscall.EADDRINUSE) {
+		ln.Close()
+		t.Errorf("listening at the port of an outgoing TCP connection: %v", err)
 	}
 }
 
-// datagramsAtAConnectionsPort makes outgoing connections until the port of one is free for datagrams, and takes it.
-func datagramsAtAConnectionsPort(t *testing.T) net.PacketConn {
+// listenPacketOnConnPort opens outgoing TCP connections until the port of one is free for UDP, and listens
+// there.
+func listenPacketOnConnPort(t *testing.T) net.PacketConn {
 	t.Helper()
-	to, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { to.Close() })
+	t.Cleanup(func() { listener.Close() })
 	const tries = 20
 	for range tries {
-		out, dialErr := net.Dial("tcp", to.Addr().String())
+		conn, dialErr := net.Dial("tcp", listener.Addr().String())
 		if dialErr != nil {
 			t.Fatal(dialErr)
 		}
-		t.Cleanup(func() { out.Close() })
+		t.Cleanup(func() { conn.Close() })
 		var datagrams net.PacketConn
-		if datagrams, err = net.ListenPacket("udp4", out.LocalAddr().String()); err == nil {
+		if datagrams, err = net.ListenPacket("udp4", conn.LocalAddr().String()); err == nil {
 			return datagrams
 		}
 	}
-	t.Fatalf("no port of %d connections is free for datagrams: %v", tries, err)
+	t.Fatalf("no port of %d TCP connections is free for UDP: %v", tries, err)
 	return nil
 }
 
-// Many gateways at once find a free port each.
-func TestFreePortsAreFound(t *testing.T) {
-	const many = 50
-	for range many {
-		g := &Gateway{set: settings.Gateway{PeerAddr: "127.0.0.1:0"}, log: hclog.NewNullLogger(), reg: metrics.NewRegistry()}
-		on, err := g.hearPeers("self", g.log)
+// Covers many gateways that each find a free port for both protocols.
+func TestManyGatewaysFindFreePorts(t *testing.T) {
+	const gatewayCount = 50
+	for range gatewayCount {
+		g := &Gateway{settings: settings.Gateway{PeerAddr: "127.0.0.1:0"}, log: hclog.NewNullLogger(), reg: metrics.NewRegistry()}
+		ln, err := g.listenForPeers("self", g.log)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer on.Close()
-		if g.share.Addr().String() != on.Addr().String() {
-			t.Errorf("datagrams at %v, connections at %v", g.share.Addr(), on.Addr())
+		defer ln.Close()
+		if g.loadShare.Addr().String() != ln.Addr().String() {
+			t.Errorf("UDP at %v, TCP at %v", g.loadShare.Addr(), ln.Addr())
 		}
 	}
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -7,25 +7,25 @@
 	"arbutusramp/core/platform"
 )
 
-// members is a host list that keeps what it read last, so that the parts of one process share one
-// reader.
-type members struct {
+// cachedHostList is a host list that keeps the last list that was read, so that the parts of one process
+// share one reader. It is safe for concurrent use.
+type cachedHostList struct {
 	platform.HostList
-	last atomic.Pointer[[]platform.Host]
+	lastRead atomic.Pointer[[]platform.Host]
 }
 
-// Hosts implements platform.HostList.
-func (m *members) Hosts(ctx context.Context) ([]platform.Host, error) {
-	hosts, err := m.HostList.Hosts(ctx)
+// Hosts implements platform.HostList. A failed read keeps the last list.
+func (l *cachedHostList) Hosts(ctx context.Context) ([]platform.Host, error) {
+	hosts, err := l.HostList.Hosts(ctx)
 	if err == nil {
-		m.last.Store(&hosts)
+		l.lastRead.Store(&hosts)
 	}
 	return hosts, err
 }
 
-// known returns the list as last read; nil before.
-func (m *members) known() []platform.Host {
-	if hosts := m.last.Load(); hosts != nil {
+// lastHosts returns the list as last read; nil before the first read.
+func (l *cachedHostList) lastHosts() []platform.Host {
+	if hosts := l.lastRead.Load(); hosts != nil {
 		return *hosts
 	}
 	return nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node makes the processes of the system from their settings: it joins the
-// shells with the adapters of the platform's services.
+// Package node builds the processes of the system from their settings: it connects the application packages
+// with the adapters of the platform's services.
 package node
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// NewSide returns a side that listens and does not run yet. Errors: errs.BadSettings.
+// NewSide returns a side that listens but does not run yet. Errors: errs.BadSettings.
 func NewSide(s settings.Side, logger hclog.Logger, reg metrics.Registry) (*side.Side, error) {
 	o := side.Options{Settings: s, Logger: logger, Metrics: reg, Config: &follow.SideFold{}}
 	switch s.Target.Kind {
@@ -44,8 +44,10 @@
 	return servicehttp.New(s.TargetURL, servicehttp.Options{})
 }
 
-// probeEngine asks an engine for its load. A start that has ended does not answer, whatever accepts connections in its place, and a later
-// one has run for less time. How long an answer was on its way is not known, so that one which comes late may tell neither.
+// probeEngine determines from an engine's load report whether the engine has been running since a time. An
+// engine that has crashed does not answer, even if something else accepts connections at its address, and a
+// restarted one reports a shorter uptime. The delay of the answer is not known, so a late answer may show
+// neither.
 func probeEngine(ctx context.Context, e platform.Engine, since time.Time) platform.ProbeResult {
 	asked := time.Now()
 	load, err := e.Load(ctx)
@@ -55,7 +57,7 @@
 	case err != nil:
 		return platform.ProbeUnknown
 	case load.UptimeMs == 0:
-		return platform.ProbeAlive // it does not tell
+		return platform.ProbeAlive // the engine does not report its uptime
 	}
 	uptime := time.Duration(load.UptimeMs) * time.Millisecond
 	switch {
@@ -67,11 +69,11 @@
 	return platform.ProbeAlive
 }
 
-// probeService connects to a plain service, which has nothing to ask for: only a refused connection tells something.
+// probeService connects to a plain service. It has no load report, so only a refused connection is conclusive.
 func probeService(ctx context.Context, baseURL string) platform.ProbeResult {
 	u, err := url.Parse(baseURL)
 	if err != nil || !tcpprobe.IsRefused(ctx, u.Host) {
-		return platform.ProbeUnknown // the check of the settings refuses such a URL
+		return platform.ProbeUnknown // an invalid URL is rejected when the settings are checked
 	}
 	return platform.ProbeGone
 }
--- a/internal/node/peerdirectory.go
+++ b/internal/node/peerdirectory.go
@@ -15,45 +15,46 @@
 	"arbutusramp/internal/loadshare"
 )
 
-// peerPartition is where gateways leave their addresses for each other.
+// peerPartition is the partition in which gateways publish their addresses.
 var peerPartition = platform.Partition{Topic: "keyed.gateways"}
 
 const (
-	// peerRetry is the pause after a call to the store that failed.
-	peerRetry = 300 * time.Millisecond
-	// peerLook is how often the addresses are read again. A gateway that starts sends to all
-	// it finds, so the others learn of it at once; reading again only mends what was missed.
-	peerLook = 15 * time.Second
+	// peerRetryDelay is the pause after a failed call to the store.
+	peerRetryDelay = 300 * time.Millisecond
+	// peerReadInterval is how often the addresses are read again. A gateway that starts sends to all the
+	// addresses that it finds, so the others learn its address immediately. Reading again only recovers
+	// missed ones.
+	peerReadInterval = 15 * time.Second
 )
 
-// peerDirectory finds the other gateways.
+// peerDirectory publishes the address of this gateway and finds those of the others.
 type peerDirectory struct {
-	store platform.Store
-	share *loadshare.Share
-	self  peerListing
-	link  *dependency.Link
-	log   hclog.Logger
+	store     platform.Store
+	loadShare *loadshare.Share
+	self      peerRecord
+	storeLink *dependency.Link
+	log       hclog.Logger
 }
 
-// peerListing is what a gateway leaves under its address.
-type peerListing struct {
+// peerRecord is what a gateway publishes under its address.
+type peerRecord struct {
 	Domain   structs.FailureDomain `cbor:"1,keyasint"`
 	Capacity fanout.Capacity       `cbor:"2,keyasint,omitempty"`
 }
 
-// run writes this process's address once and reads the others' now and then, until ctx ends.
+// run writes the address of this process once and reads those of the others at intervals, until ctx ends.
 func (d *peerDirectory) run(ctx context.Context) error {
-	written := false
-	meet := func() error {
-		if !written {
+	isWritten := false
+	syncPeers := func() error {
+		if !isWritten {
 			if err := d.write(ctx); err != nil {
 				return err
 			}
-			written = true
+			isWritten = true
 		}
 		return d.read(ctx)
 	}
-	d.link.Follow(ctx, dependency.Pauses{Answered: peerLook, Failed: peerRetry}, meet, func(bool) {})
+	d.storeLink.Follow(ctx, dependency.Pauses{Answered: peerReadInterval, Failed: peerRetryDelay}, syncPeers, func(bool) {})
 	return nil
 }
 
@@ -63,7 +64,7 @@
 		return errors.WithStack(err)
 	}
 	_, err = d.store.Append(ctx, platform.Append{
-		Partition: peerPartition, Records: []platform.KeyedRecord{{Key: d.share.Addr().String(), Value: value}},
+		Partition: peerPartition, Records: []platform.KeyedRecord{{Key: d.loadShare.Addr().String(), Value: value}},
 	})
 	return err
 }
@@ -71,16 +72,16 @@
 func (d *peerDirectory) read(ctx context.Context) error {
 	_, err := platform.EachNewest(ctx, d.store, peerPartition, "", func(records []platform.StoredRecord) bool {
 		for _, r := range records {
-			var l peerListing
-			if err := cbor.Unmarshal(r.Value, &l); err != nil {
-				d.log.Info("peer's domain can't be read: it tells it itself", "addr", r.Key, "error", err)
+			var record peerRecord
+			if err := cbor.Unmarshal(r.Value, &record); err != nil {
+				d.log.Info("peer record can't be decoded; the peer reports its domain itself", "addr", r.Key, "error", err)
 			}
-			d.share.AddPeer(r.Key, string(l.Domain), l.Capacity)
+			d.loadShare.AddPeer(r.Key, string(record.Domain), record.Capacity)
 		}
 		return true
 	})
 	if err == nil {
-		d.share.NoteListed()
+		d.loadShare.NoteListed()
 	}
 	return err
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -15,24 +15,24 @@
 	peerIdleTimeout = 2 * time.Minute
 	peerReadTimeout = time.Minute
 	peerStopTimeout = time.Second
-	// maxPeerBody bounds a call between entries: a segment of a job's file, or an outcome.
-	maxPeerBody = 64 << 20
+	// maxPeerBodyBytes bounds the body of a call between entries: a segment of a job's file, or an outcome.
+	maxPeerBodyBytes = 64 << 20
 )
 
-// peerRoute serves one path of the peer listener and what is below it.
+// peerRoute serves a path of the peer listener and the paths below it.
 type peerRoute struct {
 	path    string
 	handler fasthttp.RequestHandler
 }
 
-// servePeers returns what serves routes on the peer listener.
+// servePeers returns a function that serves routes on the peer listener.
 func servePeers(routes []peerRoute, logger hclog.Logger) func(net.Listener) io.Closer {
 	return func(ln net.Listener) io.Closer {
 		s := &fasthttp.Server{
 			Handler:               routePeers(routes),
 			IdleTimeout:           peerIdleTimeout,
 			ReadTimeout:           peerReadTimeout,
-			MaxRequestBodySize:    maxPeerBody,
+			MaxRequestBodySize:    maxPeerBodyBytes,
 			CloseOnShutdown:       true,
 			NoDefaultServerHeader: true,
 			NoDefaultDate:         true,
@@ -40,7 +40,7 @@
 		}
 		go func() {
 			if err := s.Serve(ln); err != nil {
-				logger.Error("peer listener ended", "error", err)
+				logger.Error("peer listener stopped", "error", err)
 			}
 		}()
 		return peerServer{s}
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -11,8 +11,8 @@
 	"arbutusramp/standin/engine"
 )
 
-// Guards against taking an engine that is back from a crash, before anybody has asked for it, for the start that has crashed.
-func TestAnEngineThatIsBackIsAnotherStart(t *testing.T) {
+// Guards against reporting a crashed engine as alive because it has restarted before the probe.
+func TestRestartedEngineIsAnotherInstance(t *testing.T) {
 	server, err := engine.Start("127.0.0.1:0", engine.Options{RestartTime: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -20,23 +20,23 @@
 	defer server.Close()
 	e := enginehttp.New(server.URL(), enginehttp.Options{})
 	began := time.Now()
-	if got := known(t, e, began.Add(time.Second)); got != platform.ProbeAlive {
+	if got := probeUntilKnown(t, e, began.Add(time.Second)); got != platform.ProbeAlive {
 		t.Errorf("%v before the crash", got)
 	}
 	server.Crash()
 	for _, err := e.Load(t.Context()); err != nil; _, err = e.Load(t.Context()) {
 		time.Sleep(time.Millisecond)
 	}
-	if got := known(t, e, began); got != platform.ProbeGone {
-		t.Errorf("%v once the engine is back", got)
+	if got := probeUntilKnown(t, e, began); got != platform.ProbeGone {
+		t.Errorf("%v after the restart", got)
 	}
-	if got := known(t, e, time.Now().Add(time.Second)); got != platform.ProbeAlive {
-		t.Errorf("%v for a run at the next start", got)
+	if got := probeUntilKnown(t, e, time.Now().Add(time.Second)); got != platform.ProbeAlive {
+		t.Errorf("%v for a run at the new instance", got)
 	}
 }
 
-// known asks an engine for the start that had a run until that is known; the test's own time limit ends it.
-func known(t *testing.T, e platform.Engine, since time.Time) platform.ProbeResult {
+// probeUntilKnown probes an engine until the result is not ProbeUnknown, bounded by the timeout of the test.
+func probeUntilKnown(t *testing.T, e platform.Engine, since time.Time) platform.ProbeResult {
 	for {
 		if got := probeEngine(t.Context(), e, since); got != platform.ProbeUnknown {
 			return got
@@ -45,38 +45,38 @@
 	}
 }
 
-// slowEngine tells its load after waits before and after it looks how long it has run.
+// slowEngine delays its load report before and after it determines its uptime.
 type slowEngine struct {
 	platform.Engine
-	started       time.Time
-	before, after time.Duration
+	started                 time.Time
+	delayBefore, delayAfter time.Duration
 }
 
 func (e slowEngine) Load(context.Context) (platform.EngineLoad, error) {
-	time.Sleep(e.before)
+	time.Sleep(e.delayBefore)
 	load := platform.EngineLoad{UptimeMs: time.Since(e.started).Milliseconds()}
-	time.Sleep(e.after)
+	time.Sleep(e.delayAfter)
 	return load, nil
 }
 
-// Guards against taking a later start of an engine for the one that had a run, because its answer was long on its way.
-func TestALateAnswerOfALaterStartDoesNotShowThatTheRunsStartLives(t *testing.T) {
+// Guards against reporting a restarted engine as alive because its answer arrives late.
+func TestLateAnswerOfRestartedEngineIsNotAlive(t *testing.T) {
 	const late = time.Second
 	for name, c := range map[string]struct {
-		started       time.Duration // after the run began
-		before, after time.Duration
-		want          platform.ProbeResult
+		started                 time.Duration // relative to the start of the run
+		delayBefore, delayAfter time.Duration
+		want                    platform.ProbeResult
 	}{
-		"the start of the run":               {-time.Minute, 0, 0, platform.ProbeAlive},
-		"the start of the run, late":         {-time.Minute, late, late, platform.ProbeAlive},
-		"a later start":                      {200 * time.Millisecond, 0, 0, platform.ProbeGone},
-		"a later start, late":                {200 * time.Millisecond, late, 0, platform.ProbeUnknown},
-		"a later start, back before it asks": {200 * time.Millisecond, 0, late, platform.ProbeGone},
+		"same instance":                    {-time.Minute, 0, 0, platform.ProbeAlive},
+		"same instance, late answer":       {-time.Minute, late, late, platform.ProbeAlive},
+		"restarted":                        {200 * time.Millisecond, 0, 0, platform.ProbeGone},
+		"restarted, late report of uptime": {200 * time.Millisecond, late, 0, platform.ProbeUnknown},
+		"restarted, late answer":           {200 * time.Millisecond, 0, late, platform.ProbeGone},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			began := time.Now()
 			time.Sleep(300 * time.Millisecond)
-			e := slowEngine{started: began.Add(c.started), before: c.before, after: c.after}
+			e := slowEngine{started: began.Add(c.started), delayBefore: c.delayBefore, delayAfter: c.delayAfter}
 			if got := probeEngine(t.Context(), e, began); got != c.want {
 				t.Errorf("%s: %v, want %v", name, got, c.want)
 			}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -13,10 +13,10 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Reloader reads the settings file of a running process again and puts into force what needs no
-// restart: keys, certificates and the log level.
+// Reloader reloads the settings file of a running process and applies the settings that need no restart: keys,
+// certificates and the log level. It is safe for concurrent use.
 type Reloader struct {
-	read func() (reread, error)
+	load func() (reloadedSettings, error)
 	keys *keyring.Keyring
 	log  hclog.Logger
 
@@ -26,36 +26,36 @@
 	reloads, failures metrics.Counter
 }
 
-// reread is a settings file as read again.
-type reread struct {
-	values  keyring.Values
-	level   string
-	restart []string // keys that differ and need a restart
+// reloadedSettings is the part of a reloaded settings file that a Reloader uses.
+type reloadedSettings struct {
+	values      keyring.Values
+	level       string
+	restartKeys []string // keys of changed settings that need a restart
 }
 
-// NewEntryReloader returns the Reloader of e, which was started with s from the file path.
+// NewEntryReloader returns the Reloader of e, which was started with s from the file at path.
 func NewEntryReloader(path string, s settings.Entry, e *entry.Entry, logger hclog.Logger, reg metrics.Registry) *Reloader {
-	return newReloader(e.Keys(), s.Logs.Level, logger, reg, func() (reread, error) {
-		now, err := settings.LoadEntry(path)
+	return newReloader(e.Keys(), s.Logs.Level, logger, reg, func() (reloadedSettings, error) {
+		current, err := settings.LoadEntry(path)
 		if err != nil {
-			return reread{}, err
+			return reloadedSettings{}, err
 		}
-		values, err := keyring.EntryValues(now)
-		return reread{values, now.Logs.Level, settings.EntryRestart(s, now)}, err
+		values, err := keyring.EntryValues(current)
+		return reloadedSettings{values, current.Logs.Level, settings.EntryRestart(s, current)}, err
 	})
 }
 
-// NewSideReloader returns the Reloader of p, which was started with s from the file path.
+// NewSideReloader returns the Reloader of p, which was started with s from the file at path.
 func NewSideReloader(path string, s settings.Side, p *side.Side, logger hclog.Logger, reg metrics.Registry) *Reloader {
-	return newReloader(p.Keys(), s.Logs.Level, logger, reg, func() (reread, error) {
-		now, err := settings.LoadSide(path)
-		return reread{keyring.SideValues(now), now.Logs.Level, settings.SideRestart(s, now)}, err
+	return newReloader(p.Keys(), s.Logs.Level, logger, reg, func() (reloadedSettings, error) {
+		current, err := settings.LoadSide(path)
+		return reloadedSettings{keyring.SideValues(current), current.Logs.Level, settings.SideRestart(s, current)}, err
 	})
 }
 
-func newReloader(keys *keyring.Keyring, level string, logger hclog.Logger, reg metrics.Registry, read func() (reread, error)) *Reloader {
+func newReloader(keys *keyring.Keyring, level string, logger hclog.Logger, reg metrics.Registry, load func() (reloadedSettings, error)) *Reloader {
 	return &Reloader{
-		read:     read,
+		load:     load,
 		keys:     keys,
 		log:      logger,
 		level:    level,
@@ -64,35 +64,35 @@
 	}
 }
 
-// Reload reads the file again. A file with a fault changes nothing; each of its faults is
-// logged as a line. What differs and needs a restart is named. Error: errs.BadSettings.
+// Reload reads the file again. A file with errors changes nothing, and each error is logged on its own line.
+// Changed settings that need a restart are logged. Error: errs.BadSettings.
 func (r *Reloader) Reload() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now, err := r.read()
+	current, err := r.load()
 	if err != nil {
-		return r.failed(err)
+		return r.recordFailure(err)
 	}
-	changed, err := r.keys.Replace(now.values)
+	changed, err := r.keys.Replace(current.values)
 	if err != nil {
-		return r.failed(err)
+		return r.recordFailure(err)
 	}
-	if now.level != r.level {
-		changed = append(changed, "log level "+now.level+" in place of "+r.level)
-		r.level = now.level
-		r.log.SetLevel(hclog.LevelFromString(now.level))
+	if current.level != r.level {
+		changed = append(changed, "log level "+current.level+" in place of "+r.level)
+		r.level = current.level
+		r.log.SetLevel(hclog.LevelFromString(current.level))
 	}
 	r.log.Info("audit", "act", "reload", "outcome", "ok", "changed", strings.Join(changed, "; "))
-	if len(now.restart) > 0 {
-		r.log.Warn("settings differ that need a restart", "keys", strings.Join(now.restart, ", "))
+	if len(current.restartKeys) > 0 {
+		r.log.Warn("settings differ that need a restart", "keys", strings.Join(current.restartKeys, ", "))
 	}
 	r.reloads.Inc(1)
 	return nil
 }
 
-func (r *Reloader) failed(err error) error {
+func (r *Reloader) recordFailure(err error) error {
 	for line := range strings.Lines(errs.As(err).Detail) {
-		r.log.Error("settings not read again; nothing has changed", "fault", strings.TrimSpace(line))
+		r.log.Error("reload failed; settings unchanged", "fault", strings.TrimSpace(line))
 	}
 	r.log.Info("audit", "act", "reload", "outcome", string(errs.As(err).Type))
 	r.failures.Inc(1)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -15,7 +15,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// settingsFile is a settings file that a test changes, with what the reloader logs.
+// settingsFile is a settings file that a test changes, with the log of its reloader.
 type settingsFile struct {
 	t    *testing.T
 	path string
@@ -36,7 +36,7 @@
 	}
 }
 
-func (f *settingsFile) entry() (*Reloader, *keyring.Keyring) {
+func (f *settingsFile) startEntry() (*Reloader, *keyring.Keyring) {
 	f.t.Helper()
 	s, err := settings.LoadEntry(f.path)
 	if err != nil {
@@ -50,12 +50,11 @@
 	return NewEntryReloader(f.path, s, e, logger, f.reg), e.Keys()
 }
 
-// Symptom: keys can only be changed by restarting every process.
-// Sequence: an operator changes the keys in the file, and other settings too, and tells the
-// process to read it.
-func TestKeysAreReadAgain(t *testing.T) {
+// Guards against keys that can be changed only by restarting every process: a reload must apply changed keys
+// and the log level, and name the other changed settings.
+func TestReloadReplacesKeys(t *testing.T) {
 	f := newSettingsFile(t, settingstest.Entry+"[operators]\nann = "+settings.KeySum("first")+"\n")
-	r, keys := f.entry()
+	r, keys := f.startEntry()
 	rotated := strings.Replace(settingstest.Entry, "new = ", "next = 0123456789abcdef0123456789abcdef\nnew = ", 1)
 	f.write(rotated + "[operators]\nann = " + settings.KeySum("second") + "\n[log]\nlevel = warn\n[online]\nmax_body = 2048\n")
 	if err := r.Reload(); err != nil {
@@ -77,14 +76,13 @@
 	}
 	f.log.Reset()
 	if err := r.Reload(); err != nil || strings.Contains(f.log.String(), "audit") {
-		t.Errorf("error %v; the level warn is not in force:\n%s", err, &f.log)
+		t.Errorf("error %v; the log level warn is not applied:\n%s", err, &f.log)
 	}
 }
 
-// Symptom: a process is cut off from all others by a slip in its settings file.
-// Sequence: the file is read again while it has faults, no peer key, or a certificate that is
-// not there.
-func TestKeysOfAFaultyFileAreNotTaken(t *testing.T) {
+// Guards against a mistake in a settings file that cuts a process off from all others: a file with errors,
+// without peer keys, or with another secret under the id of a key must change nothing.
+func TestReloadOfInvalidFileKeepsKeys(t *testing.T) {
 	f := newSettingsFile(t, settingstest.Side)
 	s, err := settings.LoadSide(f.path)
 	if err != nil {
@@ -124,9 +122,9 @@
 	}
 }
 
-func TestAMissingCertificateChangesNothing(t *testing.T) {
+func TestReloadWithMissingCertificateChangesNothing(t *testing.T) {
 	f := newSettingsFile(t, settingstest.Entry)
-	r, keys := f.entry()
+	r, keys := f.startEntry()
 	f.write(strings.Replace(settingstest.Entry, "new = 00112233445566778899aabbccddeeff", "next = ffeeddccbbaa99887766554433221100", 1) +
 		"[tls]\ncaller_cert = /none/a.pem\ncaller_key = /none/a.key\nadmin_cert = /none/b.pem\nadmin_key = /none/b.key\n")
 	if err := r.Reload(); !errs.Is(err, errs.BadSettings) {
--- a/internal/node/stage.go
+++ b/internal/node/stage.go
@@ -2,34 +2,34 @@
 
 import "context"
 
-// stage is a part that has to be stopped while the rest of its process still works, such as
-// the owner of job shards, which hands them over through listeners and sessions.
-type stage struct {
+// drainableTask is a task that must stop while the rest of its process still works, such as the owner of job
+// shards, which hands them over through listeners and sessions.
+type drainableTask struct {
 	work   func(context.Context) error
 	ctx    context.Context
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-func newStage(work func(context.Context) error) *stage {
-	s := &stage{work: work, done: make(chan struct{})}
-	s.ctx, s.cancel = context.WithCancel(context.Background())
-	return s
+func newDrainableTask(work func(context.Context) error) *drainableTask {
+	t := &drainableTask{work: work, done: make(chan struct{})}
+	t.ctx, t.cancel = context.WithCancel(context.Background())
+	return t
 }
 
-// run works until drain is called or ctx ends.
-func (s *stage) run(ctx context.Context) error {
-	defer close(s.done)
-	stop := context.AfterFunc(ctx, s.cancel)
+// run executes the task until drain is called or ctx ends. It must be called at most once.
+func (t *drainableTask) run(ctx context.Context) error {
+	defer close(t.done)
+	stop := context.AfterFunc(ctx, t.cancel)
 	defer stop()
-	return s.work(s.ctx)
+	return t.work(t.ctx)
 }
 
-// drain stops the work and waits for its end, until ctx ends at most.
-func (s *stage) drain(ctx context.Context) {
-	s.cancel()
+// drain stops the task and waits until it has returned or ctx ends.
+func (t *drainableTask) drain(ctx context.Context) {
+	t.cancel()
 	select {
-	case <-s.done:
+	case <-t.done:
 	case <-ctx.Done():
 	}
 }
