--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -90,7 +90,7 @@
 }
 
 // watchIdle cancels an attempt whose target has stopped sending, if the request may be retried at another
-// target. If it may not, the target is only marked suspect and the attempt keeps waiting, since its answer
+// target. If it may not, the target is only marked suspect and the attempt continues to wait, since its answer
 // may still come. Only silence in streams counts against a target: a target sends stream events continuously
 // while it works. A single plain call that takes long does not show that its target has failed.
 func (a *attempt) watchIdle(ctx context.Context, sentAt time.Time, canRetryElsewhere bool) (stop func()) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// failureCause returns why the request failed. An attempt only sees that its context has ended; this tells an
+// failureCause returns why the request failed. An attempt only sees that its context has ended; this separates an
 // expired deadline from a caller that disconnected. A nil err stays nil.
 func (x *exchange) failureCause(ctx context.Context, err error) error {
 	switch {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -307,7 +307,7 @@
 }
 
 // Guards against waiting too long for a target that does not respond. A request that may be repeated is
-// retried well under a second; one that may not waits for its answer until its deadline, and the error says
+// retried well under a second; one that may not waits for its answer until its deadline, and the error states
 // that it may have run.
 func TestTargetWithoutAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -25,7 +25,7 @@
 			b.gw.Serve(context.Background(), newRoute(serving.KindStream, 1, false), &serving.Request{ID: "id", Arrived: time.Now(), Deadline: time.Now().Add(timeLeft)}, out)
 			return out
 		}
-		for range 10 { // sequential requests without queueing, from which the gateway learns timeouts and hold times
+		for range 10 { // sequential requests without queueing, from which the gateway derives timeouts and hold times
 			if out := send(callerTimeout); out.err != nil {
 				t.Fatal(out.err)
 			}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -39,7 +39,7 @@
 	closeAll()
 }
 
-// drain keeps serving while callers still arrive, and returns when no request is in flight or the grace
+// drain continues to serve while callers still arrive, and returns when no request is in flight or the grace
 // period is nearly over. The balancer sees only at its next readiness check that this process is not ready.
 func drain(callers callerConns, grace time.Duration, log hclog.Logger) {
 	began := time.Now()
--- a/internal/node/peerdirectory.go
+++ b/internal/node/peerdirectory.go
@@ -22,7 +22,7 @@
 	// peerRetryDelay is the pause after a failed call to the store.
 	peerRetryDelay = 300 * time.Millisecond
 	// peerReadInterval is how often the addresses are read again. A gateway that starts sends to all the
-	// addresses that it finds, so the others learn its address immediately. Reading again only recovers
+	// addresses that it finds, so the others get its address immediately. Reading again only recovers
 	// missed ones.
 	peerReadInterval = 15 * time.Second
 )
