--- a/core/quarantine/fingerprint_test.go
+++ b/core/quarantine/fingerprint_test.go
@@ -7,18 +7,19 @@
 	"arbutusramp/core/serving"
 )
 
-// A repeat with another id must be recognised, and another request must not be taken for one.
-func TestFingerprintsOfRepeatsAndOthers(t *testing.T) {
-	request := func(change func(*serving.Request)) Fingerprint {
+// A repeat with another id has the same fingerprint; a request that differs in any other part has a different
+// one.
+func TestFingerprintIdentifiesRepeats(t *testing.T) {
+	fingerprintWith := func(modify func(*serving.Request)) Fingerprint {
 		r := &serving.Request{
 			ID: "1", Method: "POST", Host: "h", URI: "/a/b", Header: http.Header{"X": {"1"}}, Body: []byte("body"),
 			Caller: serving.Caller{Workspace: "w"},
 		}
-		change(r)
+		modify(r)
 		return FingerprintOf(r)
 	}
-	first := request(func(*serving.Request) {})
-	repeat := request(func(r *serving.Request) { r.ID, r.Header, r.ResumeAfter = "2", nil, "7" })
+	first := fingerprintWith(func(*serving.Request) {})
+	repeat := fingerprintWith(func(r *serving.Request) { r.ID, r.Header, r.ResumeAfter = "2", nil, "7" })
 	if first != repeat {
 		t.Errorf("a repeat has fingerprint %s, the request had %s", repeat, first)
 	}
@@ -30,8 +31,8 @@
 		"body":      func(r *serving.Request) { r.Body = []byte("other") },
 		"parts":     func(r *serving.Request) { r.Host, r.URI = "h/a", "/b" },
 	}
-	for name, change := range others {
-		if request(change) == first {
+	for name, modify := range others {
+		if fingerprintWith(modify) == first {
 			t.Errorf("another %s has the same fingerprint", name)
 		}
 	}
--- a/core/quarantine/message.go
+++ b/core/quarantine/message.go
@@ -8,7 +8,8 @@
 	"arbutusramp/core/errs"
 )
 
-// Message is a record as gateways send it to each other and keep it in the store. Times are in milliseconds since 1970.
+// Message is a record as gateways send it to each other and keep it in the store. Times are in milliseconds
+// since 1970.
 type Message struct {
 	Content []byte         `cbor:"1,keyasint"`
 	Crashes []CrashMessage `cbor:"2,keyasint,omitempty"`
@@ -16,11 +17,12 @@
 	Seen    int64          `cbor:"4,keyasint,omitempty"` // 0: never
 	Tried   int64          `cbor:"5,keyasint,omitempty"` // 0: never
 	IsScope bool           `cbor:"6,keyasint,omitempty"`
-	// Details are more of the crashes, in the order of Crashes; empty from a gateway that knows no more.
+	// Details holds the remaining fields of each crash, in the order of Crashes. It is empty if the sender's
+	// version has no such fields.
 	Details []CrashDetails `cbor:"7,keyasint,omitempty"`
 }
 
-// CrashMessage is a Crash.
+// CrashMessage is the encoded form of a Crash. Its fields are encoded as an array, so their order is fixed.
 type CrashMessage struct {
 	_      struct{} `cbor:",toarray"`
 	Target uint64
@@ -28,7 +30,8 @@
 	At     int64
 }
 
-// CrashDetails are those parts of a Crash that CrashMessage lacks.
+// CrashDetails holds the fields of a Crash that CrashMessage lacks. Its fields are encoded as an array, so
+// their order is fixed.
 type CrashDetails struct {
 	_         struct{} `cbor:",toarray"`
 	Start     uint64
@@ -36,30 +39,30 @@
 	By        uint64
 }
 
-// Message returns r as it is sent.
+// Message returns r in the form in which it is sent and stored.
 func (r Record) Message() Message {
-	m := Message{Content: r.Content[:], Cleared: millis(r.Cleared), Seen: millis(r.Seen), Tried: millis(r.Tried), IsScope: r.IsScope}
+	m := Message{Content: r.Content[:], Cleared: toMillis(r.Cleared), Seen: toMillis(r.Seen), Tried: toMillis(r.Tried), IsScope: r.IsScope}
 	for _, e := range r.Crashes {
-		m.Crashes = append(m.Crashes, CrashMessage{Target: e.Target, Began: millis(e.Began), At: millis(e.At)})
+		m.Crashes = append(m.Crashes, CrashMessage{Target: e.Target, Began: toMillis(e.Began), At: toMillis(e.At)})
 		m.Details = append(m.Details, CrashDetails{Start: e.Start, Preceding: e.Preceding, By: e.By})
 	}
 	return m
 }
 
-// Record returns the record that was sent. Error: errs.BadFrame.
+// Record decodes the message. Error: errs.BadFrame.
 func (m Message) Record() (Record, error) {
 	var r Record
 	if len(m.Content) != len(r.Content) {
-		return r, errs.Newf(errs.BadFrame, "a fingerprint of %d bytes, want %d", len(m.Content), len(r.Content))
+		return r, errs.Newf(errs.BadFrame, "fingerprint has %d bytes, want %d", len(m.Content), len(r.Content))
 	}
 	copy(r.Content[:], m.Content)
 	if len(m.Details) > 0 && len(m.Details) != len(m.Crashes) {
-		return r, errs.Newf(errs.BadFrame, "details of %d crashes, want %d", len(m.Details), len(m.Crashes))
+		return r, errs.Newf(errs.BadFrame, "details for %d crashes, want %d", len(m.Details), len(m.Crashes))
 	}
 	r.IsScope = m.IsScope
-	r.Cleared, r.Seen, r.Tried = moment(m.Cleared), moment(m.Seen), moment(m.Tried)
+	r.Cleared, r.Seen, r.Tried = fromMillis(m.Cleared), fromMillis(m.Seen), fromMillis(m.Tried)
 	for i, e := range m.Crashes {
-		crash := Crash{Target: e.Target, Began: moment(e.Began), At: moment(e.At)}
+		crash := Crash{Target: e.Target, Began: fromMillis(e.Began), At: fromMillis(e.At)}
 		if len(m.Details) > 0 {
 			d := m.Details[i]
 			crash.Start, crash.Preceding, crash.By = d.Start, d.Preceding, d.By
@@ -78,7 +81,7 @@
 	return data, nil
 }
 
-// Decode reads what Encode has made. Error: errs.BadFrame.
+// Decode decodes a record that Encode has encoded. Error: errs.BadFrame.
 func Decode(data []byte) (Record, error) {
 	var m Message
 	if err := cbor.Unmarshal(data, &m); err != nil {
@@ -87,14 +90,14 @@
 	return m.Record()
 }
 
-func millis(t time.Time) int64 {
+func toMillis(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixMilli()
 }
 
-func moment(ms int64) time.Time {
+func fromMillis(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
--- a/core/quarantine/passed.go
+++ b/core/quarantine/passed.go
@@ -2,33 +2,34 @@
 
 import "sync"
 
-// passedGeneration is how many contents a generation of a PassedSet holds.
-const passedGeneration = 2048
+// passedGenerationSize is how many contents one generation of a PassedSet holds.
+const passedGenerationSize = 2048
 
-// PassedSet remembers the contents whose runs have lately passed, by their digests: at least the last passedGeneration of them. It is safe for concurrent use.
+// PassedSet holds the digests of contents whose runs have recently passed: at least the last
+// passedGenerationSize of them. It is safe for concurrent use.
 type PassedSet struct {
-	mu            sync.Mutex
-	newest, older map[uint64]struct{}
+	mu                sync.Mutex
+	current, previous map[uint64]struct{}
 }
 
 // NewPassedSet returns an empty set.
-func NewPassedSet() *PassedSet { return &PassedSet{newest: make(map[uint64]struct{})} }
+func NewPassedSet() *PassedSet { return &PassedSet{current: make(map[uint64]struct{})} }
 
-// Add adds a content.
+// Add adds the digest of a content. When the current generation is full, it replaces the previous one.
 func (p *PassedSet) Add(digest uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.newest) >= passedGeneration {
-		p.newest, p.older = make(map[uint64]struct{}), p.newest
+	if len(p.current) >= passedGenerationSize {
+		p.current, p.previous = make(map[uint64]struct{}), p.current
 	}
-	p.newest[digest] = struct{}{}
+	p.current[digest] = struct{}{}
 }
 
-// Has says whether a content is remembered.
+// Has reports whether the set holds the digest of a content.
 func (p *PassedSet) Has(digest uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, isNew := p.newest[digest]
-	_, isOld := p.older[digest]
-	return isNew || isOld
+	_, isInCurrent := p.current[digest]
+	_, isInPrevious := p.previous[digest]
+	return isInCurrent || isInPrevious
 }
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -8,51 +8,56 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxCrashes is how many crashes a record keeps, the newest ones, and the highest threshold.
+// MaxCrashes is how many crashes a record keeps (the newest ones) and the highest allowed threshold.
 const MaxCrashes = 10
 
-// maxClockSkew is how far the clock of another host may be ahead. What is said to have happened later than that is taken to have
-// happened now.
+// maxClockSkew is how far the clock of another host may be ahead. A time further in the future is replaced by
+// the current time.
 const maxClockSkew = 10 * time.Second
 
-// minRestart is how long after the crash of a target a run begins that shows that it has started again under its id, where starts have
-// no names. It is above what the clocks of hosts usually differ by.
-const minRestart = 2500 * time.Millisecond
+// minRestartDelay is how long after the crash of a target a run must begin to show that the target has
+// restarted under the same id, where starts are not identified. It exceeds the usual difference between the
+// clocks of hosts.
+const minRestartDelay = 2500 * time.Millisecond
 
-// Record is what is known of one content. Records of different gateways can be merged in any order.
+// Record holds the crashes and the state of one content or scope. Records of different gateways can be
+// merged in any order.
 type Record struct {
 	Content Fingerprint
-	// IsScope says that Content is what several contents have in common.
+	// IsScope reports whether Content identifies a scope: a resource, job or route that several contents
+	// share.
 	IsScope bool
-	// Crashes are the crashes of targets under the content since Cleared, each once, the newest first.
+	// Crashes are the crashes of targets while running the content since Cleared, each listed once, newest
+	// first.
 	Crashes []Crash
-	// Cleared is when a target last served the content; zero if none has. Crashes before it don't count: a content that is served does
-	// not crash each target.
+	// Cleared is when a target last served the content; zero if none has. Crashes before it do not count: a
+	// content that is served does not crash every target.
 	Cleared time.Time
-	// Seen is when a target last crashed under the content, or a request with it was last rejected.
+	// Seen is when a target last crashed while running the content, or a request with it was last rejected.
 	Seen time.Time
-	// Tried is when a request with the content was last sent although it is quarantined; zero if none was.
+	// Tried is when a request with the content was last sent as a trial although it is quarantined; zero if
+	// none was.
 	Tried time.Time
 }
 
-// Crash is that of a target while it had a request with the content.
+// Crash is the crash of a target while it ran a request with the content.
 type Crash struct {
 	Target uint64    // digest of the target's id
-	Start  uint64    // digest of the name of its start; 0 is not known
-	Began  time.Time // when the run began that the target crashed under
-	At     time.Time // when the target broke the run off
-	// Preceding is how many crashes under the content were known to the gateway that sent the request when the run began. Unlike
-	// times it can be compared between hosts whose clocks differ.
+	Start  uint64    // digest of the id of the target's process start; 0 if unknown
+	Began  time.Time // when the run during which the target crashed began
+	At     time.Time // when the target broke off the run
+	// Preceding is the number of crashes for the content that the gateway that sent the request had received
+	// when the run began. Unlike times, it can be compared between hosts whose clocks differ.
 	Preceding int
-	// By is the digest of the content that the run had; 0 except in the record of a scope.
+	// By is the digest of the content that was run; 0 except in the record of a scope.
 	By uint64
 
-	// learned is when this process came to know of the crash, by its own clock.
-	learned time.Time
+	// learnedAt is when this process first received the crash, by its own clock.
+	learnedAt time.Time
 }
 
-// NewCrash returns the crash of a target under a run that began and was broken off at these times. start names the start of the
-// target; empty if that is not known.
+// NewCrash returns the crash of a target during a run that began and was broken off at the given times. start
+// identifies the process start of the target; it is empty if unknown.
 func NewCrash(target, start string, began, broken time.Time) Crash {
 	c := Crash{Target: xxhash.Sum64String(target), Began: began.Truncate(time.Millisecond), At: broken.Truncate(time.Millisecond)}
 	if start != "" {
@@ -61,13 +66,14 @@
 	return c
 }
 
-// clone returns a copy that shares nothing with r.
+// clone returns a copy that shares no memory with r.
 func (r Record) clone() Record {
 	r.Crashes = slices.Clone(r.Crashes)
 	return r
 }
 
-// clamped returns r with no time later than the clock of this host allows.
+// clamped returns a copy of r in which each time that is more than maxClockSkew after now is replaced by now,
+// and each crash is marked as learned at now.
 func (r Record) clamped(now time.Time) Record {
 	latest := now.Add(maxClockSkew)
 	clamp := func(t time.Time) time.Time {
@@ -80,12 +86,12 @@
 	r.Cleared, r.Seen, r.Tried = clamp(r.Cleared), clamp(r.Seen), clamp(r.Tried)
 	for i := range r.Crashes {
 		r.Crashes[i].At = clamp(r.Crashes[i].At)
-		r.Crashes[i].learned = now
+		r.Crashes[i].learnedAt = now
 	}
 	return r
 }
 
-// merge takes in what o says of the same content.
+// merge merges o, a record of the same content, into r.
 func (r *Record) merge(o Record) {
 	r.Cleared, r.Seen, r.Tried = later(r.Cleared, o.Cleared), later(r.Seen, o.Seen), later(r.Tried, o.Tried)
 	r.IsScope = r.IsScope || o.IsScope
@@ -99,41 +105,45 @@
 	r.Crashes = r.Crashes[:min(len(r.Crashes), MaxCrashes)]
 }
 
-// addCrash adds a crash. Several gateways may have seen the same one: of what they say the lowest counts.
+// addCrash adds a crash. Several gateways may have observed the same crash: of each of its fields the lowest
+// value is kept, so that the order of merging does not matter.
 func (r *Record) addCrash(e Crash) {
 	for i := range r.Crashes {
-		if known := &r.Crashes[i]; known.isSame(e) {
-			known.At, known.Began = earlier(known.At, e.At), earlier(known.Began, e.Began)
-			known.Preceding, known.By = min(known.Preceding, e.Preceding), min(known.By, e.By)
+		if existing := &r.Crashes[i]; existing.isSameCrash(e) {
+			existing.At, existing.Began = earlier(existing.At, e.At), earlier(existing.Began, e.Began)
+			existing.Preceding, existing.By = min(existing.Preceding, e.Preceding), min(existing.By, e.By)
 			return
 		}
 	}
 	r.Crashes = append(r.Crashes, e)
 }
 
-// isSame says whether two crashes are one. Where starts have no names, a target under whose id a run begins well after its crash has
-// started again.
-func (e Crash) isSame(o Crash) bool {
+// isSameCrash reports whether two values describe the same crash. Where starts are not identified, a run that
+// begins at least minRestartDelay after the crash of a target with the same id shows that the target has
+// restarted.
+func (e Crash) isSameCrash(o Crash) bool {
 	if e.Start != 0 && o.Start != 0 {
 		return e.Start == o.Start
 	}
-	return e.Target == o.Target && o.Began.Sub(e.At) < minRestart && e.Began.Sub(o.At) < minRestart
+	return e.Target == o.Target && o.Began.Sub(e.At) < minRestartDelay && e.Began.Sub(o.At) < minRestartDelay
 }
 
-// precedingAt is how many of the crashes this process knew of at a time.
-func (r Record) precedingAt(t time.Time) int {
+// countKnownAt returns how many of the crashes this process had received before t.
+func (r Record) countKnownAt(t time.Time) int {
 	n := 0
 	for _, e := range r.Crashes {
-		if e.learned.Before(t) {
+		if e.learnedAt.Before(t) {
 			n++
 		}
 	}
 	return n
 }
 
-// inSequence is how many of the crashes follow on each other, each under a run that began after the one before, by the clocks of those
-// who saw them or by what they knew of. Targets that are lost together crash under whatever many callers send just then.
-func (r Record) inSequence() int {
+// countSequential returns how many of the crashes are sequential: each one happened in a run that began after
+// the crash before it, by the clocks of the observing hosts or by the number of crashes they had received.
+// Targets that are lost together crash while running any content that many callers send at that time, so
+// simultaneous crashes are no proof.
+func (r Record) countSequential() int {
 	crashes := slices.SortedFunc(slices.Values(r.Crashes), func(a, b Crash) int {
 		return cmp.Or(cmp.Compare(a.Preceding, b.Preceding), a.At.Compare(b.At))
 	})
@@ -149,22 +159,22 @@
 	return n
 }
 
-// contents is how many different contents the runs of a scope's crashes had.
-func (r Record) contents() int {
-	by := make(map[uint64]bool, len(r.Crashes))
+// countContents returns how many different contents were run in the crashes of a scope.
+func (r Record) countContents() int {
+	digests := make(map[uint64]bool, len(r.Crashes))
 	for _, e := range r.Crashes {
-		by[e.By] = true
+		digests[e.By] = true
 	}
-	return len(by)
+	return len(digests)
 }
 
-// covers says whether o tells nothing that r does not, but for sightings up to slack later.
+// covers reports whether o adds nothing to r, apart from a Seen that is later by up to slack.
 func (r Record) covers(o Record, slack time.Duration) bool {
 	if o.Cleared.After(r.Cleared) || o.Tried.After(r.Tried) || o.Seen.After(r.Seen.Add(slack)) {
 		return false
 	}
 	for _, e := range o.Crashes {
-		if e.At.After(r.Cleared) && len(r.Crashes) < MaxCrashes && !slices.ContainsFunc(r.Crashes, e.isSame) {
+		if e.At.After(r.Cleared) && len(r.Crashes) < MaxCrashes && !slices.ContainsFunc(r.Crashes, e.isSameCrash) {
 			return false
 		}
 	}
--- a/core/quarantine/scope.go
+++ b/core/quarantine/scope.go
@@ -6,30 +6,32 @@
 )
 
 const (
-	// scopeContents is under how many different contents of a scope targets must have crashed before the scope is quarantined. With one,
-	// the quarantine of that content is enough.
-	scopeContents = 2
-	// A request of a quarantined scope is tried with pauses that double from the first to the last of these: its content need not be
-	// to blame.
-	firstScopeTry = 5 * time.Second
-	lastScopeTry  = time.Minute
+	// minScopeContents is the number of different contents of a scope whose runs must have crashed targets
+	// before the scope is quarantined. For a single content, the quarantine of that content is enough.
+	minScopeContents = 2
+	// The delay between trials of a quarantined scope doubles from minScopeTrialDelay to maxScopeTrialDelay:
+	// the content of a request need not cause crashes.
+	minScopeTrialDelay = 5 * time.Second
+	maxScopeTrialDelay = time.Minute
 )
 
-// Subject is what a request is known by.
+// Subject identifies a request by its content and its scopes.
 type Subject struct {
 	Content Fingerprint
-	// Scopes are what it has in common with requests of other contents. The first Narrow of them are its resource and its job, the
-	// last may be its route.
+	// Scopes are the fingerprints that the request shares with requests of other contents. The first Narrow
+	// of them are its resource and its job; the last may be its route.
 	Scopes []Fingerprint
 	Narrow int
-	// HasPassed says that a run of the content has lately passed.
+	// HasPassed reports whether a run of the content has recently passed; see PassTime.
 	HasPassed bool
 }
 
-// digest is the part of the fingerprint by which the crashes of a scope name a content.
-func (f Fingerprint) digest() uint64 { return binary.BigEndian.Uint64(f[:]) }
+// prefix64 returns the first 64 bits of the fingerprint, which identify the content in the crashes of a
+// scope.
+func (f Fingerprint) prefix64() uint64 { return binary.BigEndian.Uint64(f[:]) }
 
-// hasPassed says whether a run of a content has lately passed, and no target has crashed under it since.
+// hasPassed reports whether a run of the content has recently passed and no target has crashed while running
+// it since.
 func (g *Registry) hasPassed(s Subject) bool {
 	e, ok := g.entries[s.Content]
 	if !ok {
@@ -38,13 +40,15 @@
 	return len(e.Crashes) == 0 && (s.HasPassed || !e.Cleared.IsZero())
 }
 
-// CheckScopes says whether a request must not be sent because of what it has in common with others. It notes that the scope was seen.
+// CheckScopes reports whether a request must not be sent because one of its scopes is quarantined. It updates
+// Seen of that scope.
 func (g *Registry) CheckScopes(now time.Time, s Subject) (isQuarantined bool) {
 	return g.blockingScope(now, s) != nil
 }
 
-// AdmitScopes is CheckScopes for a request that is sent now, unless it must not be. It reports whether it is sent as a try.
-func (g *Registry) AdmitScopes(now time.Time, s Subject) (isQuarantined, isTry bool) {
+// AdmitScopes is CheckScopes for a request that is sent immediately if it is allowed. isTrial reports whether
+// it is sent as a trial.
+func (g *Registry) AdmitScopes(now time.Time, s Subject) (isQuarantined, isTrial bool) {
 	if g.blockingScope(now, s) != nil {
 		return true, false
 	}
@@ -52,14 +56,14 @@
 		return false, false
 	}
 	for _, f := range s.Scopes {
-		if _, tried := g.Admit(now, f); tried {
-			isTry = true
+		if _, isScopeTrial := g.Admit(now, f); isScopeTrial {
+			isTrial = true
 		}
 	}
-	return false, isTry
+	return false, isTrial
 }
 
-// blockingScope returns the scope because of which a request must not be sent now; nil if it may be.
+// blockingScope returns the scope that prevents a request from being sent now; nil if there is none.
 func (g *Registry) blockingScope(now time.Time, s Subject) *entry {
 	if g.hasPassed(s) {
 		return nil
@@ -72,7 +76,8 @@
 	return nil
 }
 
-// IsSuspect says that a target has crashed under a request of the same resource or job, and that none has passed since.
+// IsSuspect reports whether a target has crashed while running a request of the same resource or job, and no
+// run has passed since.
 func (g *Registry) IsSuspect(s Subject) bool {
 	if g.hasPassed(s) {
 		return false
@@ -85,7 +90,7 @@
 	return false
 }
 
-// ScopeCrashes is the most crashes that are known under one of the scopes.
+// ScopeCrashes returns the highest number of crashes of any of the scopes.
 func (g *Registry) ScopeCrashes(s Subject) int {
 	most := 0
 	for _, f := range s.Scopes {
@@ -94,20 +99,20 @@
 	return most
 }
 
-// NoteScopeCrash notes that a target has crashed under a run of the content that had not passed.
+// NoteScopeCrash adds the crash of a target during a run of the content that had not passed.
 func (g *Registry) NoteScopeCrash(now time.Time, s Subject, c Crash) {
-	c.By = s.Content.digest()
+	c.By = s.Content.prefix64()
 	for _, f := range s.Scopes {
-		e := g.entry(f)
+		e := g.getOrCreateEntry(f)
 		e.IsScope = true
 		g.noteCrash(now, e, c)
 	}
 }
 
-// NotePassed notes that a run of the content has passed; see PassTime. The first time it shows that not each content of the scope crashes
-// targets. Later it says nothing of the others: one that is sent again and again would hide them.
-// It reports whether that was news.
-func (g *Registry) NotePassed(now time.Time, s Subject) (isNews bool) {
+// NotePassed notes that a run of the content has passed; see PassTime. The first pass of a content shows that
+// not every content of the scope crashes targets, and clears the scopes. Later passes clear nothing: a
+// content that is sent repeatedly would hide the crashes of others. It reports whether crashes were cleared.
+func (g *Registry) NotePassed(now time.Time, s Subject) (isNew bool) {
 	if g.ScopeCrashes(s) == 0 || g.hasPassed(s) {
 		return false
 	}
@@ -117,20 +122,21 @@
 		}
 	}
 	if g.Crashes(s.Content) == 0 {
-		g.clear(now, g.entry(s.Content))
+		g.clear(now, g.getOrCreateEntry(s.Content))
 	}
 	return true
 }
 
-// planScopeTry sets when this gateway may try a request of a scope. Whoever tries first tells the others.
-func (g *Registry) planScopeTry(e *entry) {
-	pause := firstScopeTry
+// scheduleScopeTrial sets when this gateway may send a trial of a scope. The gateway that sends one first
+// announces it to the others.
+func (g *Registry) scheduleScopeTrial(e *entry) {
+	delay := minScopeTrialDelay
 	for range len(e.Crashes) - g.opts.Threshold {
-		pause = min(lastScopeTry, 2*pause)
+		delay = min(maxScopeTrialDelay, 2*delay)
 	}
-	e.tryAt = e.Tried
+	e.trialAt = e.Tried
 	if len(e.Crashes) > 0 {
-		e.tryAt = later(e.Tried, e.Crashes[0].At)
+		e.trialAt = later(e.Tried, e.Crashes[0].At)
 	}
-	e.tryAt = e.tryAt.Add(pause + g.jitter())
+	e.trialAt = e.trialAt.Add(delay + g.trialJitter())
 }
--- a/core/quarantine/share.go
+++ b/core/quarantine/share.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// announce has an entry told to peers and written to the store at once.
-func (g *Registry) announce(now time.Time, e *entry) {
-	e.tellAt, e.tellPause, e.announced = now, firstTellPause, e.Seen
-	g.nextTell = time.Time{}
+// scheduleAnnouncement schedules an entry to be sent to peers and written to the store immediately.
+func (g *Registry) scheduleAnnouncement(now time.Time, e *entry) {
+	e.sendAt, e.sendInterval, e.announcedSeen = now, minSendInterval, e.Seen
+	g.nextSendAt = time.Time{}
 	g.scheduleWrite(e, now)
 }
 
 func (g *Registry) scheduleWrite(e *entry, at time.Time) {
-	if e.stored.covers(e.Record, g.renewAfter()) {
+	if e.stored.covers(e.Record, g.renewInterval()) {
 		e.writeAt = time.Time{}
 		return
 	}
@@ -19,51 +19,52 @@
 	}
 }
 
-// ToTell returns up to n records that peers should be told now, those of quarantined contents first.
+// ToTell returns up to n records that are due to be sent to peers, those of quarantined contents first.
 func (g *Registry) ToTell(now time.Time, n int) []Record {
-	if now.Before(g.nextTell) {
+	if now.Before(g.nextSendAt) {
 		return nil
 	}
 	var list []Record
-	for _, quarantined := range []bool{true, false} {
+	for _, isQuarantinedPass := range []bool{true, false} {
 		for _, e := range g.entries {
 			if len(list) == n {
 				return list
 			}
-			if g.isQuarantined(e) != quarantined || e.tellAt.IsZero() || now.Before(e.tellAt) {
+			if g.isQuarantined(e) != isQuarantinedPass || e.sendAt.IsZero() || now.Before(e.sendAt) {
 				continue
 			}
-			e.tellAt = now.Add(e.tellPause)
-			e.tellPause = min(lastTellPause, tellGrowth*e.tellPause)
+			e.sendAt = now.Add(e.sendInterval)
+			e.sendInterval = min(maxSendInterval, sendIntervalGrowth*e.sendInterval)
 			list = append(list, e.Record.clone())
 		}
 	}
-	g.nextTell = g.firstTell(now)
+	g.nextSendAt = g.earliestSend(now)
 	return list
 }
 
-// firstTell is when the first entry has to be told after now.
-func (g *Registry) firstTell(now time.Time) time.Time {
-	first := now.Add(lastTellPause)
+// earliestSend returns when the next entry is due to be sent, at most maxSendInterval after now.
+func (g *Registry) earliestSend(now time.Time) time.Time {
+	earliest := now.Add(maxSendInterval)
 	for _, e := range g.entries {
-		if !e.tellAt.IsZero() && e.tellAt.Before(first) {
-			first = e.tellAt
+		if !e.sendAt.IsZero() && e.sendAt.Before(earliest) {
+			earliest = e.sendAt
 		}
 	}
-	return first
+	return earliest
 }
 
-// TellAgain has the records of quarantined contents told again: a peer has started.
+// TellAgain schedules the records of quarantined contents to be sent again because a peer has started.
 func (g *Registry) TellAgain(now time.Time) {
 	for _, e := range g.entries {
 		if g.isQuarantined(e) {
-			e.tellAt, e.tellPause = now, firstTellPause
+			e.sendAt, e.sendInterval = now, minSendInterval
 		}
 	}
-	g.nextTell = time.Time{}
+	g.nextSendAt = time.Time{}
 }
 
-// ToStore returns up to n records that the store should get now, and when the next one is due; zero if none is.
+// ToStore returns up to n records that are due to be written to the store, and when the next one is due; zero
+// if there is none.
 func (g *Registry) ToStore(now time.Time, n int) (due []Record, next time.Time) {
 	for _, e := range g.entries {
 		switch {
--- a/core/quarantine/sim_test.go
+++ b/core/quarantine/sim_test.go
@@ -9,112 +9,114 @@
 	"time"
 )
 
-var simSeeds = flag.Int("quarantine.seeds", 6, "number of simulated fleets for each trouble; all ways are played with -v")
+var simSeeds = flag.Int("quarantine.seeds", 6, "number of simulated fleets for each scenario; -v runs all variants")
 
-// simOptions are the ways of attribution that the simulation compares.
+// simOptions are the attribution rules that the simulation compares.
 type simOptions struct {
 	threshold int
-	// hasClearance has contents cleared that are served, hasProgress has crashes not count under work that advances, and hasTries has
-	// contents tried whose crashes may have come together.
-	hasClearance, hasProgress, hasTries bool
+	// hasClearance clears contents that are served; hasProgress ignores crashes during runs that advance;
+	// hasTrials admits trials of contents whose crashes may have been simultaneous.
+	hasClearance, hasProgress, hasTrials bool
 }
 
-// simTrouble is what crashes targets.
-type simTrouble struct {
-	hasBad  bool          // a content under which each target crashes
-	lossGap time.Duration // between two losses of a third of the targets at once
+// simScenario describes what crashes targets.
+type simScenario struct {
+	hasCrashingContent bool          // a content that crashes each target
+	lossInterval       time.Duration // between two losses of a third of the targets at once
 }
 
-// Times and sizes of the simulated fleet.
+// Durations and sizes of the simulated fleet.
 const (
-	simStep       = 10 * time.Millisecond
-	simLength     = 60 * time.Second
-	simTargets    = 9
-	simSlots      = 8
-	simDown       = 3 * time.Second // a target that has crashed is back after
-	simCrash      = 150 * time.Millisecond
-	simFirstEvent = 70 * time.Millisecond
-	simStreamHold = 700 * time.Millisecond
-	simItemHold   = 4700 * time.Millisecond
-	simRepeat     = 500 * time.Millisecond // between two repeats of the bad content
-	simArrivals   = 0.35                   // streams that arrive in a step
-	simPopular    = 0.2                    // share of streams that have the same content
-	simItems      = 30                     // items that are under way or wait
+	simStep               = 10 * time.Millisecond
+	simDuration           = 60 * time.Second
+	simTargetCount        = 9
+	simSlots              = 8
+	simRestartTime        = 3 * time.Second // until a crashed target is up again
+	simCrashDelay         = 150 * time.Millisecond
+	simFirstEventDelay    = 70 * time.Millisecond
+	simStreamDuration     = 700 * time.Millisecond
+	simItemDuration       = 4700 * time.Millisecond
+	simRepeatInterval     = 500 * time.Millisecond // between two repeats of the crashing content
+	simArrivalProbability = 0.35                   // probability that a stream arrives in a step
+	simPopularShare       = 0.2                    // share of streams with the popular content
+	simItemCount          = 30                     // items that run or wait
 )
 
-// simRun is a request at a target.
+// simRun is a run of a request at a target.
 type simRun struct {
-	content Fingerprint
-	began   time.Time
-	hold    time.Duration
-	item    *simItem // nil for streams
-	retries int      // of streams that may be repeated
-	isBad   bool
+	content    Fingerprint
+	beganAt    time.Time
+	duration   time.Duration
+	item       *simItem // nil for streams
+	retries    int      // remaining retries of a stream
+	isCrashing bool
 }
 
-// simItem is batch work that goes on from where it was.
+// simItem is a batch item, which resumes where its last run ended.
 type simItem struct {
 	content  Fingerprint
-	done     time.Duration
+	progress time.Duration
 	isQueued bool
 }
 
 type simTarget struct {
 	id   string
 	runs []simRun
-	back time.Time // it is down until then
+	upAt time.Time // the target is down until then
 }
 
-// simFleet is a fleet whose gateways know all of each other.
+// simFleet is a fleet whose gateways have identical information.
 type simFleet struct {
 	opts     simOptions
-	trouble  simTrouble
+	scenario simScenario
 	rng      *rand.Rand
 	registry *Registry
 	targets  []*simTarget
 	items    []*simItem
 	now      time.Time
-	started  int
+	idCount  int
 
-	badCrashes, broken, rejected, served, heldItems int
-	// popularRejected is since when the popular content is rejected, longestRejected how long it was at most.
-	popularRejected time.Time
-	longestRejected time.Duration
+	crashes, brokenStreams, rejectedStreams, served, quarantinedItems int
+	// popularRejectedSince is when the popular content began to be rejected, longestRejection the longest
+	// time for which it was.
+	popularRejectedSince time.Time
+	longestRejection     time.Duration
 }
 
-// popular is the content that many callers send, bad the one that crashes targets.
-var popular, bad = Fingerprint{2}, Fingerprint{3}
+// popularContent is sent by many callers, crashingContent crashes each target.
+var popularContent, crashingContent = Fingerprint{2}, Fingerprint{3}
 
 func (f *simFleet) newContent() Fingerprint {
-	f.started++
-	return Fingerprint{1, byte(f.started), byte(f.started >> 8), byte(f.started >> 16)}
+	f.idCount++
+	return Fingerprint{1, byte(f.idCount), byte(f.idCount >> 8), byte(f.idCount >> 16)}
 }
 
-func newSimFleet(o simOptions, t simTrouble, seed uint64) *simFleet {
-	f := &simFleet{opts: o, trouble: t, rng: rand.New(rand.NewPCG(seed, 1)), registry: NewRegistry(Options{Threshold: o.threshold, Hold: DefaultHold}), now: start}
-	for i := range simTargets {
+func newSimFleet(o simOptions, s simScenario, seed uint64) *simFleet {
+	f := &simFleet{opts: o, scenario: s, rng: rand.New(rand.NewPCG(seed, 1)), registry: NewRegistry(Options{Threshold: o.threshold, Hold: DefaultHold}), now: testStart}
+	for i := range simTargetCount {
 		f.targets = append(f.targets, &simTarget{id: fmt.Sprint("t", i)})
 	}
-	for range simItems {
+	for range simItemCount {
 		f.items = append(f.items, &simItem{content: f.newContent(), isQueued: true})
 	}
 	return f
 }
 
 func (f *simFleet) isQuarantined(content Fingerprint) bool {
-	if f.opts.hasTries {
+	if f.opts.hasTrials {
 		return f.registry.Check(f.now, content)
 	}
 	e, ok := f.registry.entries[content]
 	return ok && f.registry.isQuarantined(e)
 }
 
-// send starts a run at the target with the most free slots of those that are up, and reports whether there was one.
-func (f *simFleet) send(r simRun) bool {
+// startRun starts a run at the target with the most free slots among those that are up, and reports whether
+// there was one.
+func (f *simFleet) startRun(r simRun) bool {
 	var best *simTarget
 	for _, i := range f.rng.Perm(len(f.targets)) {
 		t := f.targets[i]
-		if f.now.Before(t.back) || len(t.runs) >= simSlots {
+		if f.now.Before(t.upAt) || len(t.runs) >= simSlots {
 			continue
 		}
 		if best == nil || len(t.runs) < len(best.runs) {
@@ -125,68 +127,69 @@
 		return false
 	}
 	f.registry.Admit(f.now, r.content)
-	r.began = f.now
+	r.beganAt = f.now
 	best.runs = append(best.runs, r)
 	return true
 }
 
-// end crashes a target: what it runs is broken off.
-func (f *simFleet) end(t *simTarget) {
+// crashTarget crashes a target and breaks off its runs.
+func (f *simFleet) crashTarget(t *simTarget) {
 	for _, r := range t.runs {
 		f.noteBroken(t, r)
 	}
-	f.started++
-	t.id, t.runs, t.back = fmt.Sprint("t", f.started), nil, f.now.Add(simDown)
+	f.idCount++
+	t.id, t.runs, t.upAt = fmt.Sprint("t", f.idCount), nil, f.now.Add(simRestartTime)
 }
 
 func (f *simFleet) noteBroken(t *simTarget, r simRun) {
-	ran := max(0, f.now.Sub(r.began)-simFirstEvent)
-	wentOn := r.item != nil && r.item.done > 0 && ran > 0
-	if !f.opts.hasProgress || !wentOn {
-		f.registry.NoteCrash(f.now, r.content, NewCrash(t.id, t.id, r.began, f.now))
+	ran := max(0, f.now.Sub(r.beganAt)-simFirstEventDelay)
+	hasAdvanced := r.item != nil && r.item.progress > 0 && ran > 0
+	if !f.opts.hasProgress || !hasAdvanced {
+		f.registry.NoteCrash(f.now, r.content, NewCrash(t.id, t.id, r.beganAt, f.now))
 	}
 	switch {
-	case r.isBad:
+	case r.isCrashing:
 		return
 	case r.item != nil:
-		r.item.done += ran
+		r.item.progress += ran
 		r.item.isQueued = true
 	default:
-		f.broken++
+		f.brokenStreams++
 		if r.retries > 0 {
-			f.stream(r.content, r.retries-1)
+			f.sendStream(r.content, r.retries-1)
 		}
 	}
 }
 
-// stream sends a stream that is not to blame.
-func (f *simFleet) stream(content Fingerprint, retries int) {
+// sendStream sends a stream with a harmless content.
+func (f *simFleet) sendStream(content Fingerprint, retries int) {
 	if f.isQuarantined(content) {
-		f.rejected++
-		f.notePopular(content, true)
+		f.rejectedStreams++
+		f.trackPopular(content, true)
 		return
 	}
-	f.notePopular(content, false)
-	f.send(simRun{content: content, hold: simStreamHold, retries: retries})
+	f.trackPopular(content, false)
+	f.startRun(simRun{content: content, duration: simStreamDuration, retries: retries})
 }
 
-// hasRoom says whether a target could take a request.
-func (f *simFleet) hasRoom() bool {
-	return slices.ContainsFunc(f.targets, func(t *simTarget) bool { return !f.now.Before(t.back) && len(t.runs) < simSlots })
+// hasFreeSlot reports whether any target can take a request.
+func (f *simFleet) hasFreeSlot() bool {
+	return slices.ContainsFunc(f.targets, func(t *simTarget) bool { return !f.now.Before(t.upAt) && len(t.runs) < simSlots })
 }
 
-// notePopular notes that the popular content is rejected, or sent. Time without room for it counts for nothing.
-func (f *simFleet) notePopular(content Fingerprint, isRejected bool) {
+// trackPopular notes whether the popular content is rejected or sent. Time without a free slot does not
+// count.
+func (f *simFleet) trackPopular(content Fingerprint, isRejected bool) {
 	switch {
-	case content != popular:
-	case !f.hasRoom() && !f.popularRejected.IsZero():
-		f.popularRejected = f.now
-	case isRejected && f.popularRejected.IsZero():
-		f.popularRejected = f.now
-	case !f.popularRejected.IsZero():
-		f.longestRejected = max(f.longestRejected, f.now.Sub(f.popularRejected))
-		if !isRejected && !f.registry.isQuarantined(f.registry.entries[popular]) {
-			f.popularRejected = time.Time{}
+	case content != popularContent:
+	case !f.hasFreeSlot() && !f.popularRejectedSince.IsZero():
+		f.popularRejectedSince = f.now
+	case isRejected && f.popularRejectedSince.IsZero():
+		f.popularRejectedSince = f.now
+	case !f.popularRejectedSince.IsZero():
+		f.longestRejection = max(f.longestRejection, f.now.Sub(f.popularRejectedSince))
+		if !isRejected && !f.registry.isQuarantined(f.registry.entries[popularContent]) {
+			f.popularRejectedSince = time.Time{}
 		}
 	}
 }
@@ -196,9 +199,9 @@
 		running := t.runs[:0:0]
 		hasCrashed := false
 		for _, r := range t.runs {
-			ran := f.now.Sub(r.began)
-			hasCrashed = hasCrashed || r.isBad && ran >= simCrash
-			if r.isBad || ran < r.hold {
+			ran := f.now.Sub(r.beganAt)
+			hasCrashed = hasCrashed || r.isCrashing && ran >= simCrashDelay
+			if r.isCrashing || ran < r.duration {
 				running = append(running, r)
 				continue
 			}
@@ -212,102 +215,104 @@
 		}
 		t.runs = running
 		if hasCrashed {
-			f.badCrashes++
-			f.end(t)
+			f.crashes++
+			f.crashTarget(t)
 		}
 	}
 }
 
-func (f *simFleet) arrivals() {
-	if f.rng.Float64() < simArrivals {
-		content, retries := popular, 0
-		if f.rng.Float64() > simPopular {
+func (f *simFleet) sendArrivals() {
+	if f.rng.Float64() < simArrivalProbability {
+		content, retries := popularContent, 0
+		if f.rng.Float64() > simPopularShare {
 			content, retries = f.newContent(), f.rng.IntN(4)
 		}
-		f.stream(content, retries)
+		f.sendStream(content, retries)
 	}
 	for _, item := range f.items {
 		if !item.isQueued {
 			continue
 		}
 		if f.isQuarantined(item.content) {
-			f.heldItems++
+			f.quarantinedItems++
 			*item = simItem{content: f.newContent(), isQueued: true}
 			continue
 		}
-		item.isQueued = !f.send(simRun{content: item.content, hold: simItemHold - item.done, item: item})
+		item.isQueued = !f.startRun(simRun{content: item.content, duration: simItemDuration - item.progress, item: item})
 	}
 }
 
-// run plays a minute with one content that crashes targets, and with losses for other reasons.
+// run simulates a minute with one content that crashes targets, if the scenario has it, and with losses for
+// other reasons.
 func (f *simFleet) run() {
-	for at := time.Duration(0); at < simLength; at += simStep {
-		f.now = start.Add(at)
+	for at := time.Duration(0); at < simDuration; at += simStep {
+		f.now = testStart.Add(at)
 		f.step()
-		f.arrivals()
-		if f.trouble.hasBad && at%simRepeat == 0 && !f.isQuarantined(bad) {
-			f.send(simRun{content: bad, hold: simLength, isBad: true})
+		f.sendArrivals()
+		if f.scenario.hasCrashingContent && at%simRepeatInterval == 0 && !f.isQuarantined(crashingContent) {
+			f.startRun(simRun{content: crashingContent, duration: simDuration, isCrashing: true})
 		}
-		if at%f.trouble.lossGap == f.trouble.lossGap/2 {
+		if at%f.scenario.lossInterval == f.scenario.lossInterval/2 {
 			for _, t := range f.targets {
 				if f.rng.IntN(3) == 0 {
-					f.end(t)
+					f.crashTarget(t)
 				}
 			}
 		}
 	}
 }
 
-// maxRejected is how long a content that is not to blame may be rejected after it was under way at targets that were lost together.
-const maxRejected = 2 * time.Second
+// maxRejection is how long a harmless content may be rejected after it was in progress at targets that were
+// lost together.
+const maxRejection = 2 * time.Second
 
-// Guards against an attribution that lets a bad content crash more targets than the platform's rule allows, or that rejects work that is
-// not to blame for long. The sums are logged for the ways that were weighed.
-func TestAttributionOfCrashes(t *testing.T) {
-	kept := simOptions{threshold: DefaultThreshold, hasClearance: true, hasProgress: true, hasTries: true}
-	ways := []struct {
+// Guards against attribution rules that let a crashing content crash more targets than the platform allows,
+// or that reject harmless requests for long. The test logs the totals of the compared variants.
+func TestCrashAttribution(t *testing.T) {
+	production := simOptions{threshold: DefaultThreshold, hasClearance: true, hasProgress: true, hasTrials: true}
+	variants := []struct {
 		name string
 		simOptions
 	}{
-		{"kept", kept},
+		{"kept", production},
 		{"threshold 1", simOptions{1, true, true, true}},
 		{"threshold 2", simOptions{2, true, true, true}},
 		{"threshold 5", simOptions{5, true, true, true}},
-		{"no tries", simOptions{DefaultThreshold, true, true, false}},
+		{"no trials", simOptions{DefaultThreshold, true, true, false}},
 		{"no clearance", simOptions{DefaultThreshold, false, true, true}},
 		{"no progress", simOptions{DefaultThreshold, true, false, true}},
 		{"none", simOptions{MaxCrashes + 1, true, true, true}},
 	}
-	for name, trouble := range map[string]simTrouble{
-		"a bad content, losses each 10 s": {true, 10 * time.Second},
-		"losses each 10 s":                {false, 10 * time.Second},
-		"losses each 4 s":                 {false, 4 * time.Second},
+	for name, scenario := range map[string]simScenario{
+		"a crashing content, losses each 10 s": {true, 10 * time.Second},
+		"losses each 10 s":                     {false, 10 * time.Second},
+		"losses each 4 s":                      {false, 4 * time.Second},
 	} {
-		for _, way := range ways {
-			var sum simFleet
-			if way.simOptions != kept && !testing.Verbose() {
+		for _, variant := range variants {
+			var total simFleet
+			if variant.simOptions != production && !testing.Verbose() {
 				continue
 			}
 			for seed := range uint64(*simSeeds) {
-				f := newSimFleet(way.simOptions, trouble, seed)
+				f := newSimFleet(variant.simOptions, scenario, seed)
 				f.run()
-				sum.add(f)
-				if way.simOptions == kept && (f.badCrashes > 2*DefaultThreshold || f.longestRejected > maxRejected || f.heldItems > 0) {
-					t.Errorf("%s, seed %d: %d crashes, the popular content rejected for %v, %d items held", name, seed, f.badCrashes, f.longestRejected, f.heldItems)
+				total.add(f)
+				if variant.simOptions == production && (f.crashes > 2*DefaultThreshold || f.longestRejection > maxRejection || f.quarantinedItems > 0) {
+					t.Errorf("%s, seed %d: %d crashes, popular content rejected for %v, %d items quarantined", name, seed, f.crashes, f.longestRejection, f.quarantinedItems)
 				}
 			}
 			mean := func(n int) float64 { return float64(n) / float64(*simSeeds) }
-			t.Logf("%s: %-12s crashes %5.1f, streams broken %6.1f, rejected %6.1f, items held %5.1f, served %7.1f",
-				name, way.name, mean(sum.badCrashes), mean(sum.broken), mean(sum.rejected), mean(sum.heldItems), mean(sum.served))
+			t.Logf("%s: %-12s crashes %5.1f, streams broken off %6.1f, rejected %6.1f, items quarantined %5.1f, served %7.1f",
+				name, variant.name, mean(total.crashes), mean(total.brokenStreams), mean(total.rejectedStreams), mean(total.quarantinedItems), mean(total.served))
 		}
 	}
 }
 
 // add adds the counts of another fleet.
 func (f *simFleet) add(o *simFleet) {
-	f.badCrashes += o.badCrashes
-	f.broken += o.broken
-	f.rejected += o.rejected
-	f.heldItems += o.heldItems
+	f.crashes += o.crashes
+	f.brokenStreams += o.brokenStreams
+	f.rejectedStreams += o.rejectedStreams
+	f.quarantinedItems += o.quarantinedItems
 	f.served += o.served
 }
