--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -12,22 +12,22 @@
 	"arbutusramp/core/serving"
 )
 
-// BenchmarkRequest is what a request that is served costs: it is checked as it comes and before it is sent, and noted as served. While no
-// target has crashed under anything, nothing is hashed.
+// BenchmarkRequest measures the cost of a request that is served: it is checked on arrival and before it is
+// sent, and then noted as served. While there are no records, nothing is hashed.
 func BenchmarkRequest(b *testing.B) {
 	for _, size := range []int{1500, 15000} {
 		for _, contents := range []int{0, 1000} {
-			b.Run(fmt.Sprintf("%d bytes, %d contents known", size, contents), func(b *testing.B) {
-				q := newQuarantine(&fleet{result: platform.ProbeGone})
+			b.Run(fmt.Sprintf("%d bytes, %d records", size, contents), func(b *testing.B) {
+				q := newTestQuarantine(&testFleet{result: platform.ProbeGone})
 				for i := range contents {
 					q.BrokenOff(quarantine.Broken{
-						Content: request(fmt.Sprint(i)), Target: serving.Target{ID: "t"}, Began: time.Now(), HasCrashed: true, Err: errors.New("EOF"),
+						Content: testContent(fmt.Sprint(i)), Target: serving.Target{ID: "t"}, Began: time.Now(), HasCrashed: true, Err: errors.New("EOF"),
 					})
 				}
-				r := request(string(make([]byte, size))).Request
+				req := testContent(string(make([]byte, size))).Request
 				b.ReportAllocs()
 				for b.Loop() {
-					c := quarantine.NewContent(r)
+					c := quarantine.NewContent(req)
 					if q.Check(c) != nil || q.AdmitRequest(c) != nil {
 						b.Fatal("quarantined")
 					}
--- a/internal/quarantine/interrupted.go
+++ b/internal/quarantine/interrupted.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// interruptWindow is how far apart the end of a run by this process and the first sign of its target's crash may lie: until the
-	// cancellation has reached the target, the run may still crash it.
-	interruptWindow = 50 * time.Millisecond
-	// maxInterrupted bounds the runs that are kept for that time.
-	maxInterrupted = 1024
+	// interruptionWindow is the maximum time between the end of a run by this process and the first sign that
+	// its target has crashed: until the cancellation has reached the target, the run may still crash it.
+	interruptionWindow = 50 * time.Millisecond
+	// maxInterruptions bounds the runs that are kept during interruptionWindow.
+	maxInterruptions = 1024
 )
 
 // interruption is a run that this process has ended.
@@ -22,55 +22,56 @@
 	target serving.Target
 }
 
-// interruptions are the runs that this process has ended within interruptWindow, oldest first.
+// interruptions are the runs that this process has ended within interruptionWindow, oldest first.
 type interruptions []interruption
 
-// prune forgets the runs that were ended too early to have to do with a crash that shows now.
+// prune removes the runs that were ended too early to be related to a crash that is detected now.
 func (l interruptions) prune(now time.Time) interruptions {
-	old := slices.IndexFunc(l, func(i interruption) bool { return now.Sub(i.broken) <= interruptWindow })
-	if old < 0 {
+	firstRecent := slices.IndexFunc(l, func(i interruption) bool { return now.Sub(i.brokenAt) <= interruptionWindow })
+	if firstRecent < 0 {
 		return l[:0]
 	}
-	return slices.Delete(l, 0, old)
+	return slices.Delete(l, 0, firstRecent)
 }
 
-// add notes a run. Of too many the oldest are forgotten.
+// add adds a run. If there are too many, it removes the oldest.
 func (l interruptions) add(i interruption) interruptions {
-	l = l.prune(i.broken)
-	if len(l) >= maxInterrupted {
+	l = l.prune(i.brokenAt)
+	if len(l) >= maxInterruptions {
 		l = slices.Delete(l, 0, 1)
 	}
 	return append(l, i)
 }
 
-// take removes and returns the runs at a target.
-func (l interruptions) take(now time.Time, target string) (rest, taken interruptions) {
+// splitByTarget separates the runs at a target from the rest.
+func (l interruptions) splitByTarget(now time.Time, target string) (rest, atTarget interruptions) {
 	for _, i := range l.prune(now) {
 		if i.target.ID == target {
-			taken = append(taken, i)
+			atTarget = append(atTarget, i)
 		} else {
 			rest = append(rest, i)
 		}
 	}
-	return rest, taken
+	return rest, atTarget
 }
 
-// Interrupted notes a run that this process has ended, such as a batch item whose slot an online request needs. If its target breaks off
-// others at about that time, the run is as suspect as they are: the first stream that breaks off makes the target suspect, and
-// the other runs there are ended before they break off.
+// Interrupted notes a run that this process has ended, such as a batch item whose slot an online request
+// needs. If its target breaks off other runs at about that time, the run is as suspect as they are: the first
+// stream that breaks off makes the target suspect, and the other runs there are ended by this process before
+// the target breaks them off.
 func (q *Quarantine) Interrupted(b quarantine.Broken) {
 	if !q.isOn || !b.Counts() {
 		return
 	}
 	now := time.Now()
-	i := interruption{suspect: suspectOf(b, now), target: b.Target}
+	i := interruption{suspect: newSuspect(b, now), target: b.Target}
 	q.mu.Lock()
-	isBroken := q.suspects.hasBroken(b.Target.ID, now.Add(-interruptWindow))
-	if !isBroken {
-		q.interrupted = q.interrupted.add(i)
+	hasBrokenOff := q.suspects.hasBrokenSince(b.Target.ID, now.Add(-interruptionWindow))
+	if !hasBrokenOff {
+		q.recentInterruptions = q.recentInterruptions.add(i)
 	}
 	q.mu.Unlock()
-	if isBroken {
-		q.follow(i)
+	if hasBrokenOff {
+		q.checkForCrash(i)
 	}
 }
--- a/internal/quarantine/logstore.go
+++ b/internal/quarantine/logstore.go
@@ -11,63 +11,63 @@
 	"arbutusramp/core/structs"
 )
 
-// logStore keeps the records in a stream of the log service, one entry each. Entries that the service drops in the end are older than
-// any record that counts.
+// logStore keeps the records in a stream of the log service, one entry per record. Entries that the service
+// eventually drops are older than any record that still counts.
 type logStore struct{ log platform.Log }
 
-// NewLogStore returns a store over a log.
+// NewLogStore returns a store that keeps its records in a log.
 func NewLogStore(log platform.Log) Store { return &logStore{log} }
 
-// logRecord is a record in the stream.
+// logRecord is a record in the stream. An empty Value removes the record of the key.
 type logRecord struct {
 	Key   string `cbor:"1,keyasint"`
 	Value []byte `cbor:"2,keyasint,omitempty"`
 }
 
 const (
-	// logPage is how many entries one read takes.
-	logPage = 256
-	// firstOffset is that of a stream's first entry.
+	// logPageEntries is the maximum number of entries that one read returns.
+	logPageEntries = 256
+	// firstOffset is the offset of the first entry of a stream.
 	firstOffset = 1
 )
 
-// Append implements Store. Conditions and producers are not supported: no writer of these records needs any.
+// Append implements Store. It ignores conditions and producers: no writer of these records needs them.
 func (s *logStore) Append(ctx context.Context, a platform.Append) (platform.Appended, error) {
-	var done platform.Appended
+	var appended platform.Appended
 	for i, rec := range a.Records {
 		body, err := cbor.Marshal(logRecord{Key: rec.Key, Value: rec.Value})
 		if err != nil {
-			return done, errs.Newf(errs.Internal, "record can't be encoded: %v", err)
+			return appended, errs.Newf(errs.Internal, "record can't be encoded: %v", err)
 		}
-		at, err := s.log.Append(ctx, structs.QuarantineStream, body)
+		offset, err := s.log.Append(ctx, structs.QuarantineStream, body)
 		if err != nil {
-			return done, err
+			return appended, err
 		}
 		if i == 0 {
-			done.First = uint64(at)
+			appended.First = uint64(offset)
 		}
-		done.End = uint64(at) + 1
+		appended.End = uint64(offset) + 1
 	}
-	return done, nil
+	return appended, nil
 }
 
 // Read implements Store.
 func (s *logStore) Read(ctx context.Context, r platform.Read) (platform.Records, error) {
-	page, err := s.log.Read(ctx, structs.QuarantineStream, structs.Offset(r.From), logPage, r.Wait)
+	page, err := s.log.Read(ctx, structs.QuarantineStream, structs.Offset(r.From), logPageEntries, r.Wait)
 	if errs.Is(err, errs.LogTrimmed) {
 		return platform.Records{}, &platform.Expired{First: uint64(page.First)}
 	}
 	if err != nil {
 		return platform.Records{}, err
 	}
-	return platform.Records{End: uint64(page.Next), Records: decodeLog(page.Entries)}, nil
+	return platform.Records{End: uint64(page.Next), Records: decodeEntries(page.Entries)}, nil
 }
 
-// Newest implements Store: it reads the whole stream.
+// Newest implements Store. It reads the whole stream.
 func (s *logStore) Newest(ctx context.Context, _ platform.Partition, _ string) (platform.NewestPage, error) {
 	newest := make(map[string]platform.StoredRecord)
 	for from := structs.Offset(firstOffset); ; {
-		page, err := s.log.Read(ctx, structs.QuarantineStream, from, logPage, 0)
+		page, err := s.log.Read(ctx, structs.QuarantineStream, from, logPageEntries, 0)
 		if errs.Is(err, errs.LogTrimmed) && page.First > from {
 			from = page.First
 			continue
@@ -75,17 +75,17 @@
 		if err != nil {
 			return platform.NewestPage{}, err
 		}
-		for _, rec := range decodeLog(page.Entries) {
+		for _, rec := range decodeEntries(page.Entries) {
 			newest[rec.Key] = rec
 		}
 		from += structs.Offset(len(page.Entries))
 		if len(page.Entries) == 0 || from >= page.Next {
-			return platform.NewestPage{Records: values(newest), End: uint64(from)}, nil
+			return platform.NewestPage{Records: recordsWithValue(newest), End: uint64(from)}, nil
 		}
 	}
 }
 
-func values(newest map[string]platform.StoredRecord) []platform.StoredRecord {
+func recordsWithValue(newest map[string]platform.StoredRecord) []platform.StoredRecord {
 	var list []platform.StoredRecord
 	for _, rec := range newest {
 		if len(rec.Value) > 0 {
@@ -95,8 +95,9 @@
 	return list
 }
 
-// decodeLog reads entries. One that can't be decoded is returned as it is, which its reader leaves out as no record.
-func decodeLog(entries []structs.LogEntry) []platform.StoredRecord {
+// decodeEntries decodes entries. An entry that can't be decoded is returned with its body as the value; the
+// reader skips it as an invalid record.
+func decodeEntries(entries []structs.LogEntry) []platform.StoredRecord {
 	var list []platform.StoredRecord
 	for _, e := range entries {
 		var rec logRecord
--- a/internal/quarantine/logstore_test.go
+++ b/internal/quarantine/logstore_test.go
@@ -17,8 +17,9 @@
 	"arbutusramp/internal/adapter/logmem"
 )
 
-// Entries have no store with keys: they agree through a stream of the log, some of whose entries may have expired or be unusable.
-func TestEntriesAgreeThroughTheLog(t *testing.T) {
+// Entries (processes of the entry role) have no keyed store: they share records through a stream of the log,
+// some of whose entries may have expired or be invalid.
+func TestEntriesShareRecordsThroughLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logmem.New(1)
 		ctx, stop := context.WithCancel(context.Background())
@@ -37,20 +38,20 @@
 		for i := range quarantine.DefaultThreshold {
 			q := []*Quarantine{first, second}[i%2]
 			q.BrokenOff(quarantine.Broken{
-				Content: request("body"), Target: serving.Target{ID: fmt.Sprint(i)}, Began: time.Now().Add(-runTime), HasCrashed: true, Err: fmt.Errorf("crashed"),
+				Content: testContent("body"), Target: serving.Target{ID: fmt.Sprint(i)}, Began: time.Now().Add(-runDuration), HasCrashed: true, Err: fmt.Errorf("crashed"),
 			})
 			time.Sleep(time.Second)
 		}
 		late := start()
 		for i, q := range []*Quarantine{first, second, late} {
 			if !isQuarantined(q, "body") {
-				t.Errorf("entry %d does not know", i)
+				t.Errorf("entry %d does not quarantine the content", i)
 			}
 		}
 		log.SetFaults(logmem.Faults{Retention: time.Millisecond})
 		time.Sleep(time.Minute)
 		if !start().Loaded() {
-			t.Error("a log whose entries have expired can't be read")
+			t.Error("not loaded from a log whose entries have expired")
 		}
 		stop()
 		wg.Wait()
--- a/internal/quarantine/many_test.go
+++ b/internal/quarantine/many_test.go
@@ -17,121 +17,125 @@
 )
 
 const (
-	manyGateways = 88
-	// reportGap is the time between two reports of a gateway to its peers.
-	reportGap = 50 * time.Millisecond
-	// repeatGap is the time between two repeats of the request under which targets crash.
-	repeatGap = 70 * time.Millisecond
-	// stableAfter and maxLate are the platform's rule: three retries at most later than this after the third crash.
-	stableAfter = 3 * time.Second
-	maxLate     = 3
+	gatewayCount = 88
+	// reportInterval is the time between two reports of a gateway to its peers.
+	reportInterval = 50 * time.Millisecond
+	// repeatInterval is the time between two repeats of the request that crashes targets.
+	repeatInterval = 70 * time.Millisecond
+	// settleTime and maxLateSends are the platform's rule: at most three sends later than settleTime after
+	// the third crash.
+	settleTime   = 3 * time.Second
+	maxLateSends = 3
 )
 
-// countedStore counts the writes of all gateways.
-type countedStore struct {
+// countingStore counts the writes of all gateways.
+type countingStore struct {
 	Store
 	appends *atomic.Int64
 }
 
-func (s countedStore) Append(ctx context.Context, a platform.Append) (platform.Appended, error) {
+func (s countingStore) Append(ctx context.Context, a platform.Append) (platform.Appended, error) {
 	s.appends.Add(1)
 	return s.Store.Append(ctx, a)
 }
 
-// Guards against a fleet of gateways in which each has to see three crashes by itself, and against a storm of writes of what all of them
-// have just heard. One in ten reports is lost; the request under which targets crash comes once or several times at once.
-func TestManyGatewaysAgreeWithFewWrites(t *testing.T) {
-	refused := func() *fleet { return &fleet{result: platform.ProbeGone} }
+// Guards against gateways that each have to observe three crashes themselves, and against a burst of writes
+// of records that all of them have just received. One in ten reports is lost; the request that crashes
+// targets arrives once or several times simultaneously.
+func TestManyGatewaysShareRecordsWithFewWrites(t *testing.T) {
+	newRefusingFleet := func() *testFleet { return &testFleet{result: platform.ProbeGone} }
 	for _, copies := range []int{1, 4} {
 		t.Run(fmt.Sprint(copies), func(t *testing.T) {
-			withGateways(t, func(g *gateways) { repeatAtMany(t, g, copies, refused) })
+			withGateways(t, func(g *gatewayGroup) { testRepeatedCrashes(t, g, copies, newRefusingFleet) })
 		})
 	}
 }
 
-// Guards against a fleet of gateways that take whatever accepts connections in the place of a target that has crashed for that target.
-func TestManyGatewaysAgreeOnTargetsBehindSupervisors(t *testing.T) {
+// Guards against missed crashes where something else accepts connections in the place of a crashed target:
+// gateways must not take it for the target.
+func TestManyGatewaysDetectCrashesBehindSupervisors(t *testing.T) {
 	const acceptsFor = 700 * time.Millisecond
-	supervised := func() *fleet { return &fleet{answer: backAfter(acceptsFor)} }
-	withGateways(t, func(g *gateways) { repeatAtMany(t, g, 1, supervised) })
+	newSupervisedFleet := func() *testFleet { return &testFleet{probeResult: goneAfter(acceptsFor)} }
+	withGateways(t, func(g *gatewayGroup) { testRepeatedCrashes(t, g, 1, newSupervisedFleet) })
 }
 
-func repeatAtMany(t *testing.T, g *gateways, copies int, newFleet func() *fleet) {
+func testRepeatedCrashes(t *testing.T, g *gatewayGroup, copies int, newFleet func() *testFleet) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var appends atomic.Int64
-	var all []*Quarantine
-	for range manyGateways {
-		q, view := newQuarantine(newFleet()), g.store.View()
-		all = append(all, q)
-		g.wg.Go(func() { _ = q.Run(g.ctx, countedStore{view, &appends}) })
+	var quarantines []*Quarantine
+	for range gatewayCount {
+		q, view := newTestQuarantine(newFleet()), g.store.View()
+		quarantines = append(quarantines, q)
+		g.wg.Go(func() { _ = q.Run(g.ctx, countingStore{view, &appends}) })
 	}
 	time.Sleep(time.Second)
-	bad := &badRequest{}
+	crashing := &crashingRequest{}
 	for at := time.Duration(0); at < time.Minute; at += 10 * time.Millisecond {
 		time.Sleep(10 * time.Millisecond)
 		for range copies {
-			if at%repeatGap == 0 {
-				bad.send(all[rng.IntN(len(all))])
+			if at%repeatInterval == 0 {
+				crashing.send(quarantines[rng.IntN(len(quarantines))])
 			}
 		}
-		if at%reportGap == 0 {
-			exchange(all, rng)
+		if at%reportInterval == 0 {
+			exchangeReports(quarantines, rng)
 		}
 	}
-	sent, late := bad.counts()
-	if sent < quarantine.DefaultThreshold || late > maxLate {
-		t.Errorf("%d targets have crashed, %d of them under requests sent %v after the third crash", sent, late, stableAfter)
+	sent, late := crashing.countSends()
+	if sent < quarantine.DefaultThreshold || late > maxLateSends {
+		t.Errorf("%d targets have crashed, %d of them during requests sent %v after the third crash", sent, late, settleTime)
 	}
-	if n := appends.Load(); n > manyGateways {
+	if n := appends.Load(); n > gatewayCount {
 		t.Errorf("%d writes", n)
 	}
 	t.Logf("%d crashes, %d of them late, %d writes", sent, late, appends.Load())
 }
 
-// badRequest crashes each target that it is sent to.
-type badRequest struct {
+// crashingRequest crashes each target that it is sent to.
+type crashingRequest struct {
 	mu      sync.Mutex
 	sends   []time.Time
 	crashes []time.Time
 }
 
 // send sends the request from a gateway, unless it is quarantined there.
-func (b *badRequest) send(q *Quarantine) {
+func (r *crashingRequest) send(q *Quarantine) {
 	c := quarantine.NewContent(&serving.Request{ID: "bad", Method: "POST", URI: "/a", Body: []byte("bad")})
 	if q.AdmitRequest(c) != nil {
 		return
 	}
 	began := time.Now()
-	b.mu.Lock()
-	b.sends = append(b.sends, began)
-	target := fmt.Sprint("t", len(b.sends))
-	b.mu.Unlock()
+	r.mu.Lock()
+	r.sends = append(r.sends, began)
+	target := fmt.Sprint("t", len(r.sends))
+	r.mu.Unlock()
 	go func() {
-		time.Sleep(runTime)
-		b.mu.Lock()
-		b.crashes = append(b.crashes, time.Now())
-		b.mu.Unlock()
+		time.Sleep(runDuration)
+		r.mu.Lock()
+		r.crashes = append(r.crashes, time.Now())
+		r.mu.Unlock()
 		q.BrokenOff(quarantine.Broken{Content: c, Target: serving.Target{ID: target}, Began: began, Err: errors.New("EOF")})
 	}()
 }
 
-// counts returns how often the request was sent, and how often later than stableAfter after the third crash.
-func (b *badRequest) counts() (sent, late int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, at := range b.sends {
-		if len(b.crashes) >= 3 && at.After(b.crashes[2].Add(stableAfter)) {
+// countSends returns how often the request was sent, and how often later than settleTime after the third
+// crash.
+func (r *crashingRequest) countSends() (sent, late int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, at := range r.sends {
+		if len(r.crashes) >= 3 && at.After(r.crashes[2].Add(settleTime)) {
 			late++
 		}
 	}
-	return len(b.sends), late
+	return len(r.sends), late
 }
 
-// exchange has each gateway report to all others.
-func exchange(all []*Quarantine, rng *rand.Rand) {
-	for i, from := range all {
+// exchangeReports sends the due records of each gateway to all others.
+func exchangeReports(quarantines []*Quarantine, rng *rand.Rand) {
+	for i, from := range quarantines {
 		records := from.ToTell()
-		for k, to := range all {
+		for k, to := range quarantines {
 			if len(records) > 0 && k != i && rng.IntN(10) > 0 {
 				to.Apply(records)
 			}
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,6 +1,6 @@
-// Package quarantine keeps requests under which targets have crashed from reaching more targets. It finds out whether a target that
-// has broken off requests has crashed, tells the other gateways, and keeps what is known in the platform's store, so that processes
-// that start know it.
+// Package quarantine stops requests during which targets have crashed from reaching more targets. It
+// determines whether a target that has broken off requests has crashed, sends the result to the other
+// gateways, and keeps the records in the platform's store, from which processes load them at their start.
 package quarantine
 
 import (
@@ -27,28 +27,29 @@
 const (
 	brokenMetric      = "quarantine.broken_off"  // runs that targets have broken off after they may have begun
 	silentMetric      = "quarantine.fell_silent" // runs that were ended because their targets sent nothing
-	crashesMetric     = "quarantine.crashes"     // crashes of targets counted against contents by this gateway
-	rejectedMetric    = "quarantine.rejected"    // sends that were not made
-	triedMetric       = "quarantine.tried"       // sends of quarantined contents that were made to find out whether they are to blame
-	clearedMetric     = "quarantine.cleared"     // contents that were served after targets had crashed under them
-	recordsMetric     = "quarantine.records"     // contents that are known
-	quarantinedMetric = "quarantine.quarantined" // of these those that are quarantined
-	scopesMetric      = "quarantine.scopes"      // jobs, routes and resources that are quarantined
-	suspectsMetric    = "quarantine.suspects"    // broken requests of which it is not known yet whether their target has crashed
-	overflowMetric    = "quarantine.overflow"    // broken requests that were not followed, since too many were
+	crashesMetric     = "quarantine.crashes"     // crashes of targets that this gateway has counted against contents
+	rejectedMetric    = "quarantine.rejected"    // requests that were not sent
+	triedMetric       = "quarantine.tried"       // requests with quarantined contents that were sent as trials
+	clearedMetric     = "quarantine.cleared"     // contents that were served after targets had crashed while running them
+	recordsMetric     = "quarantine.records"     // records of contents and scopes
+	quarantinedMetric = "quarantine.quarantined" // contents that are quarantined
+	scopesMetric      = "quarantine.scopes"      // scopes (resources, jobs and routes) that are quarantined
+	suspectsMetric    = "quarantine.suspects"    // broken-off runs whose target is not yet known to have crashed or not
+	overflowMetric    = "quarantine.overflow"    // broken-off runs that were not tracked because there were too many
 )
 
-// Fleet is what is known of targets.
+// Fleet provides the state of targets and requests reports to peers.
 type Fleet interface {
-	// IsInService says whether a target is on the list and not leaving.
+	// IsInService reports whether a target is on the list of targets and not leaving.
 	IsInService(id string) bool
-	// HeardSince says whether a target has sent something to this process after a time.
+	// HeardSince reports whether a target has sent data to this process after a time.
 	HeardSince(id string, t time.Time) bool
-	// ReportSoon has peers told of news without waiting for the next report.
+	// ReportSoon requests that a report is sent to peers without waiting for the next one that is due.
 	ReportSoon()
 }
 
-// NoFleet is for processes that are told of the crashes of targets, and that tell each other of them through the store alone.
+// NoFleet is a Fleet and a prober for processes that receive the crashes of targets from others and exchange
+// records through the store alone.
 type NoFleet struct{}
 
 // IsInService implements Fleet.
@@ -65,10 +66,10 @@
 	return platform.ProbeUnknown
 }
 
-// Options are what a Quarantine needs to know.
+// Options are the settings and dependencies of a Quarantine.
 type Options struct {
 	Threshold int           // crashes of targets after which a content is quarantined
-	Hold      time.Duration // from the last sighting of a quarantined content until it is forgotten
+	Hold      time.Duration // time after a quarantined content was last seen until its record is discarded
 	Off       policy.Off
 	Prober    platform.TargetProber
 	Fleet     Fleet
@@ -76,55 +77,56 @@
 	Metrics   metrics.Registry
 }
 
-// Quarantine is a quarantine.Registry with a lock, and what feeds it. It is safe for concurrent use.
+// Quarantine is a quarantine.Registry with a lock, and the detection and exchange of crashes that update it.
+// It is safe for concurrent use.
 type Quarantine struct {
-	isOn      bool
-	hasScopes bool // what contents share is held back, too
-	prober    platform.TargetProber
-	fleet     Fleet
-	log       hclog.Logger
-	lines     *logging.Routine
-	broken    metrics.Counter
-	silent    metrics.Counter
-	crashes   metrics.Counter
-	rejected  metrics.Counter
-	tried     metrics.Counter
-	cleared   metrics.Counter
-	overflow  metrics.Counter
-
-	// known is the number of contents in the registry: while there are none, no request needs a fingerprint.
-	known atomic.Int64
-	// passed are the contents whose runs have passed at this process.
-	passed *quarantine.PassedSet
-	loaded atomic.Bool // what the store holds has been read
-	// changed gets a token when the store may lack something.
-	changed chan struct{}
+	isOn       bool
+	hasScopes  bool // contents are also quarantined by scope
+	prober     platform.TargetProber
+	fleet      Fleet
+	log        hclog.Logger
+	routineLog *logging.Routine
+	brokenOff  metrics.Counter
+	fellSilent metrics.Counter
+	crashes    metrics.Counter
+	rejected   metrics.Counter
+	tried      metrics.Counter
+	cleared    metrics.Counter
+	overflow   metrics.Counter
+
+	// recordCount is the number of records in the registry. While it is 0, no request needs a fingerprint.
+	recordCount atomic.Int64
+	// passedContents are the contents whose runs have recently passed in this process.
+	passedContents *quarantine.PassedSet
+	isLoaded       atomic.Bool // the records in the store have been read
+	// writeSignal receives a value when the store may lack information.
+	writeSignal chan struct{}
 
 	mu       sync.Mutex
 	registry *quarantine.Registry
-	suspects suspects
-	// interrupted are runs that this process has ended lately.
-	interrupted interruptions
+	suspects suspectTable
+	// recentInterruptions are the runs that this process has recently ended.
+	recentInterruptions interruptions
 }
 
-// maxTryJitter spreads the moments from which gateways may try a quarantined content: what one of them does reaches the others within
-// some tens of milliseconds.
-const maxTryJitter = 500 * time.Millisecond
+// maxTrialJitter spreads the times from which gateways may send trials of a quarantined content. A trial by
+// one gateway becomes known to the others within some tens of milliseconds.
+const maxTrialJitter = 500 * time.Millisecond
 
-// New returns a quarantine that knows of nothing yet.
+// New returns a quarantine without records.
 func New(o Options) *Quarantine {
 	q := &Quarantine{
-		isOn: o.Off.Allows(policy.Quarantine), hasScopes: o.Off.Allows(policy.QuarantineScopes), prober: o.Prober, fleet: o.Fleet, log: o.Log, lines: logging.NewRoutine(o.Log),
-		broken:   metrics.GetOrRegisterCounter(brokenMetric, o.Metrics),
-		silent:   metrics.GetOrRegisterCounter(silentMetric, o.Metrics),
-		crashes:  metrics.GetOrRegisterCounter(crashesMetric, o.Metrics),
-		rejected: metrics.GetOrRegisterCounter(rejectedMetric, o.Metrics),
-		tried:    metrics.GetOrRegisterCounter(triedMetric, o.Metrics),
-		cleared:  metrics.GetOrRegisterCounter(clearedMetric, o.Metrics),
-		overflow: metrics.GetOrRegisterCounter(overflowMetric, o.Metrics),
-		changed:  make(chan struct{}, 1), passed: quarantine.NewPassedSet(),
-		registry: quarantine.NewRegistry(quarantine.Options{Threshold: o.Threshold, Hold: o.Hold, Jitter: func() time.Duration { return rand.N(maxTryJitter) }}),
-		suspects: newSuspects(),
+		isOn: o.Off.Allows(policy.Quarantine), hasScopes: o.Off.Allows(policy.QuarantineScopes), prober: o.Prober, fleet: o.Fleet, log: o.Log, routineLog: logging.NewRoutine(o.Log),
+		brokenOff:   metrics.GetOrRegisterCounter(brokenMetric, o.Metrics),
+		fellSilent:  metrics.GetOrRegisterCounter(silentMetric, o.Metrics),
+		crashes:     metrics.GetOrRegisterCounter(crashesMetric, o.Metrics),
+		rejected:    metrics.GetOrRegisterCounter(rejectedMetric, o.Metrics),
+		tried:       metrics.GetOrRegisterCounter(triedMetric, o.Metrics),
+		cleared:     metrics.GetOrRegisterCounter(clearedMetric, o.Metrics),
+		overflow:    metrics.GetOrRegisterCounter(overflowMetric, o.Metrics),
+		writeSignal: make(chan struct{}, 1), passedContents: quarantine.NewPassedSet(),
+		registry: quarantine.NewRegistry(quarantine.Options{Threshold: o.Threshold, Hold: o.Hold, Jitter: func() time.Duration { return rand.N(maxTrialJitter) }}),
+		suspects: newSuspectTable(),
 	}
 	for name, read := range map[string]func() int64{
 		recordsMetric:     func() int64 { return int64(q.registry.Len()) },
@@ -141,7 +143,7 @@
 	return q
 }
 
-// Run follows the store until ctx ends.
+// Run exchanges records with the store until ctx ends. It returns at once if the quarantine is disabled.
 func (q *Quarantine) Run(ctx context.Context, store Store) error {
 	if !q.isOn {
 		return nil
@@ -154,11 +156,11 @@
 	return g.Wait()
 }
 
-// Loaded says whether what the store holds has been read.
-func (q *Quarantine) Loaded() bool { return !q.isOn || q.loaded.Load() }
+// Loaded reports whether the records in the store have been read. It is true if the quarantine is disabled.
+func (q *Quarantine) Loaded() bool { return !q.isOn || q.isLoaded.Load() }
 
-// IsEmpty says that no target has crashed under anything lately, so that no request need be checked.
-func (q *Quarantine) IsEmpty() bool { return q.known.Load() == 0 }
+// IsEmpty reports whether there are no records, so that no request needs to be checked.
+func (q *Quarantine) IsEmpty() bool { return q.recordCount.Load() == 0 }
 
 // Check returns an error of type errs.Quarantined if a request must not be sent to a target.
 func (q *Quarantine) Check(c *quarantine.Content) error {
@@ -169,77 +171,79 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.registry.Check(now, s.Content) {
-		return q.reject(c, contentBlocks)
+		return q.reject(c, reasonContent)
 	}
 	if q.registry.CheckScopes(now, s) {
-		return q.reject(c, scopeBlocks)
+		return q.reject(c, reasonScope)
 	}
 	return nil
 }
 
-// AdmitRequest is called right before a request is sent to a target. It returns an error of type errs.Quarantined if it must not be. One
-// that is quarantined may be sent now and then to find out whether it is to blame.
+// AdmitRequest must be called immediately before a request is sent to a target. It returns an error of type
+// errs.Quarantined if the request must not be sent. A quarantined request may occasionally be sent as a trial
+// to find out whether it causes the crashes.
 func (q *Quarantine) AdmitRequest(c *quarantine.Content) error {
 	if q.IsEmpty() {
 		return nil
 	}
-	isTry, err := q.admit(c)
-	if isTry {
-		q.announce()
+	isTrial, err := q.admit(c)
+	if isTrial {
+		q.propagate()
 	}
 	return err
 }
 
-func (q *Quarantine) admit(c *quarantine.Content) (isTry bool, err error) {
+func (q *Quarantine) admit(c *quarantine.Content) (isTrial bool, err error) {
 	s, now := q.subject(c), time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.registry.CheckScopes(now, s) {
-		return false, q.reject(c, scopeBlocks)
+		return false, q.reject(c, reasonScope)
 	}
-	isQuarantined, isContentTry := q.registry.Admit(now, s.Content)
+	isQuarantined, isContentTrial := q.registry.Admit(now, s.Content)
 	if isQuarantined {
-		return false, q.reject(c, contentBlocks)
+		return false, q.reject(c, reasonContent)
 	}
-	_, isScopeTry := q.registry.AdmitScopes(now, s)
-	if isContentTry || isScopeTry {
+	_, isScopeTrial := q.registry.AdmitScopes(now, s)
+	if isContentTrial || isScopeTrial {
 		q.tried.Inc(1)
 		q.log.Info("tried", "request", c.Request.ID, "content", s.Content.String(), "crashes", q.registry.Crashes(s.Content),
 			"scope_crashes", q.registry.ScopeCrashes(s))
 	}
-	return isContentTry || isScopeTry, nil
+	return isContentTrial || isScopeTrial, nil
 }
 
-// What keeps a request from targets, as log lines say it.
+// Reasons for which a request is not sent, as they appear in log lines.
 const (
-	contentBlocks = "content"
-	scopeBlocks   = "scope"
+	reasonContent = "content"
+	reasonScope   = "scope"
 )
 
-// reject counts and logs a request that is not sent. The caller holds the lock.
-func (q *Quarantine) reject(c *quarantine.Content, why string) error {
+// reject counts and logs a request that is not sent. The caller holds q.mu.
+func (q *Quarantine) reject(c *quarantine.Content, reason string) error {
 	s := q.subject(c)
 	crashes, scopeCrashes := q.registry.Crashes(s.Content), q.registry.ScopeCrashes(s)
 	q.rejected.Inc(1)
-	q.lines.Info(time.Now(), "quarantined", "request", c.Request.ID, "content", s.Content.String(), "why", why, "crashes", crashes,
+	q.routineLog.Info(time.Now(), "quarantined", "request", c.Request.ID, "content", s.Content.String(), "why", reason, "crashes", crashes,
 		"scope_crashes", scopeCrashes)
-	if why == scopeBlocks {
-		return errs.Newf(errs.Quarantined, "%d targets have crashed under requests like this one", scopeCrashes)
+	if reason == reasonScope {
+		return errs.Newf(errs.Quarantined, "%d targets have crashed while running similar requests", scopeCrashes)
 	}
-	return errs.Newf(errs.Quarantined, "%d targets have crashed under this request", crashes)
+	return errs.Newf(errs.Quarantined, "%d targets have crashed while running this request", crashes)
 }
 
-// subject is what a request is known by here.
+// subject returns the fingerprints of a request, without scopes if these are disabled.
 func (q *Quarantine) subject(c *quarantine.Content) quarantine.Subject {
 	s := c.Subject()
 	if !q.hasScopes {
 		return quarantine.Subject{Content: s.Content}
 	}
-	s.HasPassed = q.passed.Has(c.Digest())
+	s.HasPassed = q.passedContents.Has(c.Digest())
 	return s
 }
 
-// IsSuspect says that a request may crash targets like others of its resource or job, so that it should be sent alone.
+// IsSuspect reports whether a request may crash targets like others of its resource or job, so that it should
+// be sent alone.
 func (q *Quarantine) IsSuspect(c *quarantine.Content) bool {
 	if q.IsEmpty() {
 		return false
@@ -255,22 +259,22 @@
 	if !q.isOn || !q.hasScopes {
 		return
 	}
-	defer q.passed.Add(c.Digest())
+	defer q.passedContents.Add(c.Digest())
 	if q.IsEmpty() {
 		return
 	}
 	s := q.subject(c)
 	q.mu.Lock()
 	crashes := q.registry.ScopeCrashes(s)
-	isNews := q.registry.NotePassed(time.Now(), s)
+	isNew := q.registry.NotePassed(time.Now(), s)
 	q.mu.Unlock()
-	if isNews {
+	if isNew {
 		q.log.Info("scopes cleared", "request", c.Request.ID, "content", s.Content.String(), "crashes", crashes)
-		q.announce()
+		q.propagate()
 	}
 }
 
-// Served notes that a target has served a request whole.
+// Served notes that a target has served a request completely.
 func (q *Quarantine) Served(c *quarantine.Content) {
 	q.Passed(c)
 	if q.IsEmpty() {
@@ -284,61 +288,61 @@
 	if hasCleared {
 		q.cleared.Inc(1)
 		q.log.Info("cleared", "request", c.Request.ID, "content", f.String(), "crashes", crashes)
-		q.announce()
+		q.propagate()
 	}
 }
 
 // noteCrash counts the crash of a target against a request.
 func (q *Quarantine) noteCrash(s suspect, target, evidence string) {
 	subject := q.subject(s.content)
-	f, crash := subject.Content, quarantine.NewCrash(target, s.start, s.began, s.broken)
+	f, crash := subject.Content, quarantine.NewCrash(target, s.start, s.beganAt, s.brokenAt)
 	q.mu.Lock()
 	now := time.Now()
 	isNew := q.registry.NoteCrash(now, f, crash)
-	if isNew && s.isEarly {
+	if isNew && s.isUnpassed {
 		q.registry.NoteScopeCrash(now, subject, crash)
 	}
 	crashes, isQuarantined := q.registry.Crashes(f), q.registry.Check(now, f)
 	scopeCrashes, isScopeQuarantined := q.registry.ScopeCrashes(subject), q.registry.CheckScopes(now, subject)
-	q.known.Store(int64(q.registry.Len()))
+	q.recordCount.Store(int64(q.registry.Len()))
 	q.mu.Unlock()
 	if !isNew {
 		return
 	}
 	q.crashes.Inc(1)
 	q.log.Warn("target crashed under request", "request", s.content.Request.ID, "content", f.String(), "target", target, "evidence", evidence,
-		"after_ms", now.Sub(s.broken).Milliseconds(), "crashes", crashes, "quarantined", isQuarantined,
+		"after_ms", now.Sub(s.brokenAt).Milliseconds(), "crashes", crashes, "quarantined", isQuarantined,
 		"scope_crashes", scopeCrashes, "scope_quarantined", isScopeQuarantined)
-	q.announce()
+	q.propagate()
 }
 
-// announce has peers and the store told.
-func (q *Quarantine) announce() {
+// propagate causes changed records to be sent to peers and written to the store.
+func (q *Quarantine) propagate() {
 	q.fleet.ReportSoon()
-	q.wakeWriter()
+	q.signalWriter()
 }
 
-func (q *Quarantine) wakeWriter() {
+func (q *Quarantine) signalWriter() {
 	select {
-	case q.changed <- struct{}{}:
+	case q.writeSignal <- struct{}{}:
 	default:
 	}
 }
 
-// maxTold is how many records one report to peers carries: some hundred bytes.
-const maxTold = 8
+// maxRecordsPerReport bounds the records in one report to peers, which amounts to some hundred bytes.
+const maxRecordsPerReport = 8
 
-// ToTell returns the records that peers should be told now.
+// ToTell returns the records that are due to be sent to peers.
 func (q *Quarantine) ToTell() []quarantine.Record {
 	if q.IsEmpty() {
 		return nil
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.registry.ToTell(time.Now(), maxTold)
+	return q.registry.ToTell(time.Now(), maxRecordsPerReport)
 }
 
-// PeerStarted notes that a peer is heard for the first time.
+// PeerStarted notes that a message from a peer was received for the first time.
 func (q *Quarantine) PeerStarted() {
 	if q.IsEmpty() {
 		return
@@ -349,31 +353,32 @@
 	q.fleet.ReportSoon()
 }
 
-// peerWritesWithin is how long a peer that tells of a crash may take to write it to the store.
-const peerWritesWithin = 5 * time.Second
+// peerWriteTimeout is how long a peer that has sent a record may take to write it to the store before this
+// gateway writes it.
+const peerWriteTimeout = 5 * time.Second
 
-// Apply takes in what a peer tells.
+// Apply merges records that were received from a peer.
 func (q *Quarantine) Apply(records []quarantine.Record) {
 	if !q.isOn || len(records) == 0 {
 		return
 	}
-	q.take(records, "peer", func(now time.Time, r quarantine.Record) bool {
-		return q.registry.ApplyPeer(now, r, now.Add(peerWritesWithin))
+	q.applyRecords(records, "peer", func(now time.Time, r quarantine.Record) bool {
+		return q.registry.ApplyPeer(now, r, now.Add(peerWriteTimeout))
 	})
-	q.wakeWriter()
+	q.signalWriter()
 }
 
-// take has apply take records in, under the lock, and logs those that say something new.
-func (q *Quarantine) take(records []quarantine.Record, source string, apply func(now time.Time, r quarantine.Record) bool) {
+// applyRecords applies each record under the lock and logs those that add information.
+func (q *Quarantine) applyRecords(records []quarantine.Record, source string, apply func(now time.Time, r quarantine.Record) bool) {
 	for _, r := range records {
 		q.mu.Lock()
 		now := time.Now()
 		isNew := apply(now, r)
 		crashes := q.registry.Crashes(r.Content)
-		q.known.Store(int64(q.registry.Len()))
+		q.recordCount.Store(int64(q.registry.Len()))
 		q.mu.Unlock()
 		if isNew {
-			q.lines.Info(now, "record learned", "content", r.Content.String(), "from", source, "crashes", crashes, "seen_ms_ago", now.Sub(r.Seen).Milliseconds())
+			q.routineLog.Info(now, "record learned", "content", r.Content.String(), "from", source, "crashes", crashes, "seen_ms_ago", now.Sub(r.Seen).Milliseconds())
 		}
 	}
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -20,59 +20,59 @@
 	"arbutusramp/standin/keyedlog"
 )
 
-// fleet is targets of which some have crashed.
-type fleet struct {
-	mu      sync.Mutex
-	probes  int
-	result  platform.ProbeResult
-	leaving bool
-	heard   time.Time
-	reports int
-	// answer, if not nil, is what a probe of a target shows in place of result.
-	answer func(target string) platform.ProbeResult
+// testFleet is a Fleet and a prober with settable results.
+type testFleet struct {
+	mu        sync.Mutex
+	probes    int
+	result    platform.ProbeResult
+	isLeaving bool
+	heardAt   time.Time
+	reports   int
+	// probeResult, if not nil, returns the result of a probe in place of result.
+	probeResult func(target string) platform.ProbeResult
 }
 
-func (f *fleet) set(change func()) {
+func (f *testFleet) set(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
 // Probe implements platform.TargetProber.
-func (f *fleet) Probe(_ context.Context, t serving.Target) platform.ProbeResult {
+func (f *testFleet) Probe(_ context.Context, t serving.Target) platform.ProbeResult {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.probes++
-	if f.answer != nil {
-		return f.answer(t.ID)
+	if f.probeResult != nil {
+		return f.probeResult(t.ID)
 	}
 	return f.result
 }
 
 // IsInService implements Fleet.
-func (f *fleet) IsInService(string) bool {
+func (f *testFleet) IsInService(string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.leaving
+	return !f.isLeaving
 }
 
 // HeardSince implements Fleet.
-func (f *fleet) HeardSince(_ string, t time.Time) bool {
+func (f *testFleet) HeardSince(_ string, t time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.heard.After(t)
+	return f.heardAt.After(t)
 }
 
 // ReportSoon implements Fleet.
-func (f *fleet) ReportSoon() {
+func (f *testFleet) ReportSoon() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.reports++
 }
 
-// backAfter answers for targets in whose place something accepts connections until another start answers that long after the first
-// probe.
-func backAfter(d time.Duration) func(target string) platform.ProbeResult {
+// goneAfter returns probe results for targets in whose place something accepts connections until, d after the
+// first probe, the restarted process responds.
+func goneAfter(d time.Duration) func(target string) platform.ProbeResult {
 	probed := make(map[string]time.Time)
 	return func(target string) platform.ProbeResult {
 		if _, ok := probed[target]; !ok {
@@ -85,64 +85,64 @@
 	}
 }
 
-func newQuarantine(f *fleet, off ...string) *Quarantine {
-	o, _ := policy.Parse(off) // names of the tests' own
+func newTestQuarantine(f *testFleet, off ...string) *Quarantine {
+	o, _ := policy.Parse(off) // the tests pass valid names only
 	return New(Options{Threshold: quarantine.DefaultThreshold, Hold: quarantine.DefaultHold, Off: o, Prober: f, Fleet: f,
 		Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
 }
 
-func request(body string) *quarantine.Content {
+func testContent(body string) *quarantine.Content {
 	return quarantine.NewContent(&serving.Request{ID: "id", Method: "POST", Host: "h", URI: "/a", Body: []byte(body)})
 }
 
-// runTime is how long a run takes until its target crashes.
-const runTime = 100 * time.Millisecond
+// runDuration is how long a run takes until its target crashes.
+const runDuration = 100 * time.Millisecond
 
-// breakOff has a target break off a request and waits until it is known what that means.
-func breakOff(q *Quarantine, body, target string) {
+// breakOffAndWait makes a target break off a request and waits until the probes are over.
+func breakOffAndWait(q *Quarantine, body, target string) {
 	began := time.Now()
-	time.Sleep(runTime)
-	q.BrokenOff(quarantine.Broken{Content: request(body), Target: serving.Target{ID: target}, Began: began, Err: errors.New("EOF")})
+	time.Sleep(runDuration)
+	q.BrokenOff(quarantine.Broken{Content: testContent(body), Target: serving.Target{ID: target}, Began: began, Err: errors.New("EOF")})
 	time.Sleep(time.Second)
 	synctest.Wait()
 }
 
 func isQuarantined(q *Quarantine, body string) bool {
-	return errs.Is(q.Check(request(body)), errs.Quarantined)
+	return errs.Is(q.Check(testContent(body)), errs.Quarantined)
 }
 
-// Three breaks for each thing that may be behind them: only crashes of targets that were expected to stay count.
-func TestWhatCountsAsTheCrashOfATarget(t *testing.T) {
+// Each case breaks off three runs for the same reason: only crashes of targets that were in service count.
+func TestCrashDetection(t *testing.T) {
 	cases := []struct {
 		name   string
-		fleet  *fleet
-		after  func(q *Quarantine, target string) // a second after each break
+		fleet  *testFleet
+		after  func(q *Quarantine, target string) // called a second after each broken-off run
 		want   bool
 		probes int
 	}{
-		{name: "connections are refused", fleet: &fleet{result: platform.ProbeGone}, want: true, probes: 3},
-		{name: "only the connection was lost", fleet: &fleet{result: platform.ProbeAlive}, probes: 3},
-		{name: "the target answers others", fleet: &fleet{heard: time.Now().Add(100 * 365 * 24 * time.Hour)}, probes: 3},
-		{name: "cut off, and gone from the list", fleet: &fleet{}, want: true, probes: 12,
+		{name: "connections are refused", fleet: &testFleet{result: platform.ProbeGone}, want: true, probes: 3},
+		{name: "only the connection is lost", fleet: &testFleet{result: platform.ProbeAlive}, probes: 3},
+		{name: "the target answers other requests", fleet: &testFleet{heardAt: time.Now().Add(100 * 365 * 24 * time.Hour)}, probes: 3},
+		{name: "unreachable, and gone from the list", fleet: &testFleet{}, want: true, probes: 12,
 			after: func(q *Quarantine, target string) { q.TargetsGone([]string{target}) }},
-		{name: "cut off, and still on the list", fleet: &fleet{}, probes: 18},
-		{name: "gone from the list long after", fleet: &fleet{}, probes: 18,
+		{name: "unreachable, and still on the list", fleet: &testFleet{}, probes: 18},
+		{name: "gone from the list long after", fleet: &testFleet{}, probes: 18,
 			after: func(q *Quarantine, target string) {
 				time.Sleep(suspicionTTL)
 				q.TargetsGone([]string{target})
 			}},
-		{name: "alive, and gone from the list soon after", fleet: &fleet{result: platform.ProbeAlive}, probes: 3,
+		{name: "alive, and gone from the list soon after", fleet: &testFleet{result: platform.ProbeAlive}, probes: 3,
 			after: func(q *Quarantine, target string) { q.TargetsGone([]string{target}) }},
-		{name: "something accepts connections until the next start answers", fleet: &fleet{answer: backAfter(700 * time.Millisecond)}, want: true, probes: 12},
-		{name: "leaving", fleet: &fleet{result: platform.ProbeGone, leaving: true}},
+		{name: "something accepts connections until the restarted process responds", fleet: &testFleet{probeResult: goneAfter(700 * time.Millisecond)}, want: true, probes: 12},
+		{name: "leaving", fleet: &testFleet{result: platform.ProbeGone, isLeaving: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				q := newQuarantine(c.fleet)
+				q := newTestQuarantine(c.fleet)
 				for i := range quarantine.DefaultThreshold {
 					target := fmt.Sprintf("t%d", i)
-					breakOff(q, "body", target)
+					breakOffAndWait(q, "body", target)
 					if c.after != nil {
 						c.after(q, target)
 					}
@@ -162,87 +162,89 @@
 	}
 }
 
-// What many callers send is under way at targets that are lost together. It is tried once, by one request, and served on.
-func TestAContentWhoseCrashesCameTogetherIsTriedOnce(t *testing.T) {
+// Targets that are lost together all run a content that many callers send. One request with it is sent as a
+// trial, and a successful response clears the content.
+func TestSimultaneousCrashesAdmitOneTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuarantine(&fleet{result: platform.ProbeGone})
+		q := newTestQuarantine(&testFleet{result: platform.ProbeGone})
 		began := time.Now()
-		time.Sleep(runTime)
+		time.Sleep(runDuration)
 		for i := range quarantine.DefaultThreshold {
-			q.BrokenOff(quarantine.Broken{Content: request("body"), Target: serving.Target{ID: fmt.Sprint(i)}, Began: began, Err: errors.New("EOF")})
+			q.BrokenOff(quarantine.Broken{Content: testContent("body"), Target: serving.Target{ID: fmt.Sprint(i)}, Began: began, Err: errors.New("EOF")})
 		}
 		time.Sleep(100 * time.Millisecond)
 		if !isQuarantined(q, "body") {
 			t.Error("not quarantined")
 		}
 		time.Sleep(time.Second)
-		if isQuarantined(q, "body") || q.AdmitRequest(request("body")) != nil || q.AdmitRequest(request("body")) == nil {
-			t.Error("not tried just once")
+		if isQuarantined(q, "body") || q.AdmitRequest(testContent("body")) != nil || q.AdmitRequest(testContent("body")) == nil {
+			t.Error("not exactly one trial was admitted")
 		}
-		q.Served(request("body"))
-		if isQuarantined(q, "body") || q.AdmitRequest(request("body")) != nil {
+		q.Served(testContent("body"))
+		if isQuarantined(q, "body") || q.AdmitRequest(testContent("body")) != nil {
 			t.Error("not cleared")
 		}
 	})
 }
 
-// Guards against missing the crash of a target that has broken off an answer a moment before.
-func TestATargetThatBreaksOffAnAnswerAndThenEndsIsProbedAgain(t *testing.T) {
+// Guards against missing the crash of a target that broke off another response shortly before and was found
+// alive then.
+func TestTargetIsProbedAgainAfterAnotherBrokenRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{}
-		q := newQuarantine(f)
+		f := &testFleet{}
+		q := newTestQuarantine(f)
 		for i := range quarantine.DefaultThreshold {
 			target := fmt.Sprintf("t%d", i)
 			f.set(func() { f.result = platform.ProbeAlive })
-			breakOff(q, "harmless", target)
+			breakOffAndWait(q, "harmless", target)
 			f.set(func() { f.result = platform.ProbeGone })
-			breakOff(q, "body", target)
+			breakOffAndWait(q, "body", target)
 		}
 		if !isQuarantined(q, "body") || isQuarantined(q, "harmless") {
-			t.Errorf("the one that crashes targets is quarantined: %v, the other one: %v", isQuarantined(q, "body"), isQuarantined(q, "harmless"))
+			t.Errorf("content that crashes targets is quarantined: %v, harmless content: %v", isQuarantined(q, "body"), isQuarantined(q, "harmless"))
 		}
 	})
 }
 
-// Guards against missing a crash that comes while a probe after an earlier break finds the target still there, and against taking a
-// break at a target's next start for its last crash.
-func TestCrashesAroundAProbe(t *testing.T) {
+// Guards against missing a crash during the probe for an earlier broken-off run that finds the target alive,
+// and against counting a run that the restarted target breaks off as its earlier crash.
+func TestCrashDuringProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{result: platform.ProbeAlive}
-		q := newQuarantine(f)
-		breaks := func(body string, began time.Time) {
-			q.BrokenOff(quarantine.Broken{Content: request(body), Target: serving.Target{ID: "t"}, Began: began, Err: errors.New("EOF")})
+		f := &testFleet{result: platform.ProbeAlive}
+		q := newTestQuarantine(f)
+		breakOff := func(body string, began time.Time) {
+			q.BrokenOff(quarantine.Broken{Content: testContent(body), Target: serving.Target{ID: "t"}, Began: began, Err: errors.New("EOF")})
 		}
-		breaks("first", time.Now())
+		breakOff("first", time.Now())
 		last := probeDelays[0] + probeDelays[1]
-		time.Sleep(last) // the last probe of the first break is under way or over
+		time.Sleep(last) // the last probe for the first run is in progress or over
 		synctest.Wait()
 		f.set(func() { f.result = platform.ProbeGone })
-		breaks("second", time.Now().Add(-runTime))
+		breakOff("second", time.Now().Add(-runDuration))
 		time.Sleep(time.Second)
 		synctest.Wait()
-		crashes := func(body string) int { return q.registry.Crashes(request(body).Fingerprint()) }
+		crashes := func(body string) int { return q.registry.Crashes(testContent(body).Fingerprint()) }
 		if crashes("first") != 0 || crashes("second") != 1 {
-			t.Errorf("%d crashes under the first, %d under the second", crashes("first"), crashes("second"))
+			t.Errorf("%d crashes of the first content, %d of the second", crashes("first"), crashes("second"))
 		}
 		f.set(func() { f.result = platform.ProbeAlive })
-		breaks("third", time.Now())
+		breakOff("third", time.Now())
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if crashes("third") != 0 {
-			t.Error("a break at the next start counts as a crash")
+			t.Error("a run broken off by the restarted target counts as a crash")
 		}
 	})
 }
 
-// Guards against blaming long work that goes on from where it was each time it is interrupted by the crashes of others.
-func TestACrashUnderWorkThatAdvancesDoesNotCount(t *testing.T) {
+// Guards against counting the crashes of others against long work that resumes where it was interrupted.
+func TestCrashDuringAdvancingRunDoesNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuarantine(&fleet{result: platform.ProbeGone})
+		q := newTestQuarantine(&testFleet{result: platform.ProbeGone})
 		run := func(i int, from, to string) {
 			began := time.Now()
-			time.Sleep(runTime)
-			q.BrokenOff(quarantine.Broken{Content: request("long"), Target: serving.Target{ID: fmt.Sprint("t", i)}, Began: began, From: from, To: to, Err: errors.New("EOF")})
+			time.Sleep(runDuration)
+			q.BrokenOff(quarantine.Broken{Content: testContent("long"), Target: serving.Target{ID: fmt.Sprint("t", i)}, Began: began, From: from, To: to, Err: errors.New("EOF")})
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}
@@ -251,7 +253,7 @@
 			run(i+1, fmt.Sprint(10*(i+1)), fmt.Sprint(10*(i+2)))
 		}
 		if isQuarantined(q, "long") {
-			t.Error("quarantined although each run took it further")
+			t.Error("quarantined although each run advanced it")
 		}
 		run(20, "110", "110")
 		run(21, "110", "110")
@@ -261,18 +263,18 @@
 	})
 }
 
-// Guards against memory that grows with the requests that a network breaks off.
+// Guards against memory that grows with the number of requests that a network failure breaks off.
 func TestSuspectsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuarantine(&fleet{})
+		q := newTestQuarantine(&testFleet{})
 		for i := range 2 * maxSuspects {
-			q.BrokenOff(quarantine.Broken{Content: request(fmt.Sprint(i)), Target: serving.Target{ID: fmt.Sprint(i % 7)}, Err: errors.New("EOF")})
+			q.BrokenOff(quarantine.Broken{Content: testContent(fmt.Sprint(i)), Target: serving.Target{ID: fmt.Sprint(i % 7)}, Err: errors.New("EOF")})
 		}
 		if q.suspects.len() > maxSuspects {
 			t.Errorf("%d suspects", q.suspects.len())
 		}
 		time.Sleep(suspicionTTL + time.Second)
-		breakOff(q, "last", "t")
+		breakOffAndWait(q, "last", "t")
 		if n := q.suspects.len(); n != 1 {
 			t.Errorf("%d suspects after all but one are too old", n)
 		}
@@ -280,24 +282,24 @@
 	})
 }
 
-// gateways are some processes on one store.
-type gateways struct {
+// gatewayGroup is a group of gateways that share a store.
+type gatewayGroup struct {
 	store *keyedlog.Store
 	stop  context.CancelFunc
 	ctx   context.Context
 	wg    sync.WaitGroup
 }
 
-func (g *gateways) start() (*Quarantine, *keyedlog.View, *fleet) {
-	f := &fleet{result: platform.ProbeGone}
-	q, view := newQuarantine(f), g.store.View()
+func (g *gatewayGroup) start() (*Quarantine, *keyedlog.View, *testFleet) {
+	f := &testFleet{result: platform.ProbeGone}
+	q, view := newTestQuarantine(f), g.store.View()
 	g.wg.Go(func() { _ = q.Run(g.ctx, view) })
 	return q, view, f
 }
 
-func withGateways(t *testing.T, f func(g *gateways)) {
+func withGateways(t *testing.T, f func(g *gatewayGroup)) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &gateways{store: keyedlog.New(1)}
+		g := &gatewayGroup{store: keyedlog.New(1)}
 		g.ctx, g.stop = context.WithCancel(context.Background())
 		f(g)
 		g.stop()
@@ -305,17 +307,18 @@
 	})
 }
 
-// Each of three gateways sees one crash; they hear of each other through the store alone, and so does one that starts later.
-func TestGatewaysAgreeThroughTheStore(t *testing.T) {
-	withGateways(t, func(g *gateways) {
-		var all []*Quarantine
+// Each of three gateways observes one crash. They exchange records through the store alone, as does a gateway
+// that starts later.
+func TestGatewaysShareRecordsThroughStore(t *testing.T) {
+	withGateways(t, func(g *gatewayGroup) {
+		var quarantines []*Quarantine
 		for range 3 {
 			q, _, _ := g.start()
-			all = append(all, q)
+			quarantines = append(quarantines, q)
 		}
 		time.Sleep(time.Second)
-		for i, q := range all {
-			breakOff(q, "body", fmt.Sprint(i))
+		for i, q := range quarantines {
+			breakOffAndWait(q, "body", fmt.Sprint(i))
 		}
 		time.Sleep(3 * time.Second)
 		late, _, _ := g.start()
@@ -323,55 +326,56 @@
 		if !late.Loaded() {
 			t.Error("not loaded")
 		}
-		for i, q := range append(all, late) {
+		for i, q := range append(quarantines, late) {
 			if !isQuarantined(q, "body") {
-				t.Errorf("gateway %d does not know", i)
+				t.Errorf("gateway %d does not quarantine the content", i)
 			}
 		}
-		all[1].Served(request("body"))
+		quarantines[1].Served(testContent("body"))
 		time.Sleep(time.Second)
-		for i, q := range append(all, late) {
+		for i, q := range append(quarantines, late) {
 			if isQuarantined(q, "body") {
-				t.Errorf("gateway %d does not know that it was served", i)
+				t.Errorf("gateway %d still quarantines the content after it was served", i)
 			}
 		}
 	})
 }
 
-// Guards against losing what was found out while the store was away, and against a peer that is lost before it has written it.
-func TestWhatIsFoundOutWithoutTheStoreIsWrittenLater(t *testing.T) {
-	withGateways(t, func(g *gateways) {
+// Guards against losing crashes that were observed while the store was unavailable, and against a peer that
+// is lost before it has written a record that it sent.
+func TestRecordsAreWrittenAfterStoreOutage(t *testing.T) {
+	withGateways(t, func(g *gatewayGroup) {
 		first, view, _ := g.start()
 		second, other, _ := g.start()
 		time.Sleep(time.Second)
-		view.Set(keyedlog.Faults{Refuse: true}) // and never back
+		view.Set(keyedlog.Faults{Refuse: true}) // it is never available again
 		other.Set(keyedlog.Faults{Refuse: true})
 		for i := range quarantine.DefaultThreshold {
-			breakOff(first, "body", fmt.Sprint(i))
+			breakOffAndWait(first, "body", fmt.Sprint(i))
 			second.Apply(first.ToTell())
 		}
 		if !isQuarantined(first, "body") || !isQuarantined(second, "body") {
 			t.Fatal("not quarantined without the store")
 		}
 		other.Set(keyedlog.Faults{})
-		time.Sleep(2 * peerWritesWithin)
+		time.Sleep(2 * peerWriteTimeout)
 		late, _, _ := g.start()
 		time.Sleep(time.Second)
 		if !isQuarantined(late, "body") {
-			t.Error("a gateway that starts later does not know")
+			t.Error("a gateway that starts later does not quarantine the content")
 		}
 	})
 }
 
-// Records of contents that do not come again leave the store.
-func TestForgottenRecordsLeaveTheStore(t *testing.T) {
-	withGateways(t, func(g *gateways) {
+// Expired records are removed from the store.
+func TestExpiredRecordsAreRemovedFromStore(t *testing.T) {
+	withGateways(t, func(g *gatewayGroup) {
 		q, view, _ := g.start()
 		time.Sleep(time.Second)
 		for i := range quarantine.DefaultThreshold {
-			breakOff(q, "body", fmt.Sprint(i))
+			breakOffAndWait(q, "body", fmt.Sprint(i))
 		}
-		breakOff(q, "beside", "0")
+		breakOffAndWait(q, "beside", "0")
 		records := func() (n int) {
 			_, err := platform.EachNewest(context.Background(), view, partition, "", func(list []platform.StoredRecord) bool {
 				n += len(list)
@@ -382,7 +386,7 @@
 			}
 			return n
 		}
-		if n := records(); n != 3 { // of two contents and of the resource that they share
+		if n := records(); n != 3 { // two contents and the resource that they share
 			t.Errorf("%d records in the store", n)
 		}
 		time.Sleep(2 * quarantine.DefaultHold)
@@ -392,21 +396,21 @@
 	})
 }
 
-// Switched off, nothing is rejected or written.
-func TestTheQuarantineCanBeSwitchedOff(t *testing.T) {
+// While the quarantine is disabled, nothing is rejected or written.
+func TestQuarantineCanBeDisabled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuarantine(&fleet{result: platform.ProbeGone}, string(policy.Quarantine))
+		q := newTestQuarantine(&testFleet{result: platform.ProbeGone}, string(policy.Quarantine))
 		for i := range quarantine.DefaultThreshold {
-			breakOff(q, "body", fmt.Sprint(i))
+			breakOffAndWait(q, "body", fmt.Sprint(i))
 		}
 		if isQuarantined(q, "body") || !q.Loaded() || q.Run(context.Background(), nil) != nil {
-			t.Error("the quarantine works though it is off")
+			t.Error("the quarantine is active although it is disabled")
 		}
 	})
 }
 
-// Contents that share a resource are held back together, and with scopes switched off each counts alone.
-func TestScopesCanBeSwitchedOff(t *testing.T) {
+// Contents that share a resource are quarantined together; with scopes disabled, each content counts alone.
+func TestScopesCanBeDisabled(t *testing.T) {
 	for name, c := range map[string]struct {
 		off  []string
 		want bool
@@ -415,12 +419,12 @@
 		"off": {[]string{string(policy.QuarantineScopes)}, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			q := newQuarantine(&fleet{result: platform.ProbeGone}, c.off...)
+			q := newTestQuarantine(&testFleet{result: platform.ProbeGone}, c.off...)
 			for i := range quarantine.DefaultThreshold {
-				breakOff(q, fmt.Sprint("body ", i), fmt.Sprint(i))
+				breakOffAndWait(q, fmt.Sprint("body ", i), fmt.Sprint(i))
 			}
 			if got := isQuarantined(q, "another body"); got != c.want {
-				t.Errorf("%s: held back %v, want %v", name, got, c.want)
+				t.Errorf("%s: quarantined %v, want %v", name, got, c.want)
 			}
 		})
 	}
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -15,62 +15,65 @@
 	"arbutusramp/internal/dependency"
 )
 
-// partition holds the newest record of each content under its fingerprint. Any gateway writes it: a record that lacks what another
-// gateway knows is written again by that one, so that all come to the same.
+// partition holds the newest record of each content under its fingerprint. Any gateway may write it. A
+// gateway that has information which the stored record lacks writes the record again, so that all gateways
+// converge.
 var partition = platform.Partition{Topic: "keyed.quarantine"}
 
 const (
-	// readWait is how long one read waits for records.
-	readWait = 20 * time.Second
-	// readBytes bounds one read.
-	readBytes = 256 << 10
-	// readPause lets records gather between two reads.
-	readPause = 50 * time.Millisecond
-	// readRetry and writeRetry are the pauses after calls that fail.
-	readRetry  = 300 * time.Millisecond
-	writeRetry = 300 * time.Millisecond
-	// writePause lets the crashes of one target gather.
-	writePause = 20 * time.Millisecond
-	// writeTimeout bounds one write.
+	// maxReadWait is how long one read waits for records.
+	maxReadWait = 20 * time.Second
+	// maxReadBytes bounds the size of one read.
+	maxReadBytes = 256 << 10
+	// readBatchDelay is the delay between two reads, in which records accumulate.
+	readBatchDelay = 50 * time.Millisecond
+	// readRetryDelay and writeRetryDelay are the delays after failed calls.
+	readRetryDelay  = 300 * time.Millisecond
+	writeRetryDelay = 300 * time.Millisecond
+	// writeBatchDelay is the delay before a write, in which the crashes caused by one target accumulate.
+	writeBatchDelay = 20 * time.Millisecond
+	// writeTimeout bounds the duration of one write.
 	writeTimeout = 2 * time.Second
-	// maxWritten is how many records one write holds.
-	maxWritten = 128
-	// mergeSpread is the longest time after which a gateway writes what it reads to be missing. Several may know of it; the first
-	// one to write spares the others.
-	mergeSpread = time.Second
-	// expireInterval is how often records are looked through for those to forget.
+	// maxRecordsPerWrite bounds the records in one write.
+	maxRecordsPerWrite = 128
+	// maxMergeWriteDelay is the maximum delay after which a gateway writes information that it has read to be
+	// missing in the store. Several gateways may have that information; the first one to write makes the
+	// writes of the others unnecessary.
+	maxMergeWriteDelay = time.Second
+	// expireInterval is how often expired records are discarded.
 	expireInterval = 30 * time.Second
 )
 
-// Store is what keeps the records. Its calls are those of platform.Store.
+// Store keeps the records. Its methods are those of platform.Store.
 type Store interface {
 	platform.NewestReader
 	Append(ctx context.Context, a platform.Append) (platform.Appended, error)
 	Read(ctx context.Context, r platform.Read) (platform.Records, error)
 }
 
-// storeSync keeps a Quarantine and the store's records the same.
+// storeSync synchronizes the records of a Quarantine with the store.
 type storeSync struct {
 	q     *Quarantine
 	store Store
 	link  *dependency.Link
-	// next is the offset to read on from, once the newest records have been read.
-	next uint64
+	// nextOffset is the offset of the next read, valid once the newest records have been loaded.
+	nextOffset uint64
 }
 
-// read follows the store's records until ctx ends.
+// read applies the store's records until ctx ends.
 func (s *storeSync) read(ctx context.Context) error {
-	pauses := dependency.Pauses{Answered: readPause, Failed: readRetry}
-	s.link.Follow(ctx, pauses, func() error { return s.step(ctx) }, func(bool) {})
+	pauses := dependency.Pauses{Answered: readBatchDelay, Failed: readRetryDelay}
+	s.link.Follow(ctx, pauses, func() error { return s.readPage(ctx) }, func(bool) {})
 	return nil
 }
 
-// step reads once.
-func (s *storeSync) step(ctx context.Context) error {
-	if !s.q.loaded.Load() {
+// readPage performs one read. Until the newest records have been loaded, and if the store no longer holds the
+// next records, it loads them instead.
+func (s *storeSync) readPage(ctx context.Context) error {
+	if !s.q.isLoaded.Load() {
 		return s.load(ctx)
 	}
-	page, err := s.store.Read(ctx, platform.Read{Partition: partition, From: s.next, MaxBytes: readBytes, Wait: s.link.Patience(readWait)})
+	page, err := s.store.Read(ctx, platform.Read{Partition: partition, From: s.nextOffset, MaxBytes: maxReadBytes, Wait: s.link.Patience(maxReadWait)})
 	var expired *platform.Expired
 	if errors.As(err, &expired) {
 		return s.load(ctx)
@@ -78,80 +81,80 @@
 	if err != nil {
 		return err
 	}
-	s.take(page.Records)
-	s.next += uint64(len(page.Records))
+	s.applyStored(page.Records)
+	s.nextOffset += uint64(len(page.Records))
 	return nil
 }
 
-// load reads the newest records of all contents.
+// load reads the newest record of each content.
 func (s *storeSync) load(ctx context.Context) error {
 	end, err := platform.EachNewest(ctx, s.store, partition, "", func(records []platform.StoredRecord) bool {
-		s.take(records)
+		s.applyStored(records)
 		return true
 	})
 	if err != nil {
 		return err
 	}
-	s.next = end
-	s.q.loaded.Store(true)
+	s.nextOffset = end
+	s.q.isLoaded.Store(true)
 	return nil
 }
 
-func (s *storeSync) take(stored []platform.StoredRecord) {
+func (s *storeSync) applyStored(stored []platform.StoredRecord) {
 	var records []quarantine.Record
 	for _, rec := range stored {
 		if len(rec.Value) == 0 {
-			s.drop(rec.Key)
+			s.dropStored(rec.Key)
 			continue
 		}
 		r, err := quarantine.Decode(rec.Value)
 		if err != nil {
-			s.q.log.Error("record of the quarantine left out", "key", rec.Key, "offset", rec.Offset, "error", err)
+			s.q.log.Error("invalid quarantine record skipped", "key", rec.Key, "offset", rec.Offset, "error", err)
 			continue
 		}
 		records = append(records, r)
 	}
-	s.q.take(records, "store", func(now time.Time, r quarantine.Record) bool {
-		return s.q.registry.ApplyStored(now, r, now.Add(rand.N(mergeSpread)))
+	s.q.applyRecords(records, "store", func(now time.Time, r quarantine.Record) bool {
+		return s.q.registry.ApplyStored(now, r, now.Add(rand.N(maxMergeWriteDelay)))
 	})
 	if len(stored) > 0 {
-		s.q.wakeWriter()
+		s.q.signalWriter()
 	}
 }
 
-// drop takes in that another gateway has forgotten a content.
-func (s *storeSync) drop(key string) {
+// dropStored notes that another gateway has removed a record from the store because it had expired there.
+func (s *storeSync) dropStored(key string) {
 	var f quarantine.Fingerprint
 	if n, err := hex.Decode(f[:], []byte(key)); err != nil || n != len(f) {
-		s.q.log.Error("record of the quarantine left out", "key", key, "error", "the key is no fingerprint")
+		s.q.log.Error("invalid quarantine record skipped", "key", key, "error", "key is not a fingerprint")
 		return
 	}
 	s.q.mu.Lock()
 	defer s.q.mu.Unlock()
-	s.q.registry.DropStored(f, time.Now().Add(rand.N(mergeSpread)))
+	s.q.registry.DropStored(f, time.Now().Add(rand.N(maxMergeWriteDelay)))
 }
 
-// write writes what the store lacks until ctx ends.
+// write writes information that the store lacks until ctx ends.
 func (s *storeSync) write(ctx context.Context) error {
-	wake := sleep.NewTimer(expireInterval)
-	defer wake.Stop()
+	timer := sleep.NewTimer(expireInterval)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.q.changed:
-		case <-wake.C:
+		case <-s.q.writeSignal:
+		case <-timer.C:
 		}
-		sleep.For(ctx, writePause)
-		wake.Reset(s.writeDue(ctx))
+		sleep.For(ctx, writeBatchDelay)
+		timer.Reset(s.writeDue(ctx))
 	}
 }
 
-// writeDue writes what is due and returns how long nothing else is.
+// writeDue writes the records that are due and returns the time until the next write.
 func (s *storeSync) writeDue(ctx context.Context) time.Duration {
 	for {
 		s.q.mu.Lock()
-		due, next := s.q.registry.ToStore(time.Now(), maxWritten)
+		due, next := s.q.registry.ToStore(time.Now(), maxRecordsPerWrite)
 		s.q.mu.Unlock()
 		if len(due) == 0 && next.IsZero() {
 			return expireInterval
@@ -159,17 +162,18 @@
 		if len(due) == 0 {
 			return max(0, time.Until(next))
 		}
-		if !s.q.loaded.Load() {
-			return writeRetry // what the store has already is not known yet
+		if !s.q.isLoaded.Load() {
+			return writeRetryDelay // the records that the store already holds are not known yet
 		}
 		if err := s.append(ctx, due); err != nil {
-			s.q.lines.Info(time.Now(), "records not written yet", "records", len(due), "error", err)
-			return writeRetry
+			s.q.routineLog.Info(time.Now(), "records not written yet", "records", len(due), "error", err)
+			return writeRetryDelay
 		}
 	}
 }
 
-// append writes records. One that is written twice means the same.
+// append writes records to the store and notes that they are stored. Writing a record twice has no further
+// effect.
 func (s *storeSync) append(ctx context.Context, due []quarantine.Record) error {
 	var records []platform.KeyedRecord
 	for _, r := range due {
@@ -179,7 +183,7 @@
 		}
 		records = append(records, platform.KeyedRecord{Key: r.Content.String(), Value: data})
 	}
-	if err := s.call(ctx, records); err != nil {
+	if err := s.appendRecords(ctx, records); err != nil {
 		return err
 	}
 	s.q.mu.Lock()
@@ -190,31 +194,31 @@
 	return nil
 }
 
-func (s *storeSync) call(ctx context.Context, records []platform.KeyedRecord) error {
+func (s *storeSync) appendRecords(ctx context.Context, records []platform.KeyedRecord) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	_, err := s.store.Append(ctx, platform.Append{Partition: partition, Records: records})
 	return err
 }
 
-// expire forgets records, also in the store, until ctx ends.
+// expire discards expired records here and in the store until ctx ends.
 func (q *Quarantine) expire(ctx context.Context, s *storeSync) error {
 	for sleep.For(ctx, expireInterval) {
 		now := time.Now()
 		q.mu.Lock()
 		stored := q.registry.Expire(now)
 		q.suspects.prune(now)
-		q.known.Store(int64(q.registry.Len()))
+		q.recordCount.Store(int64(q.registry.Len()))
 		q.mu.Unlock()
 		var drops []platform.KeyedRecord
-		for _, f := range stored[:min(len(stored), maxWritten)] {
+		for _, f := range stored[:min(len(stored), maxRecordsPerWrite)] {
 			drops = append(drops, platform.KeyedRecord{Key: f.String()})
 		}
 		if len(drops) == 0 {
 			continue
 		}
-		if err := s.call(ctx, drops); err != nil {
-			q.log.Info("forgotten records stay in the store", "records", len(drops), "error", errs.As(err))
+		if err := s.appendRecords(ctx, drops); err != nil {
+			q.log.Info("expired records not removed from the store", "records", len(drops), "error", errs.As(err))
 		}
 	}
 	return nil
