--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -73,7 +73,7 @@
 }
 
 // clamped returns a copy of r in which each time that is more than maxClockSkew after now is replaced by now,
-// and each crash is marked as learned at now.
+// and learnedAt of each crash is set to now.
 func (r Record) clamped(now time.Time) Record {
 	latest := now.Add(maxClockSkew)
 	clamp := func(t time.Time) time.Time {
--- a/core/quarantine/registry.go
+++ b/core/quarantine/registry.go
@@ -320,7 +320,7 @@
 }
 
 // isExpired reports whether a record has expired. Other gateways may have seen the content up to
-// renewInterval later than this one knows.
+// renewInterval later than the record shows.
 func (g *Registry) isExpired(now time.Time, r Record) bool {
 	hold := suspectRetention
 	if len(r.Crashes) >= g.opts.Threshold {
