--- a/core/backlog/codec.go
+++ b/core/backlog/codec.go
@@ -15,39 +15,45 @@
 // Kinds of records: the first part of a record's key.
 const (
 	kindJob      = "j" // j/JOB: an accepted job
-	kindEnd      = "e" // e/JOB: its caller wants no more of it
-	kindResult   = "r" // r/JOB/POSITION
-	kindProgress = "p" // p/SHARD/JOB/INDEX OF THE ITEM, so that a shard's stand together
+	kindCancel   = "e" // e/JOB: the job's cancellation by its caller
+	kindResult   = "r" // r/JOB/POSITION: the result at a position of the job's result list
+	kindProgress = "p" // p/SHARD/JOB/ITEM INDEX: progress; the keys of one shard are adjacent
 )
 
 const (
-	// MaxIDBytes bounds the id of a job, which becomes part of keys of at most 255 bytes.
+	// MaxIDBytes bounds the length of a job id. The id becomes part of record keys, which hold at most 255
+	// bytes.
 	MaxIDBytes = 128
-	// chunkBytes is how much of a value goes into one record. The store takes records of
-	// up to 256 KiB.
+	// chunkBytes is the largest part of a value that goes into one record. The store accepts records of up to
+	// 256 KiB.
 	chunkBytes = 200 << 10
-	// chunkHeader is the number of this chunk and of all, two bytes each.
-	chunkHeader = 4
-	maxChunks   = 1 << 16
+	// chunkHeaderBytes is the length of the header of a chunk: the index of the chunk and the number of
+	// chunks, two bytes each.
+	chunkHeaderBytes = 4
+	maxChunks        = 1 << 16
 )
 
 // EncodeJob returns the records of a job.
-func EncodeJob(j *Job) ([]platform.KeyedRecord, error) { return encode(join(kindJob, j.ID), j) }
+func EncodeJob(j *Job) ([]platform.KeyedRecord, error) {
+	return encodeRecords(joinKey(kindJob, j.ID), j)
+}
 
-// EncodeEnd returns the records of a job's end.
-func EncodeEnd(job string) ([]platform.KeyedRecord, error) { return encode(join(kindEnd, job), job) }
+// EncodeEnd returns the records of a job's cancellation.
+func EncodeEnd(job string) ([]platform.KeyedRecord, error) {
+	return encodeRecords(joinKey(kindCancel, job), job)
+}
 
 // EncodeResult returns the records of a result.
 func EncodeResult(r *Result) ([]platform.KeyedRecord, error) {
-	return encode(join(kindResult, r.Job, strconv.Itoa(r.Position)), r)
+	return encodeRecords(joinKey(kindResult, r.Job, strconv.Itoa(r.Position)), r)
 }
 
-// EncodeProgress returns the records of the progress of the job's item with that index.
+// EncodeProgress returns the records of the progress of the job's item at that index.
 func EncodeProgress(p *Progress, shard, index int) ([]platform.KeyedRecord, error) {
-	return encode(ProgressPrefix(shard)+join(p.Job, strconv.Itoa(index)), p)
+	return encodeRecords(ProgressPrefix(shard)+joinKey(p.Job, strconv.Itoa(index)), p)
 }
 
-// Drop returns records that drop those that were written.
+// Drop returns the tombstones (records without a value) that delete the written records.
 func Drop(written []platform.KeyedRecord) []platform.KeyedRecord {
 	var records []platform.KeyedRecord
 	for _, r := range written {
@@ -56,34 +62,34 @@
 	return records
 }
 
-// ProgressPrefix begins the keys of a shard's progress, and of nothing else. Numbers have a fixed
-// length: the newest records are read in the order of keys.
+// ProgressPrefix is the common prefix of all progress keys of a shard; no other keys have it. Numbers are
+// zero-padded to a fixed length because the store returns the newest records in key order.
 func ProgressPrefix(shard int) string { return fmt.Sprintf("%s/%06d/", kindProgress, shard) }
 
-// progressKey reads the job and the item's index out of a key of progress.
-func progressKey(key string) (job string, index int, ok bool) {
+// parseProgressKey returns the job id and the item index that a progress key holds.
+func parseProgressKey(key string) (job string, index int, ok bool) {
 	key, _, _ = strings.Cut(key, "#")
 	kind, rest, _ := strings.Cut(key, "/")
-	_, rest, shard := strings.Cut(rest, "/")
-	at := strings.LastIndexByte(rest, '/') // a job's id may hold slashes
-	if kind != kindProgress || !shard || at < 0 {
+	_, rest, hasShard := strings.Cut(rest, "/")
+	lastSlash := strings.LastIndexByte(rest, '/') // a job id may contain slashes
+	if kind != kindProgress || !hasShard || lastSlash < 0 {
 		return "", 0, false
 	}
-	index, err := strconv.Atoi(rest[at+1:])
-	return rest[:at], index, err == nil && index >= 0
+	index, err := strconv.Atoi(rest[lastSlash+1:])
+	return rest[:lastSlash], index, err == nil && index >= 0
 }
 
-func join(parts ...string) string { return strings.Join(parts, "/") }
+func joinKey(parts ...string) string { return strings.Join(parts, "/") }
 
-// encode splits a value into records that the store takes.
-func encode(key string, v any) ([]platform.KeyedRecord, error) {
+// encodeRecords splits the encoded value into records of a size that the store accepts.
+func encodeRecords(key string, v any) ([]platform.KeyedRecord, error) {
 	data, err := cbor.Marshal(v)
 	if err != nil {
 		return nil, errs.Newf(errs.Internal, "record %s: %v", key, err)
 	}
 	n := (len(data) + chunkBytes - 1) / chunkBytes
 	if n >= maxChunks {
-		return nil, errs.Newf(errs.BodyTooLarge, "record %s of %d bytes", key, len(data))
+		return nil, errs.Newf(errs.BodyTooLarge, "record %s is too large: %d bytes", key, len(data))
 	}
 	var records []platform.KeyedRecord
 	for i := range n {
@@ -95,7 +101,8 @@
 	return records, nil
 }
 
-// chunkKey is the key of chunk i. The first has the plain key, so that most records do.
+// chunkKey returns the key of chunk i. The first chunk has the plain key, so the key of a value of one chunk,
+// the usual case, has no suffix.
 func chunkKey(key string, i int) string {
 	if i == 0 {
 		return key
@@ -103,16 +110,16 @@
 	return key + "#" + strconv.Itoa(i)
 }
 
-// assembler puts the chunks of values together again.
-type assembler struct{ open map[string][][]byte }
+// chunkAssembler reassembles values from their chunks.
+type chunkAssembler struct{ partial map[string][][]byte }
 
-// put takes in a record. It returns the whole value once its last missing chunk is there.
-func (a *assembler) put(r platform.KeyedRecord) (key string, value []byte, err error) {
-	if len(r.Value) < chunkHeader {
-		return "", nil, errs.Newf(errs.BadFrame, "record %s has %d bytes", r.Key, len(r.Value))
+// add takes one record. It returns the whole value with the last missing chunk, and a nil value before.
+func (a *chunkAssembler) add(r platform.KeyedRecord) (key string, value []byte, err error) {
+	if len(r.Value) < chunkHeaderBytes {
+		return "", nil, errs.Newf(errs.BadFrame, "record %s of %d bytes is shorter than a chunk header", r.Key, len(r.Value))
 	}
 	i, n := int(binary.BigEndian.Uint16(r.Value)), int(binary.BigEndian.Uint16(r.Value[2:]))
-	part := r.Value[chunkHeader:]
+	part := r.Value[chunkHeaderBytes:]
 	if n == 1 {
 		return r.Key, part, nil
 	}
@@ -120,16 +127,16 @@
 		return "", nil, errs.Newf(errs.BadFrame, "record %s is chunk %d of %d", r.Key, i, n)
 	}
 	key, _, _ = strings.Cut(r.Key, "#")
-	if len(a.open[key]) != n {
-		a.open[key] = make([][]byte, n)
+	if len(a.partial[key]) != n {
+		a.partial[key] = make([][]byte, n)
 	}
-	a.open[key][i] = part
-	for _, p := range a.open[key] {
+	a.partial[key][i] = part
+	for _, p := range a.partial[key] {
 		if p == nil {
 			return key, nil, nil
 		}
 		value = append(value, p...)
 	}
-	delete(a.open, key)
+	delete(a.partial, key)
 	return key, value, nil
 }
--- a/core/backlog/order.go
+++ b/core/backlog/order.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// The parts of a place in the order of starts. Each is larger than all that comes after it may add up to.
+// Offsets that make up a start key. Each exceeds the largest possible sum of the smaller parts.
 const (
-	// rankSpan puts items of less urgent routes behind those of more urgent ones: longer than any due time lies ahead.
-	rankSpan = 30 * 24 * time.Hour
-	// lateSpan puts items that can't be in time any more behind all others, of whatever rank.
-	lateSpan = 128 * rankSpan
+	// rankOffset sorts items of less urgent routes after those of more urgent ones. It is longer than any due
+	// time lies in the future.
+	rankOffset = 30 * 24 * time.Hour
+	// lateOffset sorts items that can no longer meet their due time after all others, whatever their rank.
+	lateOffset = 128 * rankOffset
 )
 
-// StartKey is an item's place in the order of starts, lowest first: when it is due, in milliseconds since 1970, with rankSpan for
-// each rank, and lateSpan later if it can't be in time any more, since it has to run for left yet.
+// StartKey returns the sort key of an item in the start order, lowest first: its due time in milliseconds
+// since 1970, plus rankOffset per rank, plus lateOffset if the item can no longer meet its due time because
+// it still has to run for the remaining time.
 //
-// What goes wrong with due times alone: in an overload the engines work on items that are late anyway, since
-// these are due first, until the next ones are late as well. It is noticed as items in time that fall to less than a
-// half while the engines are full of items. Gateways take turns in this order, too, so that one whose items can be in time
-// goes before one whose can't.
+// With due times alone, engines under overload run items that are already late, because these are due first,
+// until the next ones are late as well. The share of items in time then falls below one half while the
+// engines are fully occupied. Gateways take turns in this order, too: a gateway whose items can meet their
+// due times goes before one whose items can't.
 //
-// Why ranks come second: work that is late anyway gains nothing by going before work that can be in time.
-func StartKey(now time.Time, due int64, left time.Duration, rank int) int64 {
-	key := due + int64(rank)*rankSpan.Milliseconds()
-	if now.UnixMilli()+left.Milliseconds() > due {
-		key += lateSpan.Milliseconds()
+// Lateness takes precedence over ranks: starting late work before work that can be in time gains nothing.
+func StartKey(now time.Time, dueMs int64, remaining time.Duration, rank int) int64 {
+	key := dueMs + int64(rank)*rankOffset.Milliseconds()
+	if now.UnixMilli()+remaining.Milliseconds() > dueMs {
+		key += lateOffset.Milliseconds()
 	}
 	return key
 }
--- a/core/backlog/pace.go
+++ b/core/backlog/pace.go
@@ -5,74 +5,78 @@
 	"time"
 )
 
-// paceWeight is the weight of a new observation in the means: they follow a change within some dozen items.
-const paceWeight = 0.05
+// ewmaWeight is the weight of a new observation in the moving averages, which follow a change within a few
+// dozen items.
+const ewmaWeight = 0.05
 
-// minEvents is how many events a run must have made to tell the time of one: of a shorter run the prompt takes the most.
-const minEvents = 20
+// minRunEvents is the least number of events of a run that is used to estimate the time per event. In shorter
+// runs the processing of the prompt dominates.
+const minRunEvents = 20
 
-// Pace learns for each route how long its items take, to tell which can still be in time. It is safe for concurrent use.
+// Pace estimates for each route how long its items run, to predict which items can still meet their due time.
+// It is safe for concurrent use.
 type Pace struct {
-	mu     sync.Mutex
-	routes map[string]*pace
+	mu      sync.Mutex
+	byRoute map[string]*routeEstimate
 }
 
-type pace struct {
-	event     mean // seconds from one event to the next, with the share of prompt and queue
-	perTokens mean // events of a whole item for each of its tokens
+type routeEstimate struct {
+	secondsPerEvent ewma // includes prompt processing and queueing
+	eventsPerToken  ewma // of complete items
 }
 
-// mean is an exponentially weighted mean; 0 before the first observation.
-type mean float64
+// ewma is an exponentially weighted moving average; 0 before the first observation.
+type ewma float64
 
-func (m *mean) add(v float64) {
+func (m *ewma) add(v float64) {
 	if *m == 0 {
-		*m = mean(v)
+		*m = ewma(v)
 		return
 	}
-	*m += mean(paceWeight) * (mean(v) - *m)
+	*m += ewma(ewmaWeight) * (ewma(v) - *m)
 }
 
-// NewPace returns one that knows nothing yet.
-func NewPace() *Pace { return &Pace{routes: make(map[string]*pace)} }
+// NewPace returns a Pace without observations.
+func NewPace() *Pace { return &Pace{byRoute: make(map[string]*routeEstimate)} }
 
-func (p *Pace) route(name string) *pace {
-	r, ok := p.routes[name]
+func (p *Pace) estimateFor(name string) *routeEstimate {
+	r, ok := p.byRoute[name]
 	if !ok {
-		r = &pace{}
-		p.routes[name] = r
+		r = &routeEstimate{}
+		p.byRoute[name] = r
 	}
 	return r
 }
 
-// Ran takes in a run that made some events.
+// Ran adds a run that produced the given number of events in the given time.
 func (p *Pace) Ran(route string, events int, took time.Duration) {
-	if events < minEvents {
+	if events < minRunEvents {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.route(route).event.add(took.Seconds() / float64(events))
+	p.estimateFor(route).secondsPerEvent.add(took.Seconds() / float64(events))
 }
 
-// Done takes in a whole item.
+// Done adds a complete item.
 func (p *Pace) Done(route string, events int, tokens int64) {
 	if events <= 0 || tokens <= 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.route(route).perTokens.add(float64(events) / float64(tokens))
+	p.estimateFor(route).eventsPerToken.add(float64(events) / float64(tokens))
 }
 
-// Left is how long an item of that many tokens is expected to run yet, after the events that it has made; 0 while that is not known.
-func (p *Pace) Left(route string, tokens int64, made int) time.Duration {
+// Left returns the expected remaining run time of an item of that many tokens that has already produced
+// eventsDone events. It returns 0 until a run of the route has been observed.
+func (p *Pace) Left(route string, tokens int64, eventsDone int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r, ok := p.routes[route]
+	r, ok := p.byRoute[route]
 	if !ok {
 		return 0
 	}
-	events := max(1, float64(r.perTokens)*float64(tokens)-float64(made))
-	return time.Duration(float64(r.event) * events * float64(time.Second))
+	events := max(1, float64(r.eventsPerToken)*float64(tokens)-float64(eventsDone))
+	return time.Duration(float64(r.secondsPerEvent) * events * float64(time.Second))
 }
--- a/core/backlog/state.go
+++ b/core/backlog/state.go
@@ -10,108 +10,110 @@
 	"arbutusramp/core/platform"
 )
 
-// State is the fold. The zero value is not usable; see NewState. Callers lock it.
+// State is the state of all jobs, built from the records that were applied. Use NewState to create one; the
+// zero value is not usable. State has no lock of its own: callers serialize access.
 type State struct {
-	chunks assembler
+	chunks chunkAssembler
 	jobs   map[string]*jobState
 }
 
-// jobState is all that is known of one job. Its records may come in any order, since the newest
-// records by key are read in the order of keys.
+// jobState is the state of one job. Its records may arrive in any order, since the newest records are read in
+// key order.
 type jobState struct {
-	job      *Job // nil until its record has been read
-	ended    bool
-	results  []*Result // by position; nil where a later one was read first
-	done     map[string]bool
-	progress map[string]Progress
+	job         *Job // nil until the job's record has been read
+	isCancelled bool
+	results     []*Result // by position; nil where a later result was read first
+	doneItems   map[string]bool
+	progress    map[string]Progress
 }
 
-// NewState returns the state before any record.
+// NewState returns an empty state.
 func NewState() *State {
-	return &State{chunks: assembler{open: make(map[string][][]byte)}, jobs: make(map[string]*jobState)}
+	return &State{chunks: chunkAssembler{partial: make(map[string][][]byte)}, jobs: make(map[string]*jobState)}
 }
 
-// Apply takes in one record. A record that was taken in before changes nothing. Errors: errs.BadFrame.
+// Apply applies one record. Applying a record twice has no further effect. Errors: errs.BadFrame.
 func (s *State) Apply(r platform.KeyedRecord) error {
 	if len(r.Value) == 0 {
-		s.drop(r.Key)
+		s.applyTombstone(r.Key)
 		return nil
 	}
-	key, value, err := s.chunks.put(r)
+	key, value, err := s.chunks.add(r)
 	if err != nil || value == nil {
 		return err
 	}
 	kind, _, _ := strings.Cut(key, "/")
 	switch kind {
 	case kindJob:
-		return apply(value, s.applyJob)
-	case kindEnd:
-		return apply(value, s.applyEnd)
+		return decodeAndApply(value, s.applyJob)
+	case kindCancel:
+		return decodeAndApply(value, s.applyCancel)
 	case kindResult:
-		return apply(value, s.applyResult)
+		return decodeAndApply(value, s.applyResult)
 	case kindProgress:
-		return apply(value, s.applyProgress)
+		return decodeAndApply(value, s.applyProgress)
 	}
-	return errs.Newf(errs.BadFrame, "record %q is of no known kind", key)
+	return errs.Newf(errs.BadFrame, "record %q is of an unknown kind", key)
 }
 
-func apply[T any](value []byte, take func(*T)) error {
+func decodeAndApply[T any](value []byte, applyValue func(*T)) error {
 	v := new(T)
 	if err := cbor.Unmarshal(value, v); err != nil {
-		return errs.Newf(errs.BadFrame, "a record of the backlog: %v", err)
+		return errs.Newf(errs.BadFrame, "decode backlog record: %v", err)
 	}
-	take(v)
+	applyValue(v)
 	return nil
 }
 
-// drop takes in that a key was dropped. Only whole jobs and progress are dropped.
-func (s *State) drop(key string) {
+// applyTombstone handles the deletion of a key. Only whole jobs and progress are deleted; tombstones of
+// progress have no effect on the state.
+func (s *State) applyTombstone(key string) {
 	kind, id, _ := strings.Cut(key, "/")
 	if kind == kindJob && !strings.Contains(id, "#") {
 		delete(s.jobs, id)
 	}
 }
 
-func (s *State) of(id string) *jobState {
+func (s *State) jobStateFor(id string) *jobState {
 	j, ok := s.jobs[id]
 	if !ok {
-		j = &jobState{done: make(map[string]bool), progress: make(map[string]Progress)}
+		j = &jobState{doneItems: make(map[string]bool), progress: make(map[string]Progress)}
 		s.jobs[id] = j
 	}
 	return j
 }
 
 func (s *State) applyJob(j *Job) {
-	st := s.of(j.ID)
+	st := s.jobStateFor(j.ID)
 	if st.job == nil {
 		st.job = j
 	}
 }
 
-func (s *State) applyEnd(id *string) {
-	st := s.of(*id)
-	st.ended = true
+func (s *State) applyCancel(id *string) {
+	st := s.jobStateFor(*id)
+	st.isCancelled = true
 	clear(st.progress)
 }
 
 func (s *State) applyResult(r *Result) {
-	st := s.of(r.Job)
+	st := s.jobStateFor(r.Job)
 	for len(st.results) <= r.Position {
 		st.results = append(st.results, nil)
 	}
 	if st.results[r.Position] == nil {
 		st.results[r.Position] = r
-		st.done[r.Item] = true
+		st.doneItems[r.Item] = true
 		delete(st.progress, r.Item)
 	}
 }
 
 func (s *State) applyProgress(p *Progress) {
-	st := s.of(p.Job)
-	if !st.done[p.Item] && !st.ended {
-		known := st.progress[p.Item]
-		known.Merge(*p)
-		st.progress[p.Item] = known
+	st := s.jobStateFor(p.Job)
+	if !st.doneItems[p.Item] && !st.isCancelled {
+		merged := st.progress[p.Item]
+		merged.Merge(*p)
+		st.progress[p.Item] = merged
 	}
 }
 
@@ -124,19 +126,19 @@
 	return st.job, true
 }
 
-// Ended says whether the job's caller has ended it.
+// Ended reports whether the job's caller has cancelled it.
 func (s *State) Ended(id string) bool {
 	st, ok := s.jobs[id]
-	return ok && st.ended
+	return ok && st.isCancelled
 }
 
-// Done says whether an item has its result.
+// Done reports whether an item has a result.
 func (s *State) Done(job, item string) bool {
 	st, ok := s.jobs[job]
-	return ok && st.done[item]
+	return ok && st.doneItems[item]
 }
 
-// Listed is the number of results without a gap from the first on.
+// Listed returns the number of results before the first gap in the positions.
 func (s *State) Listed(id string) int {
 	st, ok := s.jobs[id]
 	if !ok {
@@ -148,8 +150,8 @@
 	return len(st.results)
 }
 
-// Page returns the results from a position on, at least one if there is one and no more than
-// maxBytes of text otherwise.
+// Page returns the results from a position on: at least one if there is one, and beyond the first no more
+// than maxBytes of text.
 func (s *State) Page(id string, from, maxBytes int) Page {
 	st, ok := s.jobs[id]
 	if !ok || st.job == nil {
@@ -168,7 +170,7 @@
 	return page
 }
 
-// Progress returns how far a run of the item had come when it was given away.
+// Progress returns the progress of the item that its former owners have stored.
 func (s *State) Progress(job, item string) Progress {
 	st, ok := s.jobs[job]
 	if !ok {
@@ -179,29 +181,29 @@
 	return p
 }
 
-// Unneeded says whether a record of progress is of an item that has ended, or of a job that is
-// ended or gone: nobody will go on from it.
+// Unneeded reports whether a progress record is obsolete: its item has a result, or its job is cancelled or
+// deleted, so no owner resumes from it.
 func (s *State) Unneeded(key string) bool {
-	job, index, ok := progressKey(key)
+	job, index, ok := parseProgressKey(key)
 	if !ok {
 		return false
 	}
-	st, known := s.jobs[job]
-	if !known || st.job == nil || st.ended {
+	st, isKnown := s.jobs[job]
+	if !isKnown || st.job == nil || st.isCancelled {
 		return true
 	}
-	return index >= len(st.job.Items) || st.done[st.job.Items[index].ID]
+	return index >= len(st.job.Items) || st.doneItems[st.job.Items[index].ID]
 }
 
-// Queued is the number of tokens of unfinished items of a workspace's jobs that came by a route.
+// Queued returns the number of tokens of unfinished items of the workspace's jobs on a route.
 func (s *State) Queued(workspace, route string) int64 {
 	var sum int64
 	for _, st := range s.jobs {
-		if st.job == nil || st.ended || st.job.Route != route || st.job.Workspace != workspace {
+		if st.job == nil || st.isCancelled || st.job.Route != route || st.job.Workspace != workspace {
 			continue
 		}
 		for i := range st.job.Items {
-			if !st.done[st.job.Items[i].ID] {
+			if !st.doneItems[st.job.Items[i].ID] {
 				sum += st.job.Items[i].Tokens
 			}
 		}
@@ -209,32 +211,33 @@
 	return sum
 }
 
-// Open calls visit for each job that is not ended and has unfinished items.
+// Open calls visit for each job that is not cancelled and has unfinished items.
 func (s *State) Open(visit func(*Job)) {
 	for _, st := range s.jobs {
-		if st.job != nil && !st.ended && len(st.done) < len(st.job.Items) {
+		if st.job != nil && !st.isCancelled && len(st.doneItems) < len(st.job.Items) {
 			visit(st.job)
 		}
 	}
 }
 
-// Expired calls visit for each job that was handed in before a time, in milliseconds since 1970, and
-// has nothing left to do.
+// Expired calls visit for each job that was submitted before a time, in milliseconds since 1970, and is
+// cancelled or has all its results.
 func (s *State) Expired(before int64, visit func(*Job)) {
 	for _, st := range s.jobs {
 		if st.job == nil || st.job.Submitted >= before {
 			continue
 		}
-		if st.ended || len(st.done) == len(st.job.Items) {
+		if st.isCancelled || len(st.doneItems) == len(st.job.Items) {
 			visit(st.job)
 		}
 	}
 }
 
-// Forgotten are the records that drop a job and all that belongs to it, by the partitions that hold them.
+// Forgotten holds the tombstones that delete a job and everything that belongs to it, by partition.
 type Forgotten struct{ Jobs, Results, Texts []platform.KeyedRecord }
 
-// Forget returns the records that drop a job and all that belongs to it.
+// Forget returns the tombstones that delete a job and everything that belongs to it. It does not change the
+// state.
 func (s *State) Forget(id string) (Forgotten, error) {
 	st, ok := s.jobs[id]
 	if !ok || st.job == nil {
@@ -254,10 +257,10 @@
 			return Forgotten{}, err
 		}
 		f.Results = append(f.Results, Drop(records)...)
-		f.Texts = append(f.Texts, r.dropText()...)
+		f.Texts = append(f.Texts, r.textTombstones()...)
 	}
-	if st.ended {
-		f.Jobs = append(f.Jobs, platform.KeyedRecord{Key: join(kindEnd, id)})
+	if st.isCancelled {
+		f.Jobs = append(f.Jobs, platform.KeyedRecord{Key: joinKey(kindCancel, id)})
 	}
 	return f, nil
 }
--- a/core/backlog/state_test.go
+++ b/core/backlog/state_test.go
@@ -18,9 +18,9 @@
 	return j
 }
 
-// story is all records of a job whose first two items have ended, with one result that is larger
-// than a record may be.
-func story(t *testing.T) []platform.KeyedRecord {
+// recordsOfTestJob returns the records of a job with results for its first two items, one of them larger than
+// a record may be, and with progress of the third.
+func recordsOfTestJob(t *testing.T) []platform.KeyedRecord {
 	t.Helper()
 	var all []platform.KeyedRecord
 	add := func(records []platform.KeyedRecord, err error) {
@@ -37,12 +37,12 @@
 	return all
 }
 
-// The fold must come to the same whatever order the records are read in and however often: newest
-// records come in the order of their keys, and a read after them brings some again.
-func TestTheFoldDoesNotDependOnOrder(t *testing.T) {
+// The state must not depend on the order in which records are read or on how often: the newest records are
+// read in key order, and a read that follows returns some of them again.
+func TestStateIndependentOfRecordOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 50 {
-		records := append(story(t), story(t)...)
+		records := append(recordsOfTestJob(t), recordsOfTestJob(t)...)
 		rng.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
 		s := NewState()
 		for _, r := range records {
@@ -58,30 +58,30 @@
 			t.Fatalf("progress %+v", p)
 		}
 		if q := s.Queued("", "r"); q != 10 || s.Queued("", "other") != 0 {
-			t.Fatalf("%d tokens are queued", q)
+			t.Fatalf("%d tokens are queued, want 10", q)
 		}
 	}
 }
 
-func TestAnEndedJobWantsNothing(t *testing.T) {
+func TestCancelledJobHasNothingQueued(t *testing.T) {
 	s := NewState()
 	records, err := EncodeEnd("job")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range append(records, story(t)...) { // the end is read before the job
+	for _, r := range append(records, recordsOfTestJob(t)...) { // the cancellation is read before the job
 		if err := s.Apply(r); err != nil {
 			t.Fatal(err)
 		}
 	}
 	s.Open(func(j *Job) { t.Errorf("job %s is open", j.ID) })
 	if !s.Ended("job") || s.Queued("", "r") != 0 || s.Listed("job") != 2 {
-		t.Errorf("ended %v, queued %d, listed %d", s.Ended("job"), s.Queued("", "r"), s.Listed("job"))
+		t.Errorf("cancelled %v, queued %d, listed %d", s.Ended("job"), s.Queued("", "r"), s.Listed("job"))
 	}
 }
 
-// A gap in the positions hides what is behind it: positions must not move once they are shown.
-func TestResultsAreListedWithoutGaps(t *testing.T) {
+// A gap in the positions hides the results behind it: positions must not change once they have been returned.
+func TestResultsListedWithoutGaps(t *testing.T) {
 	s := NewState()
 	for _, p := range []int{2, 0} {
 		records, err := EncodeResult(&Result{Job: "job", Position: p, Item: fmt.Sprint("i", p), Outcome: Complete})
@@ -97,22 +97,22 @@
 	}
 }
 
-func TestPagesHoldOneResultAtTheLeast(t *testing.T) {
+func TestPageHoldsAtLeastOneResult(t *testing.T) {
 	s := NewState()
-	for _, r := range story(t) {
+	for _, r := range recordsOfTestJob(t) {
 		if err := s.Apply(r); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if p := s.Page("job", 0, 10); len(p.Results) != 1 || p.Next != 1 {
-		t.Errorf("%d results up to %d", len(p.Results), p.Next)
+		t.Errorf("%d results, next position %d", len(p.Results), p.Next)
 	}
 	if p := s.Page("job", 2, 10); len(p.Results) != 0 || p.Next != 2 || p.Total != 3 {
-		t.Errorf("at the end: %+v", p)
+		t.Errorf("page at the end: %+v", p)
 	}
 }
 
-func TestForgetDropsEveryKey(t *testing.T) {
+func TestForgetDeletesEveryKey(t *testing.T) {
 	s := NewState()
 	keys := make(map[string]bool)
 	end, err := EncodeEnd("job")
@@ -124,15 +124,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range texts { // they lie in a partition of their own
+	for _, r := range texts { // texts are in a partition of their own
 		keys[r.Key] = true
 	}
 	listed, err := EncodeResult(&Result{Job: "job", Position: 2, Item: "i2", Index: 2, Outcome: Complete, Size: len(text.Text), Sum: Sum(text.Text)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range append(append(story(t), end...), listed...) {
-		if !strings.HasPrefix(r.Key, kindProgress) { // dropped by whoever wrote it
+	for _, r := range append(append(recordsOfTestJob(t), end...), listed...) {
+		if !strings.HasPrefix(r.Key, kindProgress) { // deleted by the process that wrote it
 			keys[r.Key] = true
 		}
 		if err := s.Apply(r); err != nil {
@@ -146,7 +146,7 @@
 	for _, r := range append(append(f.Texts, f.Results...), f.Jobs...) {
 		delete(keys, r.Key)
 		if len(r.Value) != 0 {
-			t.Errorf("key %s is written, not dropped", r.Key)
+			t.Errorf("record of key %s has a value, want a tombstone", r.Key)
 		}
 		if strings.HasPrefix(r.Key, kindText) {
 			continue
@@ -156,53 +156,53 @@
 		}
 	}
 	if len(keys) != 0 {
-		t.Errorf("keys are left: %v", keys)
+		t.Errorf("keys without a tombstone: %v", keys)
 	}
 	if _, ok := s.Job("job"); ok {
-		t.Error("the job is still there")
+		t.Error("the deleted job is still in the state")
 	}
 }
 
-// The last chunk of a text brings it, in whatever order its records are read.
-func TestATextIsPutTogether(t *testing.T) {
+// The last missing chunk completes a text, in whatever order the records are read.
+func TestTextReassembledFromChunks(t *testing.T) {
 	want := Text{Job: "a/b", Index: 3, Text: strings.Repeat("some text ", chunkBytes/4)}
 	records, err := EncodeText(want)
 	if err != nil || len(records) < 3 {
 		t.Fatalf("%d records, %v", len(records), err)
 	}
 	if r := (&Result{Size: len(want.Text)}); r.TextRecords() != len(records) {
-		t.Errorf("%d records are expected, %d are there", r.TextRecords(), len(records))
+		t.Errorf("TextRecords is %d, the text has %d records", r.TextRecords(), len(records))
 	}
 	records[0], records[1] = records[1], records[0]
 	in := NewTextReader()
 	for i, r := range records {
 		key, text, whole, err := in.Put(r)
 		if err != nil || whole != (i == len(records)-1) {
-			t.Fatalf("record %d of %d: whole %v, %v", i, len(records), whole, err)
+			t.Fatalf("record %d of %d: complete %v, %v", i, len(records), whole, err)
 		}
 		if whole && (key != TextKey(want.Job, want.Index, Sum(want.Text)) || text != want.Text) {
 			t.Errorf("key %s, %d bytes", key, len(text))
 		}
 	}
 	if _, _, _, err := in.Put(platform.KeyedRecord{Key: "t/a/0/0", Value: []byte{0, 0, 0, 1, 0xa0}}); !errs.Is(err, errs.BadFrame) {
-		t.Errorf("a record that is no text: %v", err)
+		t.Errorf("a record that is not a text: %v", err)
 	}
 }
 
-// The number of records that is expected of a text is that of those that are written, whatever its length.
-func TestTextsHaveAsManyRecordsAsAreExpected(t *testing.T) {
+// TextRecords must match the number of records that are written, for any length of the text.
+func TestTextRecordCountMatchesEncoding(t *testing.T) {
 	for size := chunkBytes - 20; size < chunkBytes+20; size++ {
 		records, err := EncodeText(Text{Job: "j", Text: strings.Repeat("x", size)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if r := (&Result{Size: size}); r.TextRecords() < len(records) {
-			t.Errorf("a text of %d bytes has %d records, %d are expected", size, len(records), r.TextRecords())
+			t.Errorf("a text of %d bytes has %d records, TextRecords is %d", size, len(records), r.TextRecords())
 		}
 	}
 }
 
-func TestBrokenRecordsAreRefused(t *testing.T) {
+func TestMalformedRecordsRejected(t *testing.T) {
 	s := NewState()
 	for _, r := range []platform.KeyedRecord{
 		{Key: "j/x", Value: []byte{0}},
@@ -216,21 +216,21 @@
 	}
 }
 
-func TestProgressThatNobodyNeeds(t *testing.T) {
+func TestObsoleteProgress(t *testing.T) {
 	s := NewState()
-	for _, r := range story(t) {
+	for _, r := range recordsOfTestJob(t) {
 		if err := s.Apply(r); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for key, want := range map[string]bool{
-		"p/000007/job/0":    true, // the item has ended
+		"p/000007/job/0":    true, // the item has a result
 		"p/000007/job/0#1":  true,
 		"p/000007/job/2":    false,
 		"p/000007/job/9":    true, // no such item
 		"p/000007/gone/0":   true,
-		"p/000007/a/b/0":    true,  // a job's id may hold slashes
-		"p/000007/job":      false, // no key of progress
+		"p/000007/a/b/0":    true,  // a job id may contain slashes
+		"p/000007/job":      false, // not a progress key
 		"j/job":             false,
 		"p/000007/job/nine": false,
 	} {
--- a/core/backlog/text.go
+++ b/core/backlog/text.go
@@ -10,52 +10,54 @@
 	"arbutusramp/core/platform"
 )
 
-// kindText begins the key of a text that lies apart from its result: t/JOB/INDEX OF THE ITEM/SUM. They are in a partition of
-// their own.
+// kindText is the prefix of the key of a text that is stored separately from its result: t/JOB/ITEM
+// INDEX/CHECKSUM. These texts are in a partition of their own.
 const kindText = "t"
 
-// maxTextHeader is the most that the codec puts in front of a text.
-const maxTextHeader = 9
+// maxTextHeaderBytes is the longest header that the codec writes before a text.
+const maxTextHeaderBytes = 9
 
-// Text is the output of an item that lies apart from its result.
+// Text is an item's output that is stored separately from its result.
 type Text struct {
 	Job   string
 	Index int // of the item in its job
 	Text  string
 }
 
-// Sum tells texts apart. It is no protection against anybody who makes texts up.
+// Sum returns a checksum that distinguishes texts. It does not protect against texts that are crafted to
+// collide.
 func Sum(text string) uint64 { return xxhash.Sum64String(text) }
 
-// TextPrefix begins the keys of a job's texts.
-func TextPrefix(job string) string { return join(kindText, job) + "/" }
+// TextPrefix is the common prefix of the keys of a job's texts.
+func TextPrefix(job string) string { return joinKey(kindText, job) + "/" }
 
-// TextKey is the key of a text.
+// TextKey returns the key of a text.
 //
-// What goes wrong if it does not depend on the text: whoever has run an item writes its text before it knows whether it still owns the
-// item's shard. A process that was frozen may have read a stream that its target ended early, and its text replaces
-// that of the result which another owner has listed meanwhile. It is noticed as a position that shows another result
-// than before. With the sum in the key, and in the result's record, a result has the one text that was listed.
+// The key depends on the text because an owner writes the text of an item before it can tell whether it still
+// owns the item's shard. A process that was frozen may have read a stream that its target ended early; under
+// a key without the checksum its text would replace that of the result which another owner has stored
+// meanwhile, and the position would show a different result than before. With the checksum in the key and in
+// the result's record, a result always refers to the text with which it was stored.
 func TextKey(job string, index int, sum uint64) string {
 	return TextPrefix(job) + strconv.Itoa(index) + "/" + strconv.FormatUint(sum, 16)
 }
 
 // EncodeText returns the records of a text.
 func EncodeText(t Text) ([]platform.KeyedRecord, error) {
-	return encode(TextKey(t.Job, t.Index, Sum(t.Text)), t.Text)
+	return encodeRecords(TextKey(t.Job, t.Index, Sum(t.Text)), t.Text)
 }
 
-// Apart says whether the result's text lies apart from it.
+// Apart reports whether the result's text is stored separately from it.
 func (r *Result) Apart() bool { return r.Size > 0 }
 
-// TextKey is the key of a text that lies apart.
+// TextKey returns the key of the result's separately stored text.
 func (r *Result) TextKey() string { return TextKey(r.Job, r.Index, r.Sum) }
 
-// TextRecords is how many records a text that lies apart has.
-func (r *Result) TextRecords() int { return (r.Size+maxTextHeader)/chunkBytes + 1 }
+// TextRecords returns the number of records of the result's separately stored text.
+func (r *Result) TextRecords() int { return (r.Size+maxTextHeaderBytes)/chunkBytes + 1 }
 
-// dropText returns records that drop the text of a result.
-func (r *Result) dropText() []platform.KeyedRecord {
+// textTombstones returns the tombstones that delete the text of a result.
+func (r *Result) textTombstones() []platform.KeyedRecord {
 	if !r.Apart() {
 		return nil
 	}
@@ -66,22 +68,23 @@
 	return records
 }
 
-// TextReader puts texts together from their records.
-type TextReader struct{ chunks assembler }
+// TextReader reassembles texts from their records.
+type TextReader struct{ chunks chunkAssembler }
 
-// NewTextReader returns a reader that has seen nothing.
+// NewTextReader returns a TextReader without records.
 func NewTextReader() *TextReader {
-	return &TextReader{assembler{open: make(map[string][][]byte)}}
+	return &TextReader{chunkAssembler{partial: make(map[string][][]byte)}}
 }
 
-// Put takes in a record. whole says that key's text is there. Error: errs.BadFrame.
+// Put takes one record. whole reports that the record completed the text of the returned key. Errors:
+// errs.BadFrame.
 func (t *TextReader) Put(r platform.KeyedRecord) (key, text string, whole bool, err error) {
-	key, value, err := t.chunks.put(r)
+	key, value, err := t.chunks.add(r)
 	if err != nil || value == nil {
 		return "", "", false, err
 	}
 	if err := cbor.Unmarshal(value, &text); err != nil {
-		return "", "", false, errs.Newf(errs.BadFrame, "text %s: %v", key, err)
+		return "", "", false, errs.Newf(errs.BadFrame, "decode text %s: %v", key, err)
 	}
 	return key, text, true, nil
 }
--- a/core/backlog/types.go
+++ b/core/backlog/types.go
@@ -1,25 +1,25 @@
-// Package backlog is the state of batch jobs as a fold of records in the platform's store: which
-// jobs were accepted, which items have which result at which position, who has ended what. The
-// fold is deterministic and takes every record at most once, so that each process that has read
-// the same records believes the same. It does no I/O.
+// Package backlog builds the state of batch jobs from the records in the platform's store: which jobs are
+// accepted, which items have which result at which position, and which jobs are cancelled. The state is
+// deterministic, and applying a record again has no effect, so processes that have read the same records have
+// the same state. The package does no I/O.
 package backlog
 
 import (
 	"time"
 )
 
-// Job is one accepted batch job.
+// Job is an accepted batch job.
 type Job struct {
 	ID        string        `cbor:"1,keyasint"`
-	Route     string        `cbor:"2,keyasint"` // name of the route it came by
+	Route     string        `cbor:"2,keyasint"` // name of the route on which it was submitted
 	Host      string        `cbor:"3,keyasint"`
 	Submitted int64         `cbor:"4,keyasint"` // milliseconds since 1970, by the accepting process's clock
 	Due       time.Duration `cbor:"5,keyasint"`
 	Retain    time.Duration `cbor:"6,keyasint"`
-	Attempts  int           `cbor:"7,keyasint"` // failed runs after which an item is given up
+	Attempts  int           `cbor:"7,keyasint"` // failed runs after which an item gets the outcome Errored
 	Items     []Item        `cbor:"8,keyasint"`
 	Rank      int           `cbor:"9,keyasint,omitempty"` // see serving.Caller.RankOn
-	// Workspace is the workspace that handed it in; empty where requests need no keys.
+	// Workspace is the workspace that submitted the job; empty where requests need no keys.
 	Workspace string `cbor:"10,keyasint,omitempty"`
 }
 
@@ -29,10 +29,10 @@
 	URI    string              `cbor:"2,keyasint"`
 	Header map[string][]string `cbor:"3,keyasint"`
 	Body   []byte              `cbor:"4,keyasint"`
-	Tokens int64               `cbor:"5,keyasint"` // prompt and longest output
+	Tokens int64               `cbor:"5,keyasint"` // prompt tokens plus the maximum output
 }
 
-// Tokens is the sum over the job's items.
+// Tokens returns the sum over the job's items.
 func (j *Job) Tokens() int64 {
 	var sum int64
 	for i := range j.Items {
@@ -41,7 +41,7 @@
 	return sum
 }
 
-// Outcome is how an item ended.
+// Outcome is the final state of an item.
 type Outcome string
 
 const (
@@ -51,41 +51,43 @@
 	Errored Outcome = "errored"
 )
 
-// Result is an item's end, at its position in the job's list of results.
+// Result is the final result of an item, at its position in the job's list of results.
 type Result struct {
 	Job      string  `cbor:"1,keyasint"`
 	Position int     `cbor:"2,keyasint"`
 	Item     string  `cbor:"3,keyasint"`
 	Outcome  Outcome `cbor:"4,keyasint"`
-	Text     string  `cbor:"5,keyasint,omitempty"` // empty if it lies apart
-	// Index is the item's place in its job; with Sum it names a text that lies apart.
+	Text     string  `cbor:"5,keyasint,omitempty"` // empty if it is stored separately
+	// Index is the item's index in its job; with Sum it identifies a separately stored text.
 	Index int `cbor:"6,keyasint,omitempty"`
-	// Size is the length in bytes of a text that lies apart; 0 for one that does not.
+	// Size is the length in bytes of a separately stored text; 0 if Text holds the text.
 	Size int    `cbor:"7,keyasint,omitempty"`
 	Sum  uint64 `cbor:"8,keyasint,omitempty"`
-	// TextAt is the offset at which the text was written: it is found there without a search while the store keeps its history.
+	// TextAt is the offset at which a separately stored text was written. While the store keeps its history,
+	// the text can be read there without a search.
 	TextAt uint64 `cbor:"9,keyasint,omitempty"`
 }
 
-// Progress is how far an item's run had come when its worker gave it away.
+// Progress is the state of an unfinished item that its owner stores for the next owner.
 type Progress struct {
 	Job    string `cbor:"1,keyasint"`
 	Item   string `cbor:"2,keyasint"`
-	LastID string `cbor:"3,keyasint"` // of the last event in Text
+	LastID string `cbor:"3,keyasint"` // id of the last event in Text
 	Text   string `cbor:"4,keyasint"`
-	// Failures is how many runs a target has answered with a failure. Without it each new owner would
-	// allow all attempts anew, and an item that always fails would end only where owners stay.
+	// Failures is the number of runs that a target has answered with a failure. Without it each new owner
+	// would allow all attempts again, and an item that always fails would end only if its owner stays the
+	// same.
 	Failures int `cbor:"5,keyasint,omitempty"`
-	// Outcome is the item's end, if its owner could not write it any more; empty while something is
-	// left to do. Without it the next owner would have a target resume an output that is whole.
+	// Outcome is the item's outcome if its owner could not write the result any more; empty while the item is
+	// unfinished. Without it the next owner would have a target resume an output that is already complete.
 	Outcome Outcome `cbor:"6,keyasint,omitempty"`
 }
 
-// Begun says whether there is anything to go on from.
+// Begun reports whether there is anything to resume from.
 func (p Progress) Begun() bool { return p.LastID != "" || p.Failures > 0 || p.Outcome != "" }
 
-// Merge takes in what another record says of the same item: the longest text, since events are the same
-// from every target, the most failures, and an end if there is one.
+// Merge merges another record of the same item: the longest text, since events are the same from every
+// target, the most failures, and an outcome if there is one.
 func (p *Progress) Merge(o Progress) {
 	if len(o.Text) > len(p.Text) {
 		p.LastID, p.Text = o.LastID, o.Text
@@ -98,7 +100,7 @@
 
 // Page is a part of a job's results.
 type Page struct {
-	Total   int // items of the job
+	Total   int // number of items of the job
 	Results []Result
-	Next    int // position after the last one
+	Next    int // position after the last result of the page
 }
