--- a/internal/backlog/bench_test.go
+++ b/internal/backlog/bench_test.go
@@ -14,7 +14,7 @@
 	"arbutusramp/standin/keyedlog"
 )
 
-// BenchmarkScan is one look through the backlog of a fleet by a process that owns none of its shards.
+// BenchmarkScan measures one scan of the backlog of a fleet by a process that owns none of its shards.
 func BenchmarkScan(b *testing.B) {
 	const items = 10
 	for _, jobs := range []int{50, 500} {
--- a/internal/backlog/compact.go
+++ b/internal/backlog/compact.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// compactionInterval is how often old jobs are looked for.
+	// compactionInterval is the interval between searches for expired jobs.
 	compactionInterval = 10 * time.Second
-	// clockSlack is how much longer a job is kept than promised, and an item before it is given up: the time that counts is that of
-	// the process that accepted the job, and the time of day differs between hosts.
-	clockSlack = time.Minute
+	// maxClockSkew is how much longer than promised a job is kept, and a quarantined item is retried. Both
+	// times are counted from the submission time by the clock of the accepting process, and clocks differ
+	// between hosts.
+	maxClockSkew = time.Minute
 )
 
-// compact drops jobs of this process's shards that have lived their time. The newest record of each
-// key is kept for ever, so that without it the store would fill up and refuse new jobs.
+// compact deletes expired jobs of this process's shards. The store keeps the newest record of each key for
+// ever: without deletion it would fill up and refuse new jobs.
 func (m *Manager) compact(ctx context.Context) error {
 	for sleep.For(ctx, compactionInterval) {
-		for _, id := range m.expired(time.Now()) {
-			if err := m.forget(ctx, id); err != nil {
+		for _, id := range m.expiredJobs(time.Now()) {
+			if err := m.deleteJob(ctx, id); err != nil {
 				m.log.Warn("old job not dropped", "job", id, "error", err)
 				break
 			}
@@ -32,29 +33,30 @@
 	return nil
 }
 
-// expired returns the jobs of this process's shards that nobody needs any more.
-func (m *Manager) expired(now time.Time) []string {
-	before := now.Add(-m.opts.Keep - clockSlack).UnixMilli()
+// expiredJobs returns the jobs of this process's shards whose retention time is over.
+func (m *Manager) expiredJobs(now time.Time) []string {
+	before := now.Add(-m.opts.Keep - maxClockSkew).UnixMilli()
 	var ids []string
-	m.replica.with(func(st *backlog.State) {
+	m.replica.withState(func(st *backlog.State) {
 		st.Expired(before, func(j *backlog.Job) {
 			ids = append(ids, j.ID)
 		})
 	})
-	own := ids[:0]
+	ownIDs := ids[:0]
 	for _, id := range ids {
 		if m.scheduler.owns(m.shardOf(id)) {
-			own = append(own, id)
+			ownIDs = append(ownIDs, id)
 		}
 	}
-	return own
+	return ownIDs
 }
 
-// forget drops a job's texts and results first: a job whose record is gone is not looked at again.
-func (m *Manager) forget(ctx context.Context, id string) error {
+// deleteJob deletes a job's texts and results before its own records: a job without its record is not found
+// by compaction again.
+func (m *Manager) deleteJob(ctx context.Context, id string) error {
 	var f backlog.Forgotten
 	var err error
-	m.replica.with(func(st *backlog.State) { f, err = st.Forget(id) })
+	m.replica.withState(func(st *backlog.State) { f, err = st.Forget(id) })
 	if err != nil {
 		return err
 	}
@@ -73,7 +75,7 @@
 	return nil
 }
 
-// owns says whether this process runs a shard.
+// owns reports whether this process runs a shard.
 func (d *scheduler) owns(index int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/backlog/guard.go
+++ b/internal/backlog/guard.go
@@ -10,41 +10,41 @@
 	"arbutusramp/internal/fleetview"
 )
 
-// guard ends the run of an item whose target has fallen silent: the item can go on elsewhere, and
-// its slot here may belong to a target that no longer lives.
-type guard struct {
+// watchdog cancels the run of an item whose target has stopped sending: the item can resume at another
+// target, and its slot here may belong to a target that has ended.
+type watchdog struct {
 	run *fleetview.Run
-	// hasEnded says that the guard has ended the run.
-	hasEnded atomic.Bool
+	// hasCancelledRun reports that the watchdog has cancelled the run.
+	hasCancelledRun atomic.Bool
 
-	mu   sync.Mutex
-	last time.Time // of the last event
+	mu           sync.Mutex
+	lastActivity time.Time
 }
 
-func newGuard(ctx context.Context, cancel context.CancelFunc, r *fleetview.Run) *guard {
-	g := &guard{run: r, last: time.Now()}
-	go g.watch(ctx, cancel)
-	return g
+func newWatchdog(ctx context.Context, cancel context.CancelFunc, r *fleetview.Run) *watchdog {
+	w := &watchdog{run: r, lastActivity: time.Now()}
+	go w.watch(ctx, cancel)
+	return w
 }
 
-func (g *guard) noteEvent() {
-	g.mu.Lock()
-	g.last = time.Now()
-	g.mu.Unlock()
-	g.run.NoteActivity()
+func (w *watchdog) noteEvent() {
+	w.mu.Lock()
+	w.lastActivity = time.Now()
+	w.mu.Unlock()
+	w.run.NoteActivity()
 }
 
-func (g *guard) watch(ctx context.Context, cancel context.CancelFunc) {
-	for sleep.For(ctx, silencePollInterval) {
-		g.mu.Lock()
-		last := g.last
-		g.mu.Unlock()
-		isTargetIdle := g.run.IsIdle(last)
+func (w *watchdog) watch(ctx context.Context, cancel context.CancelFunc) {
+	for sleep.For(ctx, watchdogInterval) {
+		w.mu.Lock()
+		lastActivity := w.lastActivity
+		w.mu.Unlock()
+		isTargetIdle := w.run.IsIdle(lastActivity)
 		if isTargetIdle {
-			g.run.Failed()
+			w.run.Failed()
 		}
-		if isTargetIdle || time.Since(last) > max(itemIdleTimeout, 2*g.run.IdleLimit())+g.run.QueueWait() {
-			g.hasEnded.Store(true)
+		if isTargetIdle || time.Since(lastActivity) > max(itemIdleTimeout, 2*w.run.IdleLimit())+w.run.QueueWait() {
+			w.hasCancelledRun.Store(true)
 			cancel()
 			return
 		}
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -28,50 +28,50 @@
 )
 
 const (
-	testShards = 4
-	testTTL    = time.Second
-	testKeep   = 2 * time.Minute
-	eventGap   = 15 * time.Millisecond
-	itemEvents = 40
-	longEvents = 200 // of items whose ids begin with "okay"
+	testShards     = 4
+	testMinTTL     = time.Second
+	testKeep       = 2 * time.Minute
+	eventInterval  = 15 * time.Millisecond
+	itemEvents     = 40
+	longItemEvents = 200 // of items whose ids begin with "okay"
 )
 
-// world is a store, some targets and the managers of some processes.
-type world struct {
-	t       *testing.T
-	store   *keyedlog.Store
-	targets *fakeTargets
-	route   *serving.Route
-	noRoute atomic.Bool // the configuration in force does not have it
-	nodesMu sync.Mutex  // guards changes of nodes for what reads them beside the test
-	nodes   []*node
-	keep    time.Duration // how long jobs stay readable
-	spread  int           // see Options.SpreadBytes; 0 has all texts apart
-	// build wraps the store of each process; nil for the product as it is.
-	build func(platform.Store) platform.Store
-	// rank says how many processes go before one in owning shards; nil has all own some.
+// cluster holds a store, some targets and the managers of some processes.
+type cluster struct {
+	t              *testing.T
+	store          *keyedlog.Store
+	targets        *fakeTargets
+	route          *serving.Route
+	isRouteRemoved atomic.Bool // the current configuration lacks the route
+	nodesMu        sync.Mutex  // guards changes of nodes against concurrent readers outside the test's goroutine
+	nodes          []*node
+	keepFor        time.Duration // how long jobs stay readable
+	inlineBytes    int           // see Options.SpreadBytes; 0 stores all texts separately
+	// wrapStore wraps the store of each process; nil for the unmodified code.
+	wrapStore func(platform.Store) platform.Store
+	// rank returns how many processes precede a node as owners of shards; nil makes all of them members.
 	rank     func(n *node) (rank int, isKnown bool)
-	restarts sync.WaitGroup // of targets
-	// wrong is told what must not be.
-	wrong func(format string, args ...any)
+	restarts sync.WaitGroup // pending replacements of targets
+	// reportFailure is called for each violated expectation.
+	reportFailure func(format string, args ...any)
 }
 
 // node is one process with a manager.
 type node struct {
-	w       *world
+	w       *cluster
 	name    string
 	view    *keyedlog.View
 	fleet   *fleetview.View
 	manager *Manager
-	// quarantine learns nothing from the store: what it knows is what the process itself has seen.
+	// quarantine gets no records from the store: it holds only what the process itself has observed.
 	quarantine *quarantine.Quarantine
 	cancel     context.CancelFunc
-	over       chan struct{}
+	done       chan struct{}
 }
 
-func newWorld(t *testing.T, nodes int) *world {
-	w := &world{
-		t: t, store: keyedlog.New(testShards), targets: newFakeTargets(), wrong: t.Errorf, keep: testKeep,
+func newCluster(t *testing.T, nodes int) *cluster {
+	w := &cluster{
+		t: t, store: keyedlog.New(testShards), targets: newFakeTargets(), reportFailure: t.Errorf, keepFor: testKeep,
 		route: &serving.Route{
 			Name: "batch", Host: "h", Prefix: "/b/", Kind: serving.KindBatch, Attempts: 3,
 			Shares: []serving.Share{{Service: "llm", Weight: 1}}, Due: 18 * time.Second, Retain: time.Minute,
@@ -82,11 +82,11 @@
 	return w
 }
 
-// restartTime is how long a target that has crashed under an item is away.
+// restartTime is how long a target that has crashed under an item is down.
 const restartTime = 5 * time.Second
 
-// replaceTarget takes a target off the list, and lists another start in its place after restartTime.
-func (w *world) replaceTarget(target string, crashes int) {
+// replaceTarget removes a target from the list and lists another start in its place after restartTime.
+func (w *cluster) replaceTarget(target string, crashes int) {
 	start := serving.Target{ID: fmt.Sprintf("restart-%d", crashes), Service: "llm", Addr: "127.0.0.1:1", Domain: "d", Slots: 8}
 	w.restarts.Go(func() {
 		time.Sleep(restartTime / 2)
@@ -99,7 +99,7 @@
 	})
 }
 
-func (w *world) eachNode(f func(n *node)) {
+func (w *cluster) eachNode(f func(n *node)) {
 	w.nodesMu.Lock()
 	defer w.nodesMu.Unlock()
 	for _, n := range w.nodes {
@@ -107,38 +107,38 @@
 	}
 }
 
-func (w *world) startNodes(nodes int) {
+func (w *cluster) startNodes(nodes int) {
 	for i := range nodes {
 		w.start(fmt.Sprintf("node-%d", i))
 	}
 }
 
-// bubble runs f in virtual time with some processes that have dealt out the shards.
-func bubble(t *testing.T, nodes int, f func(t *testing.T, w *world)) {
+// withCluster runs f in virtual time with processes among which the shards have been distributed.
+func withCluster(t *testing.T, nodes int, f func(t *testing.T, w *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, nodes)
+		w := newCluster(t, nodes)
 		defer w.stopAll()
 		time.Sleep(2 * time.Second)
 		f(t, w)
 	})
 }
 
-// start begins a process under a name that was not used before.
-func (w *world) start(name string) *node {
-	n := &node{w: w, name: name, view: w.store.View(), over: make(chan struct{})}
+// start starts a process under a name that was not used before.
+func (w *cluster) start(name string) *node {
+	n := &node{w: w, name: name, view: w.store.View(), done: make(chan struct{})}
 	n.fleet = fleetview.New(fleet.Options{Domain: "d", Self: fleet.Peer(name), StartSpare: 0, PeerTTL: time.Second})
 	for i := range 3 {
 		n.fleet.Put([]serving.Target{{ID: fmt.Sprintf("target-%d", i), Service: "llm", Addr: "127.0.0.1:1", Domain: "d", Slots: 8}}, nil)
 	}
 	log := testLogger(name)
 	var store platform.Store = n.view
-	if w.build != nil {
-		store = w.build(store)
+	if w.wrapStore != nil {
+		store = w.wrapStore(store)
 	}
 	n.quarantine = quarantine.New(quarantine.Options{
 		Threshold: corequarantine.DefaultThreshold, Hold: corequarantine.DefaultHold, Prober: w.targets, Fleet: n.fleet, Log: log, Metrics: metrics.NewRegistry(),
 	})
-	o := Options{Member: name, Shards: testShards, MinTTL: testTTL, Keep: w.keep, SpreadBytes: w.spread, Quarantine: n.quarantine}
+	o := Options{Member: name, Shards: testShards, MinTTL: testMinTTL, Keep: w.keepFor, SpreadBytes: w.inlineBytes, Quarantine: n.quarantine}
 	if w.rank != nil {
 		o.Rank = func() (int, bool) { return w.rank(n) }
 	}
@@ -146,9 +146,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	go func() {
-		defer close(n.over)
+		defer close(n.done)
 		if err := n.manager.Run(ctx); err != nil {
-			w.wrong("%s: %v", name, err)
+			w.reportFailure("%s: %v", name, err)
 		}
 	}()
 	w.nodesMu.Lock()
@@ -159,7 +159,7 @@
 
 // Route implements Router.
 func (n *node) Route(string, string) (*serving.Route, serving.Limits, error) {
-	if n.w.noRoute.Load() {
+	if n.w.isRouteRemoved.Load() {
 		return nil, serving.Limits{}, errs.New(errs.NotFound, "no route")
 	}
 	return n.w.route, serving.Limits{}, nil
@@ -168,24 +168,24 @@
 // stop ends a process as planned.
 func (n *node) stop() {
 	n.cancel()
-	<-n.over
+	<-n.done
 }
 
-// kill ends a process at once: nothing that it still does reaches the store.
+// kill ends a process at once: nothing that it does afterwards reaches the store.
 func (n *node) kill() {
 	n.view.Set(keyedlog.Faults{Refuse: true})
 	n.stop()
 }
 
-func (w *world) stopAll() {
+func (w *cluster) stopAll() {
 	for _, n := range w.nodes {
 		n.stop()
 	}
 	w.restarts.Wait()
 }
 
-// job makes a job whose item ids begin with kinds; see fakeTargets.
-func (w *world) job(id string, items ...string) *backlog.Job {
+// job returns a job whose item ids begin with the given kinds; see fakeTargets.
+func (w *cluster) job(id string, items ...string) *backlog.Job {
 	j := &backlog.Job{ID: id, Route: w.route.Name, Host: "h", Submitted: time.Now().UnixMilli(),
 		Due: w.route.Due, Retain: w.route.Retain, Attempts: w.route.Attempts}
 	for i, kind := range items {
@@ -198,7 +198,7 @@
 	return strings.Fields(strings.Repeat(kind+" ", n))
 }
 
-// submit hands a job in at the node until it is accepted.
+// submit submits a job at the node until it is accepted.
 func (n *node) submit(j *backlog.Job) {
 	for range 20 {
 		if err := n.manager.Submit(context.Background(), n.w.route, j); err == nil {
@@ -224,76 +224,77 @@
 	return list
 }
 
-// check wants each item once and with its whole output.
-func (w *world) check(j *backlog.Job, list []backlog.Result) {
+// checkResults expects each item exactly once and with its whole output.
+func (w *cluster) checkResults(j *backlog.Job, list []backlog.Result) {
 	w.t.Helper()
 	if len(list) != len(j.Items) {
-		w.wrong("job %s: %d results of %d items", j.ID, len(list), len(j.Items))
+		w.reportFailure("job %s: %d results of %d items", j.ID, len(list), len(j.Items))
 	}
 	seen := make(map[string]int)
 	for _, r := range list {
 		seen[r.Item]++
 		if seen[r.Item] > 1 {
-			w.wrong("job %s: item %s stands at two positions", j.ID, r.Item)
+			w.reportFailure("job %s: item %s has two positions", j.ID, r.Item)
 		}
-		want, outcome := output(r.Item), backlog.Complete
+		want, outcome := expectedOutput(r.Item), backlog.Complete
 		if !strings.HasPrefix(r.Item, "ok") {
 			want, outcome = "", backlog.Errored
 		}
 		if r.Outcome != outcome || r.Text != want {
-			w.wrong("job %s: item %s is %s with %d bytes, want %s with %d", j.ID, r.Item, r.Outcome, len(r.Text), outcome, len(want))
+			w.reportFailure("job %s: item %s is %s with %d bytes, want %s with %d", j.ID, r.Item, r.Outcome, len(r.Text), outcome, len(want))
 		}
 	}
 }
 
-func output(item string) string {
+func expectedOutput(item string) string {
 	var lines []string
-	for i := 1; i <= eventsOf(item); i++ {
+	for i := 1; i <= eventCountOf(item); i++ {
 		lines = append(lines, fmt.Sprintf("%s:%d", item, i))
 	}
 	return strings.Join(lines, "\n")
 }
 
-func eventsOf(item string) int {
+func eventCountOf(item string) int {
 	if strings.HasPrefix(item, "okay") {
-		return longEvents
+		return longItemEvents
 	}
 	return itemEvents
 }
 
-// doomDelay is how long a target works on an item before that crashes it.
-const doomDelay = 50 * time.Millisecond
+// crashDelay is how long a target runs an item before the item crashes it.
+const crashDelay = 50 * time.Millisecond
 
-// fakeTargets answer items by the beginning of their ids: "ok" runs whole, "never" is refused
-// for good with 422, "fail" fails with 500; under "crash" the target ends, under "doom" after doomDelay, with all other runs that it has; under "mute" it
-// falls silent after doomDelay and ends with its connections open.
+// fakeTargets respond according to the prefix of the item id: "ok" runs to its end, "never" is rejected for
+// good with 422, "fail" fails with 500. "crash" crashes the target, "doom" does so after crashDelay, together
+// with all other runs of the target. "mute" makes the target hang after crashDelay and ends it with its
+// connections open.
 type fakeTargets struct {
-	mu     sync.Mutex
-	runs   map[string]int // by item
-	starts map[string][]time.Time
-	from   map[string]string // the event after which the last run of an item began
+	mu           sync.Mutex
+	runs         map[string]int // by item
+	startTimes   map[string][]time.Time
+	resumedAfter map[string]string // the event after which the last run of an item began
 	// crashed are the targets that have ended. Another takes the place of each at once, under the same id.
 	crashed map[string]bool
-	// crashes is how often targets have ended, and streams are what they answer with just now, by target.
-	crashes int
-	muted   map[string]bool
-	down    map[string]bool // targets that refuse connections
-	streams map[string][]*io.PipeWriter
-	// replace puts another start in the place of a target that has ended.
+	// crashes counts the targets that have ended; streams are the open answers by target.
+	crashes  int
+	hung     map[string]bool
+	refusing map[string]bool // targets that refuse connections
+	streams  map[string][]*io.PipeWriter
+	// replace lists another start in the place of a target that has ended.
 	replace func(target string, crashes int)
 }
 
 func newFakeTargets() *fakeTargets {
 	return &fakeTargets{
-		runs: make(map[string]int), starts: make(map[string][]time.Time), from: make(map[string]string), crashed: make(map[string]bool),
-		streams: make(map[string][]*io.PipeWriter), muted: make(map[string]bool), down: make(map[string]bool),
+		runs: make(map[string]int), startTimes: make(map[string][]time.Time), resumedAfter: make(map[string]string), crashed: make(map[string]bool),
+		streams: make(map[string][]*io.PipeWriter), hung: make(map[string]bool), refusing: make(map[string]bool),
 	}
 }
 
-// crash ends a target. All that it runs breaks off, one after the other.
+// crash ends a target. All its runs break off, one after the other.
 func (f *fakeTargets) crash(target string) {
 	f.mu.Lock()
-	f.crashed[target], f.down[target] = true, true
+	f.crashed[target], f.refusing[target] = true, true
 	f.crashes++
 	crashes, streams := f.crashes, f.streams[target]
 	delete(f.streams, target)
@@ -304,18 +305,18 @@
 	f.replace(target, crashes)
 }
 
-// silence has a target send nothing more, with its connections open.
-func (f *fakeTargets) silence(target string) {
+// hang makes a target send nothing more, with its connections open.
+func (f *fakeTargets) hang(target string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.muted[target] = true
+	f.hung[target] = true
 }
 
-// mute ends a target whose connections stay open.
-func (f *fakeTargets) mute(target string) {
+// hangAndReplace ends a target whose connections stay open.
+func (f *fakeTargets) hangAndReplace(target string) {
 	f.mu.Lock()
-	isFirst := !f.muted[target]
-	f.muted[target] = true
+	isFirst := !f.hung[target]
+	f.hung[target] = true
 	if isFirst {
 		f.crashes++
 	}
@@ -326,13 +327,13 @@
 	}
 }
 
-func (f *fakeTargets) isMuted(target string) bool {
+func (f *fakeTargets) isHung(target string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.muted[target]
+	return f.hung[target]
 }
 
-// crashCount is how often targets have ended.
+// crashCount returns how many targets have ended.
 func (f *fakeTargets) crashCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -347,9 +348,9 @@
 	id := c.Request.ID
 	f.mu.Lock()
 	f.runs[id]++
-	f.starts[id] = append(f.starts[id], time.Now())
-	f.from[id] = c.ResumeAfter
-	isDown := f.down[c.Target.ID]
+	f.startTimes[id] = append(f.startTimes[id], time.Now())
+	f.resumedAfter[id] = c.ResumeAfter
+	isDown := f.refusing[c.Target.ID]
 	f.mu.Unlock()
 	if isDown {
 		return nil, errs.New(errs.TargetFailed, "connection refused").WithRan(errs.RanNo)
@@ -366,22 +367,23 @@
 		f.crashed[c.Target.ID] = true
 		return nil, errs.New(errs.TargetFailed, "EOF").WithRan(errs.RanUnknown)
 	case strings.HasPrefix(id, "mute"):
-		if sleep.For(ctx, doomDelay) {
-			f.mute(c.Target.ID)
+		if sleep.For(ctx, crashDelay) {
+			f.hangAndReplace(c.Target.ID)
 		}
 		<-ctx.Done()
 		return nil, errs.New(errs.Cancelled, ctx.Err().Error()).WithRan(errs.RanUnknown)
 	case strings.HasPrefix(id, "doom"):
-		return nil, f.doom(ctx, c.Target.ID)
+		return nil, f.crashDuringRequest(ctx, c.Target.ID)
 	default:
 		ans.Body = f.stream(ctx, c)
 	}
 	return ans, nil
 }
 
-// doom crashes a target under a request, unless that is given up before. The other runs break off a moment earlier.
-func (f *fakeTargets) doom(ctx context.Context, target string) error {
-	if sleep.For(ctx, doomDelay) {
+// crashDuringRequest crashes a target under a request, unless the request is cancelled before. The other runs
+// break off a moment earlier.
+func (f *fakeTargets) crashDuringRequest(ctx context.Context, target string) error {
+	if sleep.For(ctx, crashDelay) {
 		f.crash(target)
 	}
 	if !sleep.For(ctx, time.Millisecond) {
@@ -394,7 +396,7 @@
 func (f *fakeTargets) Probe(_ context.Context, t serving.Target) platform.ProbeResult {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.muted[t.ID] {
+	if f.hung[t.ID] {
 		return platform.ProbeUnknown
 	}
 	if f.crashed[t.ID] {
@@ -403,23 +405,23 @@
 	return platform.ProbeAlive
 }
 
-func (f *fakeTargets) count(id string) int {
+func (f *fakeTargets) runCount(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runs[id]
 }
 
-// lastStart is when the item was last sent here; zero when it never was.
+// lastStart returns when the item was last sent; zero if it never was.
 func (f *fakeTargets) lastStart(id string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if starts := f.starts[id]; len(starts) > 0 {
+	if starts := f.startTimes[id]; len(starts) > 0 {
 		return starts[len(starts)-1]
 	}
 	return time.Time{}
 }
 
-// lastStartOf is when the last of a job's items was sent here.
+// lastStartOf returns when the last of a job's items was sent.
 func (f *fakeTargets) lastStartOf(j *backlog.Job) time.Time {
 	var last time.Time
 	for _, item := range j.Items {
@@ -430,14 +432,14 @@
 	return last
 }
 
-// lastFrom is the event after which the item's last run began.
-func (f *fakeTargets) lastFrom(id string) string {
+// lastResumedAfter returns the event after which the item's last run began.
+func (f *fakeTargets) lastResumedAfter(id string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.from[id]
+	return f.resumedAfter[id]
 }
 
-// stream sends the item's events after the one that the call resumes after.
+// stream sends the item's events after the one from which the call resumes.
 func (f *fakeTargets) stream(ctx context.Context, c platform.TargetCall) io.ReadCloser {
 	id, from := c.Request.ID, c.ResumeAfter
 	r, wr := io.Pipe()
@@ -449,8 +451,8 @@
 		first = n + 1
 	}
 	go func() {
-		for i := first; i <= eventsOf(id); i++ {
-			if !sleep.For(ctx, eventGap) || f.isMuted(c.Target.ID) {
+		for i := first; i <= eventCountOf(id); i++ {
+			if !sleep.For(ctx, eventInterval) || f.isHung(c.Target.ID) {
 				<-ctx.Done()
 				_ = wr.CloseWithError(ctx.Err())
 				return
--- a/internal/backlog/hold.go
+++ b/internal/backlog/hold.go
@@ -9,39 +9,41 @@
 	"arbutusramp/internal/dependency"
 )
 
-// The group among whose members the shards are dealt. Its topic holds no records.
+// The store's group among whose members the shards are distributed. Its topic holds no records.
 const (
 	shardGroup = "backlog"
 	shardTopic = "shards"
 )
 
 const (
-	// joinsPerTTL is how often a member is heard of within the time after which it is gone.
+	// joinsPerTTL is the number of join calls of a member within the time after which the store removes a
+	// silent member.
 	joinsPerTTL = 3
-	// ttlFactor makes a member's time longer than the shortest that the store allows, so that
-	// one late call does not move all its shards.
-	ttlFactor = 1.5
-	// rejoinDelay is the pause after a call of the store that failed: the sooner all members are back
-	// after an outage, the sooner the shards stay where they are.
+	// memberTTLFactor makes a member's TTL longer than the shortest that the store allows, so that one late
+	// call does not move all its shards.
+	memberTTLFactor = 1.5
+	// rejoinDelay is the pause after a failed call of the store. The sooner all members are back after an
+	// outage, the fewer shards move.
 	rejoinDelay = 150 * time.Millisecond
-	// returnSpan is how long after the end of an outage the last members are back: a call that the
-	// store did not answer is given up after 1.2 s, and made again rejoinDelay later.
-	returnSpan = 1500 * time.Millisecond
-	// leaveTimeout bounds the farewell of a process that stops.
+	// rejoinGracePeriod is the time after the end of an outage within which the last members rejoin: a call
+	// that the store does not answer is abandoned after 1.2 s and repeated rejoinDelay later.
+	rejoinGracePeriod = 1500 * time.Millisecond
+	// leaveTimeout bounds how long a process takes to leave the group.
 	leaveTimeout = 700 * time.Millisecond
 )
 
-// Members of the group call the store several times a second. Of many processes only those of the lowest ranks are members: as many as there
-// are shards own one, and as many more take over at once.
+// Members of the group call the store several times a second. Of many processes only those of the lowest
+// ranks are members: one owner per shard, and as many more that can take over at once.
 const (
 	joinRanksPerShard = 2
-	// leaveRanksPerShard keeps members that own nothing from leaving and joining as others come and go.
+	// leaveRanksPerShard is larger than joinRanksPerShard, so that members without shards do not leave and
+	// rejoin whenever other processes start or stop.
 	leaveRanksPerShard = 3
-	// rankInterval is how often a process that is no member looks whether it should be.
-	rankInterval = 250 * time.Millisecond
+	// rankPollInterval is how often a process outside the group checks whether it should join.
+	rankPollInterval = 250 * time.Millisecond
 )
 
-// shouldJoin says whether this process should be a member.
+// shouldJoin reports whether this process should be a member.
 func (m *Manager) shouldJoin() bool {
 	if m.opts.Rank == nil {
 		return true
@@ -50,7 +52,7 @@
 	return isKnown && rank < joinRanksPerShard*m.opts.Shards
 }
 
-// canLeave says whether a member is not needed any more.
+// canLeave reports whether this member is no longer needed.
 func (m *Manager) canLeave(shards int) bool {
 	if m.opts.Rank == nil || shards > 0 {
 		return false
@@ -59,84 +61,86 @@
 	return rank >= leaveRanksPerShard*m.opts.Shards
 }
 
-// hold keeps this process a member of the group while it should be one.
-func (m *Manager) hold(ctx context.Context) error {
+// maintainMembership keeps this process a member of the group while it should be one, until ctx ends.
+func (m *Manager) maintainMembership(ctx context.Context) error {
 	defer m.stopSaving() // nothing is written after the process has left
 	for ctx.Err() == nil {
 		if m.shouldJoin() {
-			m.holdAsMember(ctx)
+			m.runAsMember(ctx)
 			continue
 		}
-		sleep.For(ctx, rankInterval)
+		sleep.For(ctx, rankPollInterval)
 	}
 	return nil
 }
 
-// holdAsMember takes and gives back shards as the store deals them, until ctx ends or the process is no longer needed as a member.
-func (m *Manager) holdAsMember(process context.Context) {
-	ctx, leave := context.WithCancel(process)
-	defer leave()
+// runAsMember acquires and releases shards as the store assigns them, until processCtx ends or the process is
+// no longer needed as a member.
+func (m *Manager) runAsMember(processCtx context.Context) {
+	ctx, endMembership := context.WithCancel(processCtx)
+	defer endMembership()
 	m.isMember.Store(true)
-	m.replica.wake()
-	ttl := time.Duration(float64(m.opts.MinTTL) * ttlFactor)
+	m.replica.requestReads()
+	ttl := time.Duration(float64(m.opts.MinTTL) * memberTTLFactor)
 	membership := platform.Membership{Group: shardGroup, Member: m.opts.Member, Topics: []string{shardTopic}, TTL: ttl}
 	shards := make(map[int]*shard)
-	var settled time.Time // when former owners have written what they had, after an outage
-	var asked time.Time
-	var a platform.Assignment
+	var formerOwnersDoneAt time.Time // after an outage: when former owners have written their progress
+	var requestedAt time.Time
+	var assignment platform.Assignment
 	join := func() (err error) {
-		asked = time.Now()
-		a, err = m.store.Join(ctx, membership)
+		requestedAt = time.Now()
+		assignment, err = m.store.Join(ctx, membership)
 		return err
 	}
 	pauses := dependency.Pauses{Answered: ttl / joinsPerTTL, Failed: rejoinDelay}
-	dependency.NewLink(m.log, shardGroup).Follow(ctx, pauses, join, func(back bool) {
-		if back {
-			settled = time.Now().Add(returnSpan)
+	dependency.NewLink(m.log, shardGroup).Follow(ctx, pauses, join, func(isBack bool) {
+		if isBack {
+			formerOwnersDoneAt = time.Now().Add(rejoinGracePeriod)
 		}
-		membership.Generation = a.Generation
-		m.deal(ctx, shards, a, settled)
-		m.scheduler.leaseUntil(asked.Add(ttl))
+		membership.Generation = assignment.Generation
+		m.applyAssignment(ctx, shards, assignment, formerOwnersDoneAt)
+		m.scheduler.setLeaseEnd(requestedAt.Add(ttl))
 		if m.canLeave(len(shards)) {
-			m.log.Info("not needed as an owner of shards", "generation", a.Generation)
-			leave()
+			m.log.Info("not needed as an owner of shards", "generation", assignment.Generation)
+			endMembership()
 		}
 	})
 	m.isMember.Store(false)
-	m.leave(shards, process.Err() != nil)
+	m.leaveGroup(shards, processCtx.Err() != nil)
 }
 
-// deal starts shards that are new and stops those that were taken away. Stopping comes before
-// the next join, which tells the store that they are free. The items of new shards begin once settled
-// has passed.
-func (m *Manager) deal(ctx context.Context, shards map[int]*shard, a platform.Assignment, settled time.Time) {
-	held := make(map[int]bool, len(a.Held))
-	for _, p := range a.Held {
-		held[p.Index] = true
+// applyAssignment starts newly assigned shards and stops those that are no longer assigned. They are stopped
+// before the next join call, which reports them to the store as free. The items of new shards start once
+// formerOwnersDoneAt has passed.
+func (m *Manager) applyAssignment(ctx context.Context, shards map[int]*shard, assignment platform.Assignment, formerOwnersDoneAt time.Time) {
+	isAssigned := make(map[int]bool, len(assignment.Held))
+	for _, p := range assignment.Held {
+		isAssigned[p.Index] = true
 	}
 	for i, s := range shards {
-		if !held[i] {
-			m.log.Info("shard given back", "shard", i, "epoch", s.epoch, "generation", a.Generation)
+		if !isAssigned[i] {
+			m.log.Info("shard given back", "shard", i, "epoch", s.epoch, "generation", assignment.Generation)
 			s.stop()
 			delete(shards, i)
 		}
 	}
-	for i := range held {
+	for i := range isAssigned {
 		if s, ok := shards[i]; ok {
-			// Begun anew in the same epoch, the shard would use sequence numbers again, and the
-			// store would answer its writes as repeats without doing them.
-			if !s.fenced() || a.Generation <= s.epoch {
+			// Restarted in the same epoch, the shard would reuse sequence numbers, and the store would answer
+			// its writes as repeats without doing them.
+			if !s.isFenced() || assignment.Generation <= s.epoch {
 				continue
 			}
 			s.stop()
 		}
-		m.log.Info("shard taken", "shard", i, "epoch", a.Generation)
-		shards[i] = m.startShard(ctx, i, a.Generation, settled)
+		m.log.Info("shard taken", "shard", i, "epoch", assignment.Generation)
+		shards[i] = m.startShard(ctx, i, assignment.Generation, formerOwnersDoneAt)
 	}
 }
 
-// leave hands over all shards: their items' progress is written, then the store may deal them out.
-func (m *Manager) leave(shards map[int]*shard, isStopping bool) {
+// leaveGroup writes the progress and results of all shards, then leaves the group so that the store may
+// reassign the shards. If isStopping is set, it cancels running items first.
+func (m *Manager) leaveGroup(shards map[int]*shard, isStopping bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if isStopping {
@@ -145,8 +149,8 @@
 	for _, s := range shards {
 		s.handOver(ctx)
 	}
-	m.awaitSaved(ctx)
+	m.awaitSaves(ctx)
 	if err := m.store.Leave(ctx, shardGroup, m.opts.Member); err != nil {
-		m.log.Warn("the store was not told of the leave: shards move once the lease has run out", "error", err)
+		m.log.Warn("leave request failed: shards move once the lease has expired", "error", err)
 	}
 }
--- a/internal/backlog/item.go
+++ b/internal/backlog/item.go
@@ -20,64 +20,64 @@
 )
 
 const (
-	// itemIdleTimeout is how long an item's stream may stand still before the item goes on
-	// elsewhere. A stream may wait in its target's queue, so this is longer than for a target
-	// that sends nothing to anybody, and at least twice as long as targets that work may be silent.
+	// itemIdleTimeout is how long an item's stream may be idle before the item is moved to another target. A
+	// stream may wait in its target's queue, so the timeout is longer than the one for a target that sends
+	// nothing on any stream, and at least twice the normal silence of a working target.
 	itemIdleTimeout = 1500 * time.Millisecond
-	// silencePollInterval is how often that is looked at.
-	silencePollInterval = 100 * time.Millisecond
+	// watchdogInterval is how often a watchdog checks its run.
+	watchdogInterval = 100 * time.Millisecond
 )
 
-// Names of the histograms of an item's stages at this process, in milliseconds.
+// Histograms of the stages of an item in this process, in milliseconds.
 const (
-	waitMetric = "item.wait_ms" // from when it was taken on until its first run
+	waitMetric = "item.wait_ms" // from when this process takes the item on until its first run
 	runMetric  = "item.run_ms"  // one run at a target
-	listMetric = "item.list_ms" // from its end until that lies in the store
+	listMetric = "item.list_ms" // from the item's outcome until its result is in the store
 )
 
-// verdict is what one run of an item means for it.
-type verdict uint8
+// runVerdict is the outcome of one run of an item.
+type runVerdict uint8
 
 const (
-	goOn     verdict = iota // it goes on later, from its last event
-	complete                // it has its whole output
-	failed                  // the target has answered with a failure
-	hopeless                // no target can do it
+	runInterrupted runVerdict = iota // the item resumes later, after its last event
+	runComplete                      // the item has its whole output
+	runFailed                        // the target has answered with a failure
+	runRejected                      // no target can run the item
 )
 
-// runItem runs a task at one target, from its last event on.
+// runItem runs a task at one target, resuming after the task's last event.
 func (m *Manager) runItem(ctx context.Context, t *task, r *fleetview.Run, route *serving.Route) {
-	from, made := t.lastEvent(), t.made()
+	fromEvent, eventsBefore := t.lastEvent(), t.eventCount()
 	began := time.Now()
-	m.sent.Info(began, "item sent", "job", t.job.ID, "item", t.item().ID, "shard", t.shard.index, "epoch", t.shard.epoch,
-		"route", route.Name, "target", r.Choice.String(), "from_event", from, "uri", t.item().URI,
-		"body_bytes", len(t.item().Body), "body_sum", bodySum(t.item().Body))
-	v, err := m.follow(ctx, t, r, route)
+	m.sentLog.Info(began, "item sent", "job", t.job.ID, "item", t.item().ID, "shard", t.shard.index, "epoch", t.shard.epoch,
+		"route", route.Name, "target", r.Choice.String(), "from_event", fromEvent, "uri", t.item().URI,
+		"body_bytes", len(t.item().Body), "body_sum", bodyChecksum(t.item().Body))
+	v, err := m.streamItem(ctx, t, r, route)
 	r.Done()
 	took := time.Since(began)
-	first, sinceLast := r.Times()
-	telemetry.Observe(m.reg, runMetric, took)
-	m.pace.Ran(t.job.Route, t.made()-made, took)
-	if v == complete {
+	first, idle := r.Times()
+	telemetry.Observe(m.registry, runMetric, took)
+	m.runTimes.Ran(t.job.Route, t.eventCount()-eventsBefore, took)
+	if v == runComplete {
 		m.opts.Quarantine.Served(t.content)
-		m.pace.Done(t.job.Route, t.made(), t.item().Tokens)
+		m.runTimes.Done(t.job.Route, t.eventCount(), t.item().Tokens)
 	}
-	to, preempted := t.lastEvent(), t.settle(r.Target.ID, v)
-	m.scheduler.noteSettled()
-	if v == failed {
+	toEvent, isPreempted := t.lastEvent(), t.finishRun(r.Target.ID, v)
+	m.scheduler.notifyRunFinished()
+	if v == runFailed {
 		m.saveFailure(t)
 	}
-	m.runs.Info(time.Now(), "item run", "job", t.job.ID, "item", t.item().ID, "shard", t.shard.index, "epoch", t.shard.epoch,
-		"route", route.Name, "target", r.Choice.String(), "from_event", from, "to_event", to, "ms", took.Milliseconds(),
-		"first_ms", first.Milliseconds(), "idle_ms", sinceLast.Milliseconds(), "verdict", v.String(), "preempted", preempted, "error", errText(err))
+	m.runLog.Info(time.Now(), "item run", "job", t.job.ID, "item", t.item().ID, "shard", t.shard.index, "epoch", t.shard.epoch,
+		"route", route.Name, "target", r.Choice.String(), "from_event", fromEvent, "to_event", toEvent, "ms", took.Milliseconds(),
+		"first_ms", first.Milliseconds(), "idle_ms", idle.Milliseconds(), "verdict", v.String(), "preempted", isPreempted, "error", errText(err))
 }
 
-func (v verdict) String() string {
+func (v runVerdict) String() string {
 	return [...]string{"go on", "complete", "failed", "hopeless"}[v]
 }
 
-// bodySum identifies an item's body in log lines: where it comes in, where it is sent and where it is given back.
-func bodySum(body []byte) string { return strconv.FormatUint(xxhash.Sum64(body), 16) }
+// bodyChecksum identifies an item's body in the log lines about receiving, sending and returning it.
+func bodyChecksum(body []byte) string { return strconv.FormatUint(xxhash.Sum64(body), 16) }
 
 func errText(err error) string {
 	if err == nil {
@@ -86,79 +86,81 @@
 	return err.Error()
 }
 
-// settle decides how a task goes on after a run and reports whether the run was preempted. The run
-// is over only with that: a task that is not running and not over is started again.
-func (t *task) settle(target string, v verdict) (preempted bool) {
-	end, preempted := t.conclude(target, v)
-	if end != nil && !t.shard.finish(end) {
-		// A process that was frozen reads what its targets have sent meanwhile after it has given its shards up. Dropped, the end
-		// would have the next owner run the whole item again.
-		t.shard.m.log.Info("end handed over", "job", t.job.ID, "item", t.item().ID, "shard", t.shard.index, "epoch", t.shard.epoch, "outcome", end.outcome)
+// finishRun decides how a task continues after a run and reports whether the run was preempted. The run
+// counts as active until the verdict is applied: a task without an active run and without an outcome is
+// started again.
+func (t *task) finishRun(target string, v runVerdict) (isPreempted bool) {
+	result, isPreempted := t.applyVerdict(target, v)
+	if result != nil && !t.shard.enqueueResult(result) {
+		// A process that was frozen reads what its targets have sent in the meantime after it has released
+		// its shards. If the result were discarded here, the next owner would run the whole item again.
+		t.shard.m.log.Info("end handed over", "job", t.job.ID, "item", t.item().ID, "shard", t.shard.index, "epoch", t.shard.epoch, "outcome", result.outcome)
 		t.shard.m.saveProgress([]*task{t})
 	}
-	return preempted
+	return isPreempted
 }
 
-// conclude is settle without telling the shard, which must not happen under the task's lock.
-func (t *task) conclude(target string, v verdict) (end *outcome, preempted bool) {
+// applyVerdict updates the task after a run. It returns the item's result, if the run decides it; the caller
+// passes it to the shard, which must not happen under the task's lock.
+func (t *task) applyVerdict(target string, v runVerdict) (result *pendingResult, isPreempted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.running = false
+	t.hasActiveRun = false
 	switch v {
-	case complete:
-		return t.end(backlog.Complete, string(t.text)), t.preempted
-	case hopeless:
-		return t.end(backlog.Errored, ""), t.preempted
-	case failed:
+	case runComplete:
+		return t.setOutcome(backlog.Complete, string(t.text)), t.isPreempted
+	case runRejected:
+		return t.setOutcome(backlog.Errored, ""), t.isPreempted
+	case runFailed:
 		t.failures++
 		if t.failures >= t.job.Attempts {
-			return t.end(backlog.Errored, ""), t.preempted
+			return t.setOutcome(backlog.Errored, ""), t.isPreempted
 		}
 	}
-	if t.preempted {
-		t.avoid = nil
+	if t.isPreempted {
+		t.avoidTargets = nil
 		return nil, true
 	}
-	t.avoid = []string{target}
-	t.notUntil = time.Now().Add(retryDelay)
+	t.avoidTargets = []string{target}
+	t.notBefore = time.Now().Add(retryDelay)
 	return nil, false
 }
 
-// follow sends the item and reads its stream.
-func (m *Manager) follow(ctx context.Context, t *task, r *fleetview.Run, route *serving.Route) (verdict, error) {
+// streamItem sends the item and reads its event stream.
+func (m *Manager) streamItem(ctx context.Context, t *task, r *fleetview.Run, route *serving.Route) (runVerdict, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	guard := newGuard(ctx, cancel, r)
+	wd := newWatchdog(ctx, cancel, r)
 	r.WhenEnded(cancel)
-	from := t.lastEvent()
-	ans, err := m.targets.Send(ctx, platform.TargetCall{Target: r.Target, Request: t.content.Request, ResumeAfter: from})
+	fromEvent := t.lastEvent()
+	answer, err := m.targets.Send(ctx, platform.TargetCall{Target: r.Target, Request: t.content.Request, ResumeAfter: fromEvent})
 	if err != nil {
-		return goOn, m.itemFailed(ctx, t, guard, from, err)
+		return runInterrupted, m.classifyRunError(ctx, t, wd, fromEvent, err)
 	}
-	defer ans.Body.Close()
-	guard.noteEvent()
-	if v, err := m.itemRefused(t, r, ans); v != complete {
+	defer answer.Body.Close()
+	wd.noteEvent()
+	if v, err := m.classifyAnswer(t, r, answer); v != runComplete {
 		return v, err
 	}
-	in := events.NewReader(ans.Body)
+	reader := events.NewReader(answer.Body)
 	for {
-		e, err := in.Next()
+		e, err := reader.Next()
 		if err == io.EOF {
-			return complete, nil
+			return runComplete, nil
 		}
 		if err != nil {
-			return goOn, m.itemFailed(ctx, t, guard, from, err)
+			return runInterrupted, m.classifyRunError(ctx, t, wd, fromEvent, err)
 		}
-		guard.noteEvent()
-		if r.Event() >= quarantine.PassTime && t.notePassed() {
+		wd.noteEvent()
+		if r.Event() >= quarantine.PassTime && t.markPassed() {
 			m.opts.Quarantine.Passed(t.content)
 		}
-		t.take(e)
+		t.appendEvent(e)
 	}
 }
 
-// take adds an event to the item's text.
-func (t *task) take(e events.Event) {
+// appendEvent appends an event to the item's text.
+func (t *task) appendEvent(e events.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.lastID != "" {
@@ -167,59 +169,61 @@
 	t.text = append(t.text, e.Data...)
 	t.lastID = e.ID
 	t.events++
-	t.unsaved++
+	t.unsavedEvents++
 }
 
-// itemRefused tells answers that are no stream of the item; complete means that it is one.
-func (m *Manager) itemRefused(t *task, r *fleetview.Run, ans *platform.TargetAnswer) (verdict, error) {
+// classifyAnswer returns the verdict on answers that are no event stream of the item; runComplete means that
+// the answer is one.
+func (m *Manager) classifyAnswer(t *task, r *fleetview.Run, answer *platform.TargetAnswer) (runVerdict, error) {
 	switch {
-	case ans.OtherInstance:
+	case answer.OtherInstance:
 		m.view.Drop(r.Target.ID)
-		return goOn, errs.New(errs.TargetFailed, "another target has the address")
-	case ans.NotRun:
-		return goOn, errs.Newf(errs.TargetFailed, "the target refuses the item with %d", ans.Status)
-	case ans.Foreign:
-		return goOn, errs.New(errs.TargetFailed, "the answer belongs to another request")
-	case ans.Status == http.StatusOK:
-		return complete, nil
-	case ans.Status == http.StatusUnprocessableEntity:
-		return hopeless, errs.New(errs.TargetRefused, "the item can never be done")
-	case ans.Status == http.StatusInternalServerError:
-		return failed, errs.New(errs.TargetFailed, "the target has failed the item")
-	}
-	return goOn, errs.Newf(errs.TargetFailed, "the target answers %d", ans.Status)
+		return runInterrupted, errs.New(errs.TargetFailed, "another target has the address")
+	case answer.NotRun:
+		return runInterrupted, errs.Newf(errs.TargetFailed, "the target refuses the item with status %d", answer.Status)
+	case answer.Foreign:
+		return runInterrupted, errs.New(errs.TargetFailed, "the answer belongs to another request")
+	case answer.Status == http.StatusOK:
+		return runComplete, nil
+	case answer.Status == http.StatusUnprocessableEntity:
+		return runRejected, errs.New(errs.TargetRefused, "no target can process the item")
+	case answer.Status == http.StatusInternalServerError:
+		return runFailed, errs.New(errs.TargetFailed, "the target failed the item")
+	}
+	return runInterrupted, errs.Newf(errs.TargetFailed, "the target answered with status %d", answer.Status)
 }
 
-// brokenRun is a run that began after the event from and was broken off, as the quarantine is told of it.
-func brokenRun(t *task, r *fleetview.Run, from string, err error) quarantine.Broken {
+// brokenRun describes, for the quarantine, a run that resumed after the event fromEvent and was broken off.
+func brokenRun(t *task, r *fleetview.Run, fromEvent string, err error) quarantine.Broken {
 	return quarantine.Broken{
-		Content: t.content, Target: r.Target, Start: r.Target.ID, Began: r.Began(), From: from, To: t.lastEvent(),
+		Content: t.content, Target: r.Target, Start: r.Target.ID, Began: r.Began(), From: fromEvent, To: t.lastEvent(),
 		HasPassed: r.AnsweredFor() >= quarantine.PassTime, HasCrashed: r.HasEnded(), Err: err,
 	}
 }
 
-// itemFailed counts a lost connection against the target, unless the run was ended here.
-func (m *Manager) itemFailed(ctx context.Context, t *task, g *guard, from string, err error) error {
-	r := g.run
+// classifyRunError returns the error of a broken run and reports the run to the quarantine. A lost connection
+// counts as a failure of the target, unless this process has cancelled the run.
+func (m *Manager) classifyRunError(ctx context.Context, t *task, wd *watchdog, fromEvent string, err error) error {
+	r := wd.run
 	if r.HasEnded() && errs.As(err).Ran != errs.RanNo {
-		err = errs.New(errs.StreamBroken, "the target has started again")
-		m.opts.Quarantine.BrokenOff(brokenRun(t, r, from, err))
+		err = errs.New(errs.StreamBroken, "the target has restarted")
+		m.opts.Quarantine.BrokenOff(brokenRun(t, r, fromEvent, err))
 		return err
 	}
-	if g.hasEnded.Load() {
-		err = errs.New(errs.TargetTimeout, "the target has sent nothing for too long")
-		m.opts.Quarantine.FellSilent(brokenRun(t, r, from, err))
+	if wd.hasCancelledRun.Load() {
+		err = errs.New(errs.TargetTimeout, "the target sent nothing for too long")
+		m.opts.Quarantine.FellSilent(brokenRun(t, r, fromEvent, err))
 		return err
 	}
 	if ctx.Err() != nil {
-		m.opts.Quarantine.Interrupted(brokenRun(t, r, from, err))
+		m.opts.Quarantine.Interrupted(brokenRun(t, r, fromEvent, err))
 		return errs.Newf(errs.Cancelled, "%v", ctx.Err())
 	}
 	if r.Failed() {
 		m.log.Warn("target suspect", "target", r.Target.ID, "addr", r.Target.Addr, "why", err.Error(), "item", t.item().ID)
 	}
 	if errs.As(err).Ran != errs.RanNo {
-		m.opts.Quarantine.BrokenOff(brokenRun(t, r, from, err))
+		m.opts.Quarantine.BrokenOff(brokenRun(t, r, fromEvent, err))
 	}
 	return err
 }
--- a/internal/backlog/late_end_test.go
+++ b/internal/backlog/late_end_test.go
@@ -7,15 +7,15 @@
 	"arbutusramp/core/backlog"
 )
 
-// Symptom: after processes had been frozen, items whose whole output had been read were run again as a whole, some twice.
-// Sequence: a process is frozen while its items run; its shards are dealt to others; it wakes, gives the shards up, and reads
-// the rest of what the engines had sent in the meantime: some of its items are whole.
-// Cause: an end that came after its shard had been given up was dropped without a word.
-func TestAnEndAfterItsShardIsGivenUpIsHandedOver(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, w *world) {
+// An item whose whole output has been read must not be run again after its owner was frozen. The process is
+// frozen while its items run and its shards are reassigned. When it resumes, it releases the shards and reads
+// the rest of what the engines have sent: some items are now complete. If their results were discarded
+// because the shard is released, the next owners would run these items again, some twice.
+func TestResultAfterShardReleaseIsHandedOver(t *testing.T) {
+	withCluster(t, 2, func(t *testing.T, w *cluster) {
 		j := w.job("a", "okay")
 		w.nodes[0].submit(j)
-		time.Sleep(20 * eventGap)
+		time.Sleep(20 * eventInterval)
 		var owner *Manager
 		var task *task
 		for _, n := range w.nodes {
@@ -26,14 +26,14 @@
 			n.manager.scheduler.mu.Unlock()
 		}
 		if owner == nil {
-			t.Fatal("nobody has the item")
+			t.Fatal("no process has the item")
 		}
 		task.shard.stop()
-		time.Sleep(20 * eventGap)
+		time.Sleep(20 * eventInterval)
 		task.mu.Lock()
-		task.lastID, task.text = "200", []byte(output(j.Items[0].ID))
+		task.lastID, task.text = "200", []byte(expectedOutput(j.Items[0].ID))
 		task.mu.Unlock()
-		task.settle("target-0", complete)
+		task.finishRun("target-0", runComplete)
 		time.Sleep(100 * time.Millisecond)
 		st := backlog.NewState()
 		for _, r := range w.store.Records(jobPartition) {
@@ -46,8 +46,8 @@
 				t.Fatal(err)
 			}
 		}
-		if p := st.Progress(j.ID, j.Items[0].ID); p.Outcome != backlog.Complete || p.Text != output(j.Items[0].ID) {
-			t.Errorf("the next owner finds %q with %d bytes of %d", p.Outcome, len(p.Text), len(output(j.Items[0].ID)))
+		if p := st.Progress(j.ID, j.Items[0].ID); p.Outcome != backlog.Complete || p.Text != expectedOutput(j.Items[0].ID) {
+			t.Errorf("the next owner reads outcome %q with %d bytes of %d", p.Outcome, len(p.Text), len(expectedOutput(j.Items[0].ID)))
 		}
 	})
 }
--- a/internal/backlog/listing.go
+++ b/internal/backlog/listing.go
@@ -13,127 +13,129 @@
 	"arbutusramp/internal/telemetry"
 )
 
-// listing is one write of a shard's results. The texts that lie apart are written before them, so that whoever reads a
-// result finds its text.
-type listing struct {
-	ends    int // of the shard's queue that it takes in
-	results []backlog.Result
-	texts   []backlog.Text         // of the results that have theirs apart
-	records []platform.KeyedRecord // of the results, once their texts are written
+// resultBatch is one write of a shard's results. Separately stored texts are written before the results, so
+// that every reader of a result finds its text.
+type resultBatch struct {
+	pendingCount int // number of the shard's pending results that the batch covers
+	results      []backlog.Result
+	texts        []backlog.Text         // texts that are stored separately from their results
+	records      []platform.KeyedRecord // records of the results; set once the texts are written
 }
 
-// flush writes the ends that wait, as many as fit into one append. It reports whether it should
-// be called again at once.
+// flush writes pending results, as many as fit into one append. It reports whether it should be called again
+// at once.
 func (s *shard) flush(ctx context.Context) bool {
-	l := s.collect()
-	if l.ends == 0 {
+	b := s.nextBatch()
+	if b.pendingCount == 0 {
 		return false
 	}
-	if len(l.results) > 0 && !(s.prepare(ctx, l) && s.write(ctx, l.records)) {
+	if len(b.results) > 0 && !(s.prepare(ctx, b) && s.writeResults(ctx, b.records)) {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, o := range s.queue[:l.ends] {
-		telemetry.Observe(s.m.reg, listMetric, time.Since(o.known))
-		s.m.log.Info("item", "job", o.job.ID, "item", o.item(), "outcome", o.outcome, "bytes", len(o.text), "shard", s.index, "epoch", s.epoch)
+	for _, p := range s.pending[:b.pendingCount] {
+		telemetry.Observe(s.m.registry, listMetric, time.Since(p.receivedAt))
+		s.m.log.Info("item", "job", p.job.ID, "item", p.item(), "outcome", p.outcome, "bytes", len(p.text), "shard", s.index, "epoch", s.epoch)
 	}
-	s.queue = s.queue[l.ends:]
-	s.open = nil
-	return len(s.queue) > 0
+	s.pending = s.pending[b.pendingCount:]
+	s.unconfirmed = nil
+	return len(s.pending) > 0
 }
 
-// collect gives positions to the ends that wait.
-func (s *shard) collect() *listing {
+// nextBatch assigns positions to pending results and returns their batch. A batch whose write is unconfirmed
+// is returned again.
+func (s *shard) nextBatch() *resultBatch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open != nil {
-		return s.open
+	if s.unconfirmed != nil {
+		return s.unconfirmed
 	}
-	l := &listing{}
+	b := &resultBatch{}
 	size := 0
-	for _, o := range s.queue {
-		size += len(o.text)
-		if l.ends > 0 && size > maxCallBytes/2 {
+	for _, p := range s.pending {
+		size += len(p.text)
+		if b.pendingCount > 0 && size > maxAppendBytes/2 {
 			break
 		}
-		l.ends++
-		if !s.listed(o) {
-			s.list(l, o)
+		b.pendingCount++
+		if !s.hasPosition(p) {
+			s.addToBatch(b, p)
 		}
 	}
-	if l.ends > 0 {
-		s.open = l
+	if b.pendingCount > 0 {
+		s.unconfirmed = b
 	}
-	return l
+	return b
 }
 
-// list takes an end into a listing. The caller holds the lock.
-func (s *shard) list(l *listing, o *outcome) {
-	s.given[o.key()] = true
-	r := backlog.Result{Job: o.job.ID, Position: s.position(o.job.ID), Item: o.item(), Outcome: o.outcome, Index: o.index}
-	if s.m.inline(o.text) {
-		r.Text = o.text
+// addToBatch adds a result to a batch. The caller holds the lock.
+func (s *shard) addToBatch(b *resultBatch, p *pendingResult) {
+	s.positioned[p.key()] = true
+	r := backlog.Result{Job: p.job.ID, Position: s.nextPosition(p.job.ID), Item: p.item(), Outcome: p.outcome, Index: p.index}
+	if s.m.storesInline(p.text) {
+		r.Text = p.text
 	} else {
-		r.Size, r.Sum = len(o.text), backlog.Sum(o.text)
-		l.texts = append(l.texts, backlog.Text{Job: r.Job, Index: r.Index, Text: o.text})
+		r.Size, r.Sum = len(p.text), backlog.Sum(p.text)
+		b.texts = append(b.texts, backlog.Text{Job: r.Job, Index: r.Index, Text: p.text})
 	}
-	s.next[o.job.ID]++
-	l.results = append(l.results, r)
+	s.nextPositions[p.job.ID]++
+	b.results = append(b.results, r)
 }
 
-// inline says whether a text stands in the record of its result. Every process reads that, so with a few of
-// them it is cheaper than a call of each that is asked for the text; with many it is not.
-func (m *Manager) inline(text string) bool {
+// storesInline reports whether a text is stored in the record of its result. Every process reads these
+// records: with few processes this is cheaper than one extra read for each text that a caller asks for, with
+// many it is not.
+func (m *Manager) storesInline(text string) bool {
 	return len(text)*(1+m.view.Peers()) <= m.opts.SpreadBytes
 }
 
-// prepare writes the texts of a listing and encodes its results.
-func (s *shard) prepare(ctx context.Context, l *listing) bool {
-	if l.records != nil {
+// prepare writes the texts of a batch and encodes its results.
+func (s *shard) prepare(ctx context.Context, b *resultBatch) bool {
+	if b.records != nil {
 		return true
 	}
-	at, ok := s.m.texts.write(ctx, l.texts)
+	offsets, ok := s.m.textStore.write(ctx, b.texts)
 	if !ok {
 		return false
 	}
 	var records []platform.KeyedRecord
-	for i := range l.results {
-		r := &l.results[i]
-		r.TextAt = at[r.TextKey()]
+	for i := range b.results {
+		r := &b.results[i]
+		r.TextAt = offsets[r.TextKey()]
 		encoded, err := backlog.EncodeResult(r)
 		if err != nil {
-			s.m.log.Error("result can't be encoded", "job", r.Job, "item", r.Item, "error", err)
+			s.m.log.Error("can't encode result", "job", r.Job, "item", r.Item, "error", err)
 			return false
 		}
 		records = append(records, encoded...)
 	}
-	l.records = records
+	b.records = records
 	return true
 }
 
-// listed says whether an item has its result already. An item that ends twice here, since a run
-// of it was begun while its first end was being written, must not get a second position.
-func (s *shard) listed(o *outcome) (done bool) {
-	if s.given[o.key()] {
+// hasPosition reports whether an item has a result already. An item may end twice here, because another run
+// of it was started while its first result was being written; it must not get a second position.
+func (s *shard) hasPosition(p *pendingResult) (hasResult bool) {
+	if s.positioned[p.key()] {
 		return true
 	}
-	s.m.replica.with(func(st *backlog.State) { done = st.Done(o.job.ID, o.item()) })
-	return done
+	s.m.replica.withState(func(st *backlog.State) { hasResult = st.Done(p.job.ID, p.item()) })
+	return hasResult
 }
 
-// position is where the job's next result goes. The caller holds the lock.
-func (s *shard) position(job string) int {
-	if _, ok := s.next[job]; !ok {
-		s.m.replica.with(func(st *backlog.State) { s.next[job] = st.Listed(job) })
+// nextPosition returns the position of the job's next result. The caller holds the lock.
+func (s *shard) nextPosition(job string) int {
+	if _, ok := s.nextPositions[job]; !ok {
+		s.m.replica.withState(func(st *backlog.State) { s.nextPositions[job] = st.Listed(job) })
 	}
-	return s.next[job]
+	return s.nextPositions[job]
 }
 
-// write appends records until the store has them or a newer owner exists. A lost answer is made
-// good by the same write with the same number, which the store does once.
-func (s *shard) write(ctx context.Context, records []platform.KeyedRecord) bool {
-	first := true
+// writeResults appends records until the store has them or a newer owner exists. After a lost answer it
+// repeats the write with the same sequence number; the store does it only once.
+func (s *shard) writeResults(ctx context.Context, records []platform.KeyedRecord) bool {
+	isFirst := true
 	for tries := 0; ; tries++ {
 		_, err := s.m.store.Append(ctx, platform.Append{Partition: resultPartition, Records: records, Producer: s.producer()})
 		if err == nil {
@@ -141,24 +143,24 @@
 			s.m.replica.applyOwn(records)
 			return true
 		}
-		var gap *platform.OutOfSequence
-		if errors.As(err, &gap) && first && s.seq == 1 {
+		var outOfSequence *platform.OutOfSequence
+		if errors.As(err, &outOfSequence) && isFirst && s.seq == 1 {
 			// The store may count the write that set the epoch.
-			s.seq = gap.Expected
+			s.seq = outOfSequence.Expected
 			continue
 		}
-		if errors.As(err, &gap) {
-			s.m.log.Error("out of sequence", "shard", s.index, "epoch", s.epoch, "seq", s.seq, "expected", gap.Expected)
-			s.refused(&platform.Fenced{Epoch: s.epoch})
+		if errors.As(err, &outOfSequence) {
+			s.m.log.Error("result write out of sequence", "shard", s.index, "epoch", s.epoch, "seq", s.seq, "expected", outOfSequence.Expected)
+			s.handleFenced(&platform.Fenced{Epoch: s.epoch})
 			return false
 		}
 		if errs.Is(err, errs.AppendUnknown) {
-			first = false
+			isFirst = false
 		}
 		if tries == 0 {
 			s.m.log.Warn("results not written yet", "shard", s.index, "epoch", s.epoch, "seq", s.seq, "records", len(records), "error", err)
 		}
-		if s.refused(err) || !sleep.For(ctx, writePause) {
+		if s.handleFenced(err) || !sleep.For(ctx, writeRetryPause) {
 			return false
 		}
 	}
--- a/internal/backlog/manager_test.go
+++ b/internal/backlog/manager_test.go
@@ -16,24 +16,24 @@
 	"arbutusramp/standin/keyedlog"
 )
 
-func TestAJobRunsToItsEndAndIsReadAnywhere(t *testing.T) {
-	bubble(t, 3, func(t *testing.T, w *world) {
+func TestJobCompletesAndIsReadableAnywhere(t *testing.T) {
+	withCluster(t, 3, func(t *testing.T, w *cluster) {
 		j := w.job("a", "ok", "ok", "never", "fail", "ok")
 		w.nodes[0].submit(j)
 		for _, n := range w.nodes {
-			w.check(j, n.results(j, 20*time.Second))
+			w.checkResults(j, n.results(j, 20*time.Second))
 		}
-		if n := w.targets.count(j.Items[3].ID); n != j.Attempts {
-			t.Errorf("an item that fails at each run was run %d times, want %d", n, j.Attempts)
+		if n := w.targets.runCount(j.Items[3].ID); n != j.Attempts {
+			t.Errorf("an item that fails in each run was run %d times, want %d", n, j.Attempts)
 		}
-		if n := w.targets.count(j.Items[2].ID); n != 1 {
-			t.Errorf("an item that can never be done was run %d times", n)
+		if n := w.targets.runCount(j.Items[2].ID); n != 1 {
+			t.Errorf("an item that no target can process was run %d times, want once", n)
 		}
 	})
 }
 
-func TestAJobThatComesAgainIsAcceptedOnce(t *testing.T) {
-	bubble(t, 3, func(t *testing.T, w *world) {
+func TestResubmittedJobIsWrittenOnce(t *testing.T) {
+	withCluster(t, 3, func(t *testing.T, w *cluster) {
 		j := w.job("a", repeat("ok", 5)...)
 		done := make(chan struct{})
 		for _, n := range w.nodes {
@@ -45,7 +45,7 @@
 		for range w.nodes {
 			<-done
 		}
-		w.check(j, w.nodes[1].results(j, 20*time.Second))
+		w.checkResults(j, w.nodes[1].results(j, 20*time.Second))
 		written := 0
 		for _, r := range w.store.Records(jobPartition) {
 			if r.Key == "j/a" {
@@ -58,8 +58,8 @@
 	})
 }
 
-func TestTheLimitOfARouteHoldsAcrossProcesses(t *testing.T) {
-	bubble(t, 3, func(t *testing.T, w *world) {
+func TestRouteLimitHoldsAcrossProcesses(t *testing.T) {
+	withCluster(t, 3, func(t *testing.T, w *cluster) {
 		route := *w.route
 		route.MaxQueued = 1000
 		accepted := make(chan int64, 30)
@@ -88,23 +88,21 @@
 	})
 }
 
-// Symptom: an item stood at two positions of its job's results.
-// Sequence: a shard's owner wrote an item's end while the store was slow; the write was
-// acknowledged; before the owner's scheduler took note of the new state it saw an item without an end
-// that waits and started it again; the run ended at once, since nothing was left of it to do.
-// Cause: the owner gave a position to every end that reached it.
-func TestAnItemThatEndsTwiceIsListedOnce(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, w *world) {
+// An item that ends twice must get only one position. The owner writes an item's result while the store is
+// slow. Before its scheduler applies the new state, it sees a startable item without a result and starts it
+// again; that run ends at once, since nothing is left to do.
+func TestItemFinishedTwiceHasOnePosition(t *testing.T) {
+	withCluster(t, 1, func(t *testing.T, w *cluster) {
 		j := w.job("a", "ok")
 		n := w.nodes[0]
 		n.submit(j)
 		n.results(j, 20*time.Second)
 		s := n.manager.scheduler.shardFor(t, n.manager.shardOf(j.ID))
-		s.finish(&outcome{job: j, index: 0, outcome: backlog.Complete, text: output(j.Items[0].ID)})
+		s.enqueueResult(&pendingResult{job: j, index: 0, outcome: backlog.Complete, text: expectedOutput(j.Items[0].ID)})
 		time.Sleep(time.Second)
 		for _, r := range w.store.Records(resultPartition) {
 			if r.Key == "r/a/1" {
-				t.Error("the item stands at a second position")
+				t.Error("the item has a second position")
 			}
 		}
 	})
@@ -122,8 +120,8 @@
 	return nil
 }
 
-func TestAProcessThatStopsHandsItsItemsOver(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, w *world) {
+func TestStoppingProcessHandsItemsOver(t *testing.T) {
+	withCluster(t, 2, func(t *testing.T, w *cluster) {
 		j := w.job("a", repeat("ok", 6)...)
 		w.nodes[0].submit(j)
 		time.Sleep(300 * time.Millisecond) // half of each item is done
@@ -131,28 +129,28 @@
 		time.Sleep(100 * time.Millisecond)
 		w.nodes[1].stop()
 		w.start("node-2")
-		w.check(j, w.nodes[2].results(j, 20*time.Second))
+		w.checkResults(j, w.nodes[2].results(j, 20*time.Second))
 		for _, item := range j.Items {
-			if n := w.targets.count(item.ID); n < 2 {
+			if n := w.targets.runCount(item.ID); n < 2 {
 				t.Errorf("item %s was run %d times: the processes were stopped too late", item.ID, n)
 			}
 		}
 	})
 }
 
-func TestAKilledProcessIsTakenOver(t *testing.T) {
-	bubble(t, 3, func(t *testing.T, w *world) {
+func TestKilledProcessesAreTakenOver(t *testing.T) {
+	withCluster(t, 3, func(t *testing.T, w *cluster) {
 		j := w.job("a", repeat("ok", 8)...)
 		w.nodes[0].submit(j)
 		time.Sleep(300 * time.Millisecond)
 		w.nodes[0].kill()
 		w.nodes[1].kill()
-		w.check(j, w.nodes[2].results(j, 20*time.Second))
+		w.checkResults(j, w.nodes[2].results(j, 20*time.Second))
 	})
 }
 
-func TestAllThatWasAcceptedSurvivesTheLossOfEveryProcess(t *testing.T) {
-	bubble(t, 3, func(t *testing.T, w *world) {
+func TestAcceptedJobsSurviveLossOfAllProcesses(t *testing.T) {
+	withCluster(t, 3, func(t *testing.T, w *cluster) {
 		var jobs []*backlog.Job
 		for i := range 12 {
 			j := w.job(fmt.Sprintf("j%d", i), repeat("ok", 4)...)
@@ -167,7 +165,7 @@
 		n := w.start("node-new")
 		for i, j := range jobs {
 			list := n.results(j, 20*time.Second)
-			w.check(j, list)
+			w.checkResults(j, list)
 			if i == 0 {
 				for p := range before {
 					if list[p].Item != before[p].Item {
@@ -179,9 +177,9 @@
 	})
 }
 
-// A process that the store refuses can't know whether a job exists or has more results.
-func TestAProcessThatCannotReachTheStoreSaysSo(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, w *world) {
+// A process that can't reach the store can't determine whether a job exists or has more results.
+func TestUnreachableStoreIsReported(t *testing.T) {
+	withCluster(t, 2, func(t *testing.T, w *cluster) {
 		n := w.nodes[1]
 		n.view.Set(keyedlog.Faults{Refuse: true})
 		time.Sleep(2 * time.Second)
@@ -200,111 +198,110 @@
 			t.Errorf("submission: %v", err)
 		}
 		if _, err := w.nodes[0].manager.Results(context.Background(), serving.Caller{}, "b", 0, 0); !errs.Is(err, errs.NotFound) {
-			t.Errorf("a job that nobody accepted: %v", err)
+			t.Errorf("a job that no process accepted: %v", err)
 		}
 	})
 }
 
-// Symptom: a job was refused and ran all the same.
-// Sequence: a process writes a job and loses the answer; the store does the write seconds later.
-// Cause: a write without an answer was taken for one that was not done.
-func TestALostAnswerIsNeverARefusal(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, w *world) {
+// A job must not be refused and run all the same. A process writes a job and loses the answer, and the store
+// does the write seconds later: a write without an answer is not a failed write.
+func TestLostAnswerIsNotARefusal(t *testing.T) {
+	withCluster(t, 2, func(t *testing.T, w *cluster) {
 		n := w.nodes[0]
 		n.view.Set(keyedlog.Faults{Late: 3 * time.Second})
 		j := w.job("a", "ok")
 		err := n.manager.Submit(context.Background(), w.route, j)
 		if e := errs.As(err); e == nil || e.Ran == errs.RanNo {
-			t.Errorf("a submission whose write may still be done says %v", err)
+			t.Errorf("a submission whose write may still succeed returned %v", err)
 		}
 		n.view.Set(keyedlog.Faults{})
 		w.nodes[1].submit(j)
 		time.Sleep(5 * time.Second)
-		w.check(j, n.results(j, 20*time.Second))
+		w.checkResults(j, n.results(j, 20*time.Second))
 	})
 }
 
-func TestAnEndedJobIsNotRun(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, w *world) {
+func TestCancelledJobIsNotRun(t *testing.T) {
+	withCluster(t, 2, func(t *testing.T, w *cluster) {
 		j := w.job("a", repeat("ok", 60)...)
 		w.nodes[0].submit(j)
 		time.Sleep(200 * time.Millisecond)
 		if err := w.nodes[1].manager.End(context.Background(), serving.Caller{}, "a"); err != nil {
 			t.Fatal(err)
 		}
-		ended := time.Now()
+		cancelledAt := time.Now()
 		time.Sleep(10 * time.Second)
 		for _, item := range j.Items {
-			if last := w.targets.lastStart(item.ID); last.After(ended.Add(time.Second)) {
-				t.Errorf("item %s was started %v after the end", item.ID, last.Sub(ended))
+			if last := w.targets.lastStart(item.ID); last.After(cancelledAt.Add(time.Second)) {
+				t.Errorf("item %s was started %v after the cancellation", item.ID, last.Sub(cancelledAt))
 			}
 		}
 		if err := w.nodes[0].manager.End(context.Background(), serving.Caller{}, "a"); err != nil {
-			t.Errorf("a second end: %v", err)
+			t.Errorf("a second cancellation: %v", err)
 		}
 	})
 }
 
-// Symptom: an item had two results in one append.
-// Sequence: a run came to its end; it was noted as not running; the scheduler started the item again,
-// from its last event; both runs delivered the item's whole output.
-// Cause: that the run was over and what it meant were noted one after the other.
-func TestARunIsOverOnlyWithItsVerdict(t *testing.T) {
+// An item must not get two results in one append. The end of a run and its verdict must be applied together:
+// if the run is marked as inactive first, the scheduler starts the item again after its last event, and both
+// runs deliver its whole output.
+func TestRunEndsTogetherWithItsVerdict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1)
+		w := newCluster(t, 1)
 		defer w.stopAll()
 		j := w.job("a", "ok")
-		s := &shard{m: w.nodes[0].manager, wake: make(chan struct{}, 1)}
-		tk := &task{shard: s, job: j, running: true}
-		tk.settle("target-0", complete)
+		s := &shard{m: w.nodes[0].manager, flushRequested: make(chan struct{}, 1)}
+		tk := &task{shard: s, job: j, hasActiveRun: true}
+		tk.finishRun("target-0", runComplete)
 		if tk.canStart(time.Now()) {
-			t.Error("an item that has ended may start again")
+			t.Error("an item that has a result may start again")
 		}
-		if len(s.queue) != 1 {
-			t.Errorf("%d ends for one item", len(s.queue))
+		if len(s.pending) != 1 {
+			t.Errorf("%d results for one item", len(s.pending))
 		}
 	})
 }
 
-// Symptom: an outage of the store of some seconds stops all batch work.
-// Sequence: no process reaches the store; their state of the jobs' ends grows old and their leases run out.
-// Cause: a process that is cut off alone and an outage for all were not told apart.
-func TestItemsStartWhileTheStoreIsDownForAll(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, w *world) {
+// An outage of the store of some seconds must not stop all batch work. No process reaches the store, their
+// states of cancellations become old and their leases expire. This must be distinguished from the isolation
+// of a single process.
+func TestItemsStartWhileStoreIsDownForAll(t *testing.T) {
+	withCluster(t, 2, func(t *testing.T, w *cluster) {
 		j := w.job("a", repeat("ok", 200)...)
 		w.nodes[0].submit(j)
 		for _, n := range w.nodes {
 			n.view.Set(keyedlog.Faults{Refuse: true})
 		}
 		down := time.Now()
-		w.gossip(func() bool { return time.Since(down) < 6*time.Second })
+		w.exchangeReports(func() bool { return time.Since(down) < 6*time.Second })
 		if last := w.targets.lastStartOf(j); last.Before(down.Add(4 * time.Second)) {
 			t.Errorf("the last item started %v after the outage began", last.Sub(down))
 		}
 	})
 }
 
-// The same when only this process is refused: another may have taken over its items.
-func TestNoItemsStartWhereOthersReachTheStore(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, w *world) {
+// If the store is unreachable only for this process, it must not start items: another process may have taken
+// them over.
+func TestNoItemsStartOnIsolatedProcess(t *testing.T) {
+	withCluster(t, 2, func(t *testing.T, w *cluster) {
 		j := w.job("a", repeat("ok", 200)...)
 		w.nodes[0].submit(j)
 		w.nodes[0].view.Set(keyedlog.Faults{Refuse: true})
-		w.nodes[1].kill() // nobody runs items but the one that is refused
+		w.nodes[1].kill() // only the isolated process runs items
 		down := time.Now()
-		w.gossip(func() bool {
+		w.exchangeReports(func() bool {
 			w.nodes[1].fleet.SetContact()
 			return time.Since(down) < 6*time.Second
 		})
-		if last := w.targets.lastStartOf(j); last.After(down.Add(endsAge + testTTL*3/2)) {
+		if last := w.targets.lastStartOf(j); last.After(down.Add(maxCancelAge + testMinTTL*3/2)) {
 			t.Errorf("the last item started %v after the store refused its process", last.Sub(down))
 		}
 	})
 }
 
-// gossip passes reports between the nodes for as long as on holds.
-func (w *world) gossip(on func() bool) {
-	for on() {
+// exchangeReports passes reports between the nodes while isActive returns true.
+func (w *cluster) exchangeReports(isActive func() bool) {
+	for isActive() {
 		for _, a := range w.nodes {
 			for _, b := range w.nodes {
 				if a != b {
@@ -316,48 +313,46 @@
 	}
 }
 
-// Symptom: after each outage of the store items were run again from their start.
-// Sequence: leases lapse with the store; all shards are dealt anew; their old owners had half done
-// items that they could no longer write under their epochs.
-// Cause: what was done went with the shard.
-func TestAnItemGoesOnWhereItsLastOwnerLeftIt(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, w *world) {
+// After an outage of the store, items must not be run again from their start. Leases expire and all shards
+// are reassigned while their former owners have unfinished items, whose progress they can no longer write
+// under their epochs.
+func TestItemResumesFromFormerOwnersProgress(t *testing.T) {
+	withCluster(t, 2, func(t *testing.T, w *cluster) {
 		j := w.job("a", repeat("okay", 4)...)
 		w.nodes[0].submit(j)
-		// The first checkpoints are written by now, and the owner learns of the new deal before its items end: it asks every half
-		// second, and they take three.
-		time.Sleep(checkpointEvents*eventGap + 3*checkpointEvery/2)
+		// By now the first checkpoints have been written, and the owner receives the new assignment before
+		// its items end: it asks every half second, and they take three seconds.
+		time.Sleep(checkpointEvents*eventInterval + 3*checkpointInterval/2)
 		w.store.Rebalance()
-		w.check(j, w.nodes[0].results(j, 20*time.Second))
+		w.checkResults(j, w.nodes[0].results(j, 20*time.Second))
 		for _, item := range j.Items {
-			if from := w.targets.lastFrom(item.ID); w.targets.count(item.ID) < 2 || from == "" {
-				t.Errorf("item %s was run again from its start (%d runs, from %q)", item.ID, w.targets.count(item.ID), from)
+			if from := w.targets.lastResumedAfter(item.ID); w.targets.runCount(item.ID) < 2 || from == "" {
+				t.Errorf("item %s was run again from its start (%d runs, last resumed after %q)", item.ID, w.targets.runCount(item.ID), from)
 			}
 		}
 	})
 }
 
-// slowPages takes its time for the first page of the newest records; meanwhile something is written.
-type slowPages struct {
+// slowFirstPage delays the first page of the newest records and writes something meanwhile.
+type slowFirstPage struct {
 	platform.Store
-	between func()
+	afterFirstPage func()
 }
 
-func (s *slowPages) Newest(ctx context.Context, p platform.Partition, after string) (platform.NewestPage, error) {
+func (s *slowFirstPage) Newest(ctx context.Context, p platform.Partition, after string) (platform.NewestPage, error) {
 	page, err := s.Store.Newest(ctx, p, after)
 	if after == "" {
 		time.Sleep(time.Second)
-		s.between()
+		s.afterFirstPage()
 	}
 	return page, err
 }
 
-// Symptom: a process that had just started said that a job has no results, though others had shown
-// them seconds before.
-// Sequence: it reads the newest records for seconds; a result is written meanwhile, under a key whose
-// page it has read already; right after the last page it is asked for that result.
-// Cause: the state was taken to be as fresh as the last page; only the first page bounds it.
-func TestAStateIsAsOldAsTheFirstPageOfItsLoad(t *testing.T) {
+// The age of a state counts from the first page of its load. A process that has just started reads the newest
+// records for seconds. A result is written meanwhile, under a key whose page has been read already. If the
+// state counted as current as of the last page, the process would answer that the job has no results, though
+// other processes had returned them seconds before.
+func TestStateAgeCountsFromFirstPageOfLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := keyedlog.New(1)
 		v := store.View()
@@ -373,57 +368,57 @@
 		for i := 1; i < 10; i++ {
 			write(i)
 		}
-		r := NewReplica("replica", &slowPages{v, func() { write(0) }}, func() {}, alone, testLogger("replica"))
+		r := NewReplica("replica", &slowFirstPage{v, func() { write(0) }}, func() {}, noPeers, testLogger("replica"))
 		if err := r.load(context.Background(), resultPartition); err != nil {
 			t.Fatal(err)
 		}
 		listed := 0
-		r.with(func(s *backlog.State) { listed = s.Listed("j") })
-		if listed == 0 && r.age(resultPartition) < freshEnough {
-			t.Errorf("a state without the result counts as %v old", r.age(resultPartition))
+		r.withState(func(s *backlog.State) { listed = s.Listed("j") })
+		if listed == 0 && r.stateAge(resultPartition) < maxAnswerAge {
+			t.Errorf("a state without the result counts as %v old", r.stateAge(resultPartition))
 		}
 	})
 }
 
-// The same where the owner is gone at once and hands nothing over.
-func TestAKilledOwnersItemsGoOnFromTheirCheckpoints(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, w *world) {
+// Items must also resume if the owner is killed and hands nothing over.
+func TestItemsOfKilledOwnerResumeFromCheckpoints(t *testing.T) {
+	withCluster(t, 2, func(t *testing.T, w *cluster) {
 		j := w.job("a", repeat("okay", 4)...)
 		w.nodes[0].submit(j)
-		time.Sleep(checkpointEvents*eventGap + 2*checkpointEvery)
+		time.Sleep(checkpointEvents*eventInterval + 2*checkpointInterval)
 		for _, n := range w.nodes {
 			n.kill()
 		}
 		last := w.start("last")
-		w.check(j, last.results(j, 20*time.Second))
+		w.checkResults(j, last.results(j, 20*time.Second))
 		for _, item := range j.Items {
-			if from := w.targets.lastFrom(item.ID); w.targets.count(item.ID) < 2 || from == "" {
-				t.Errorf("item %s was run again from its start (%d runs, from %q)", item.ID, w.targets.count(item.ID), from)
+			if from := w.targets.lastResumedAfter(item.ID); w.targets.runCount(item.ID) < 2 || from == "" {
+				t.Errorf("item %s was run again from its start (%d runs, last resumed after %q)", item.ID, w.targets.runCount(item.ID), from)
 			}
 		}
 		time.Sleep(2 * time.Second)
 		if page, err := last.view.Newest(context.Background(), progressPartition, ""); err != nil || len(page.Records) != 0 {
-			t.Errorf("%d checkpoints are left of items that have ended, %v", len(page.Records), err)
+			t.Errorf("%d checkpoints of finished items are left, %v", len(page.Records), err)
 		}
 	})
 }
 
-// The newest record of each key is kept for ever: what nobody drops fills the store.
-func TestOldJobsAreDroppedAndOpenOnesKept(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, w *world) {
-		done, ended := w.job("done", "ok", "never"), w.job("crashed", repeat("okay", 90)...)
-		w.nodes[0].submit(done)
-		w.nodes[1].submit(ended)
-		w.check(done, w.nodes[0].results(done, 10*time.Second))
+// The store keeps the newest record of each key for ever: records that no process deletes fill it up.
+func TestOnlyExpiredJobsAreDeleted(t *testing.T) {
+	withCluster(t, 2, func(t *testing.T, w *cluster) {
+		finished, cancelled := w.job("done", "ok", "never"), w.job("crashed", repeat("okay", 90)...)
+		w.nodes[0].submit(finished)
+		w.nodes[1].submit(cancelled)
+		w.checkResults(finished, w.nodes[0].results(finished, 10*time.Second))
 		if err := w.nodes[0].manager.End(context.Background(), serving.Caller{}, "crashed"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(testKeep - 15*time.Second)
-		w.check(done, w.nodes[1].results(done, time.Second))
-		time.Sleep(clockSlack + 2*compactionInterval + 15*time.Second)
+		w.checkResults(finished, w.nodes[1].results(finished, time.Second))
+		time.Sleep(maxClockSkew + 2*compactionInterval + 15*time.Second)
 		for _, id := range []string{"done", "crashed"} {
 			if _, err := w.nodes[0].manager.Results(context.Background(), serving.Caller{}, id, 0, 0); !errs.Is(err, errs.NotFound) {
-				t.Errorf("job %s, long over: %v", id, err)
+				t.Errorf("expired job %s: %v", id, err)
 			}
 		}
 		for _, p := range []platform.Partition{jobPartition, resultPartition, progressPartition} {
@@ -435,27 +430,26 @@
 	})
 }
 
-// Symptom: a process went on serving streams but answered no question about jobs, was not ready, and
-// never stopped.
-// Sequence: a run ends and tells its shard, holding the task's lock; the shard gives out positions and
-// asks the replica; the scheduler holds the replica's state and looks at the task.
-// Cause: three locks were taken in a circle.
-func TestATaskIsFreeWhileItsShardIsBusy(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, w *world) {
-		s := &shard{m: w.nodes[0].manager, wake: make(chan struct{}, 1)}
+// A task must not be locked while its result is passed to the shard. A deadlock of three locks would stop all
+// answers about jobs while the process goes on serving streams, is not ready and never stops: a finished run
+// waits for its shard under the task's lock, the shard waits for the replica to assign positions, and the
+// scheduler holds the replica's state and waits for the task.
+func TestTaskNotLockedWhileShardIsBusy(t *testing.T) {
+	withCluster(t, 1, func(t *testing.T, w *cluster) {
+		s := &shard{m: w.nodes[0].manager, flushRequested: make(chan struct{}, 1)}
 		for name, end := range map[string]func(*task){
-			"a run that ends":      func(tk *task) { tk.settle("target-0", complete) },
-			"a route that is gone": func(tk *task) { w.nodes[0].manager.scheduler.unrouted(tk, time.Now()) },
+			"a run that ends": func(tk *task) { tk.finishRun("target-0", runComplete) },
+			"a missing route": func(tk *task) { w.nodes[0].manager.scheduler.deferUnrouted(tk, time.Now()) },
 		} {
-			tk := &task{shard: s, job: w.job("a", "ok"), running: true, unrouted: unroutedLooks - 1}
+			tk := &task{shard: s, job: w.job("a", "ok"), hasActiveRun: true, unroutedChecks: maxUnroutedChecks - 1}
 			s.mu.Lock()
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
 				end(tk)
 			}()
-			if !overSoon(tk) {
-				t.Errorf("%s: the task is locked while its shard is waited for", name)
+			if !reachesOutcome(tk) {
+				t.Errorf("%s: the task is locked while it waits for its shard", name)
 			}
 			s.mu.Unlock()
 			<-done
@@ -463,11 +457,11 @@
 	})
 }
 
-// overSoon says whether a task can be looked at and is over, within many tries.
-func overSoon(tk *task) bool {
+// reachesOutcome reports whether a task can be locked and has an outcome, within many attempts.
+func reachesOutcome(tk *task) bool {
 	for range 100_000 {
 		if tk.mu.TryLock() {
-			over := tk.ending != ""
+			over := tk.outcome != ""
 			tk.mu.Unlock()
 			if over {
 				return true
@@ -478,38 +472,37 @@
 	return false
 }
 
-// A shard that was lost begins anew only in a later epoch: within the same one the store takes its first
-// writes for repeats of those before, answers them and drops them.
-func TestALostShardWaitsForALaterEpoch(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, w *world) {
+// A lost shard restarts only in a later epoch: within the same one the store takes its first writes for
+// repeats of earlier ones, acknowledges them and discards them.
+func TestLostShardRestartsOnlyInLaterEpoch(t *testing.T) {
+	withCluster(t, 1, func(t *testing.T, w *cluster) {
 		m := w.nodes[0].manager
-		lost := &shard{m: m, epoch: 5, lost: true, stop: func() {}}
+		lost := &shard{m: m, epoch: 5, isLost: true, stop: func() {}}
 		shards := map[int]*shard{0: lost}
 		held := []platform.Partition{{Topic: shardTopic, Index: 0}}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		m.deal(ctx, shards, platform.Assignment{Generation: 5, Held: held}, time.Time{})
+		m.applyAssignment(ctx, shards, platform.Assignment{Generation: 5, Held: held}, time.Time{})
 		if shards[0] != lost {
-			t.Error("the shard began anew in its epoch")
+			t.Error("the shard restarted in its epoch")
 		}
-		m.deal(ctx, shards, platform.Assignment{Generation: 6, Held: held}, time.Time{})
+		m.applyAssignment(ctx, shards, platform.Assignment{Generation: 6, Held: held}, time.Time{})
 		if shards[0] == lost || shards[0].epoch != 6 {
-			t.Error("the shard did not begin anew in a later epoch")
+			t.Error("the shard did not restart in a later epoch")
 		}
 		shards[0].stop()
-		<-shards[0].over
+		<-shards[0].stopped
 	})
 }
 
-// Symptom: the store fills up with progress of items that ended long ago.
-// Sequence: a former owner, which has not been told yet, writes what it has after the item has ended at
-// the next one.
-// Cause: only who wrote or took over progress dropped it.
-func TestProgressThatComesTooLateIsDropped(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, w *world) {
+// The store must not fill up with progress of finished items. A former owner that is not yet aware of its
+// replacement writes progress after the next owner has finished the item, so it does not suffice that
+// progress is deleted by processes that wrote it or resumed from it.
+func TestLateProgressIsDeleted(t *testing.T) {
+	withCluster(t, 2, func(t *testing.T, w *cluster) {
 		j := w.job("a", "ok", "ok")
 		w.nodes[0].submit(j)
-		w.check(j, w.nodes[0].results(j, 10*time.Second))
+		w.checkResults(j, w.nodes[0].results(j, 10*time.Second))
 		shard := w.nodes[0].manager.shardOf(j.ID)
 		records, err := backlog.EncodeProgress(&backlog.Progress{Job: j.ID, Item: j.Items[0].ID, LastID: "3", Text: "x"}, shard, 0)
 		if err != nil {
--- a/internal/backlog/order.go
+++ b/internal/backlog/order.go
@@ -9,27 +9,27 @@
 	"arbutusramp/core/policy"
 )
 
-// ranked is a task with its place in the order of starts.
-type ranked struct {
+// orderedTask is a task with its sort key in the start order.
+type orderedTask struct {
 	task *task
 	key  int64 // see backlog.StartKey
 }
 
-// rank orders tasks as they should start; those of one job with the same key as they stand there.
-func (d *scheduler) rank(tasks []*task, now time.Time) []ranked {
-	list := make([]ranked, len(tasks))
+// sortTasks returns tasks in start order. Tasks with the same key are ordered by job id and then by index.
+func (d *scheduler) sortTasks(tasks []*task, now time.Time) []orderedTask {
+	list := make([]orderedTask, len(tasks))
 	for i, t := range tasks {
-		list[i] = ranked{t, d.key(t, now)}
+		list[i] = orderedTask{t, d.startKey(t, now)}
 	}
-	slices.SortFunc(list, func(a, b ranked) int {
+	slices.SortFunc(list, func(a, b orderedTask) int {
 		return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.task.job.ID, b.task.job.ID), cmp.Compare(a.task.index, b.task.index))
 	})
 	return list
 }
 
-func (d *scheduler) key(t *task, now time.Time) int64 {
+func (d *scheduler) startKey(t *task, now time.Time) int64 {
 	if !d.m.opts.Off.Allows(policy.InTimeFirst) {
 		return backlog.StartKey(time.UnixMilli(0), t.due(), 0, t.job.Rank)
 	}
-	return backlog.StartKey(now, t.due(), d.m.pace.Left(t.job.Route, t.item().Tokens, t.made()), t.job.Rank)
+	return backlog.StartKey(now, t.due(), d.m.runTimes.Left(t.job.Route, t.item().Tokens, t.eventCount()), t.job.Rank)
 }
--- a/internal/backlog/progress.go
+++ b/internal/backlog/progress.go
@@ -10,87 +10,85 @@
 	"arbutusramp/core/sleep"
 )
 
-// saveTimeout is how long progress is tried to be written: an outage of the store lasts some seconds,
-// and later the next owner has done the work again.
-const saveTimeout = 8 * time.Second
+// progressSaveTimeout bounds the retries of a write of progress: an outage of the store lasts some seconds,
+// and after a longer one the next owner has redone the work.
+const progressSaveTimeout = 8 * time.Second
 
 const (
-	// checkpointEvery is how often running items are looked at.
-	checkpointEvery = 500 * time.Millisecond
-	// checkpointEvents is how many events an item makes between two checkpoints: at 15 ms an
-	// event 1.5 s of its run. Each writes the item's whole text so far, once and to nobody but
-	// the next owner.
+	// checkpointInterval is how often running items are checked for a due checkpoint.
+	checkpointInterval = 500 * time.Millisecond
+	// checkpointEvents is the number of events of an item between two checkpoints: 1.5 s of its run at 15 ms
+	// per event. Each checkpoint writes the item's whole text so far, once, and only the next owner reads it.
 	checkpointEvents = 100
 )
 
-// saveProgress writes how far tasks have come, so that another process can go on with them. It returns at
-// once.
+// saveProgress writes the progress of tasks in the background, so that another process can resume them.
 func (m *Manager) saveProgress(tasks []*task) {
 	var records []platform.KeyedRecord
 	for _, t := range tasks {
-		records = append(records, m.progressOf(t)...)
+		records = append(records, m.progressRecords(t)...)
 	}
-	m.save(records)
+	m.saveRecords(records)
 }
 
-// save writes records of progress in the background, until it has worked or saveTimeout is over.
-func (m *Manager) save(records []platform.KeyedRecord) {
+// saveRecords writes records of progress in the background. It retries for up to progressSaveTimeout.
+func (m *Manager) saveRecords(records []platform.KeyedRecord) {
 	if len(records) == 0 {
 		return
 	}
-	m.saving.Add(1)
+	m.pendingSaves.Add(1)
 	go func() {
-		defer m.saving.Done()
-		ctx, cancel := context.WithTimeout(m.saveCtx, saveTimeout)
+		defer m.pendingSaves.Done()
+		ctx, cancel := context.WithTimeout(m.saveCtx, progressSaveTimeout)
 		defer cancel()
 		m.writeProgress(ctx, records)
 	}()
 }
 
-// saveFailure writes that a run of a task has failed, so that the next owner counts it. A write that is
-// lost costs one attempt more.
+// saveFailure writes that a run of a task has failed, so that the next owner counts the attempt. If the write
+// is lost, the item gets one attempt more.
 func (m *Manager) saveFailure(t *task) {
-	if t.ended() {
+	if t.hasOutcome() {
 		return
 	}
-	saved := m.progressOf(t)
+	saved := m.progressRecords(t)
 	t.noteCheckpoint(saved)
-	m.save(saved)
+	m.saveRecords(saved)
 }
 
-// checkpoints writes every now and then how far the running items have come, so that the loss of this
-// process costs no more than checkpointEvents of each, and drops what is no longer needed.
-func (m *Manager) checkpoints(ctx context.Context) error {
-	for sleep.For(ctx, checkpointEvery) {
-		m.writeProgress(ctx, m.scheduler.checkpoint())
+// writeCheckpoints periodically writes the progress of running items, so that the loss of this process costs
+// no more than checkpointEvents of each, and deletes obsolete checkpoints.
+func (m *Manager) writeCheckpoints(ctx context.Context) error {
+	for sleep.For(ctx, checkpointInterval) {
+		m.writeProgress(ctx, m.scheduler.dueCheckpoints())
 	}
 	return nil
 }
 
-// awaitSaved waits until all progress is written or ctx ends.
-func (m *Manager) awaitSaved(ctx context.Context) {
-	if !waitFor(ctx, &m.saving) {
+// awaitSaves waits until all progress is written or ctx ends.
+func (m *Manager) awaitSaves(ctx context.Context) {
+	if !waitFor(ctx, &m.pendingSaves) {
 		m.log.Warn("progress of items was not handed over in time")
 	}
 }
 
-// waitFor waits for a group, and reports false if ctx ends first.
+// waitFor waits for a group. It returns false if ctx ends first.
 func waitFor(ctx context.Context, g *sync.WaitGroup) bool {
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		g.Wait()
-		close(over)
+		close(done)
 	}()
 	select {
-	case <-over:
+	case <-done:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// progressOf encodes a task's progress; there is none before its first event or failure.
-func (m *Manager) progressOf(t *task) []platform.KeyedRecord {
+// progressRecords encodes a task's progress; nil before its first event or failure.
+func (m *Manager) progressRecords(t *task) []platform.KeyedRecord {
 	p := t.progress()
 	if !p.Begun() {
 		return nil
@@ -101,35 +99,35 @@
 func (m *Manager) encodeProgress(t *task, p *backlog.Progress) []platform.KeyedRecord {
 	records, err := backlog.EncodeProgress(p, t.shard.index, t.index)
 	if err != nil {
-		m.log.Error("progress can't be encoded", "job", p.Job, "item", p.Item, "error", err)
+		m.log.Error("can't encode progress", "job", p.Job, "item", p.Item, "error", err)
 		return nil
 	}
 	return records
 }
 
-// writeProgress appends records in as few calls as they fit in. A write that is done twice means
-// the same, so a lost answer needs no care.
+// writeProgress appends records in as few calls as possible. The write is idempotent, so a call with a lost
+// answer is repeated.
 func (m *Manager) writeProgress(ctx context.Context, records []platform.KeyedRecord) {
 	for len(records) > 0 {
-		n := callSize(records)
+		n := recordsPerAppend(records)
 		_, err := m.store.Append(ctx, platform.Append{Partition: progressPartition, Records: records[:n]})
 		if err == nil {
 			records = records[n:]
 			continue
 		}
-		if !sleep.For(ctx, writePause) {
-			m.log.Warn("progress of items was not written", "records", len(records), "error", err)
+		if !sleep.For(ctx, writeRetryPause) {
+			m.log.Warn("progress of items not written", "records", len(records), "error", err)
 			return
 		}
 	}
 }
 
-// callSize is how many of the records fit into one append; at least one.
-func callSize(records []platform.KeyedRecord) int {
+// recordsPerAppend returns how many of the records fit into one append; at least one.
+func recordsPerAppend(records []platform.KeyedRecord) int {
 	size := 0
 	for i, r := range records {
 		size += len(r.Key) + len(r.Value)
-		if i > 0 && size > maxCallBytes {
+		if i > 0 && size > maxAppendBytes {
 			return i
 		}
 	}
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -12,141 +12,143 @@
 )
 
 const (
-	// freshEnough is how old the state may be for an answer that something is not there. Callers
-	// count on seeing what another process has shown them a second ago.
-	freshEnough = 800 * time.Millisecond
-	// checkTimeout bounds the reading that makes the state fresh.
-	checkTimeout = 700 * time.Millisecond
-	// pageBytes is how much text a page of results may hold beyond its first result.
-	pageBytes = 900 << 10
-	// unsureRetry is when to come back after an answer that could not be given.
-	unsureRetry = 300 * time.Millisecond
+	// maxAnswerAge is the maximum age of the state for an answer that something does not exist. Callers
+	// expect to see what another process has shown them a second ago.
+	maxAnswerAge = 800 * time.Millisecond
+	// refreshTimeout bounds the reads that refresh the state.
+	refreshTimeout = 700 * time.Millisecond
+	// maxPageBytes is how much text a page of results may hold beyond its first result.
+	maxPageBytes = 900 << 10
+	// uncertainRetryDelay is the retry delay of an answer that could not be determined.
+	uncertainRetryDelay = 300 * time.Millisecond
 )
 
-// refresh reads on in both partitions, so that all that was there when it was called is known.
+// refresh reads both partitions up to the end that they had when it was called.
 func (m *Manager) refresh(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
+	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	if err := m.replica.catchUp(ctx, jobPartition); err != nil {
-		return unsure(err)
+		return uncertainError(err)
 	}
 	if err := m.replica.catchUp(ctx, resultPartition); err != nil {
-		return unsure(err)
+		return uncertainError(err)
 	}
 	return nil
 }
 
-// unsure is the answer of a process that can't know.
-func unsure(err error) error {
-	return errs.Newf(errs.LogDown, "this process can't be sure: %v", err).WithRan(errs.RanNo).WithRetry(unsureRetry)
+// uncertainError is the error of a process that can't determine the answer.
+func uncertainError(err error) error {
+	return errs.Newf(errs.LogDown, "can't determine the answer: %v", err).WithRan(errs.RanNo).WithRetry(uncertainRetryDelay)
 }
 
-// mustExist makes sure that a job is known, with a fresh look into the store before it says that
-// it is not. Errors: errs.NotFound, errs.Unauthenticated (a caller without a key may not know which jobs there are), errs.LogDown.
-func (m *Manager) mustExist(ctx context.Context, caller serving.Caller, id string) error {
-	known := func() (ok bool) {
-		m.replica.with(func(st *backlog.State) { _, ok = st.Job(id) })
+// ensureJobExists checks that a job exists, and refreshes the state before it returns an error that it does
+// not. Errors: errs.NotFound, errs.Unauthenticated (a caller without a key may not learn which jobs exist),
+// errs.LogDown.
+func (m *Manager) ensureJobExists(ctx context.Context, caller serving.Caller, id string) error {
+	isKnown := func() (ok bool) {
+		m.replica.withState(func(st *backlog.State) { _, ok = st.Job(id) })
 		return ok
 	}
-	if known() {
+	if isKnown() {
 		return nil
 	}
 	if err := m.refresh(ctx); err != nil {
 		return err
 	}
-	if known() {
+	if isKnown() {
 		return nil
 	}
 	if caller.IsUnidentified {
 		return workspace.MissingKey()
 	}
-	return errs.Newf(errs.NotFound, "no batch job %q", id)
+	return errs.Newf(errs.NotFound, "batch job %q does not exist", id)
 }
 
-// Results returns the results of the caller's job from a position on. With none there yet it waits for one.
-// Errors: errs.NotFound, errs.Unauthenticated, errs.LogDown (this process can't be sure that there is none).
+// Results returns the results of the caller's job from a position on. If there are none it waits for one, at
+// most for the given time. Errors: errs.NotFound, errs.Unauthenticated, errs.LogDown (this process can't
+// determine that there are none).
 func (m *Manager) Results(ctx context.Context, caller serving.Caller, id string, after int, wait time.Duration) (backlog.Page, error) {
 	id = backlog.ScopedID(caller.Workspace, id)
-	if err := m.mustExist(ctx, caller, id); err != nil {
+	if err := m.ensureJobExists(ctx, caller, id); err != nil {
 		return backlog.Page{}, err
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	m.catchUpLazy(ctx, resultPartition)
-	defer m.replica.want(resultPartition)()
+	m.catchUpIfStale(ctx, resultPartition)
+	defer m.replica.addWaiter(resultPartition)()
 	for {
 		var page backlog.Page
-		news := m.replica.with(func(st *backlog.State) { page = st.Page(id, after, pageBytes) })
+		changed := m.replica.withState(func(st *backlog.State) { page = st.Page(id, after, maxPageBytes) })
 		if len(page.Results) > 0 || after >= page.Total {
-			return m.withTexts(ctx, page)
+			return m.fillTexts(ctx, page)
 		}
 		select {
-		case <-news:
+		case <-changed:
 			continue
 		case <-waitCtx.Done():
 		}
-		return m.noneYet(ctx, id, after)
+		return m.currentPage(ctx, id, after)
 	}
 }
 
-// catchUpLazy reads the news of a partition that this process does not follow. What is known already holds without them, so that a failure
-// is only logged.
-func (m *Manager) catchUpLazy(ctx context.Context, p platform.Partition) {
-	if m.isMember.Load() || m.replica.age(p) <= freshEnough {
+// catchUpIfStale reads the new records of a partition that this process does not follow. What is already
+// known stays valid without them, so a failure is only logged.
+func (m *Manager) catchUpIfStale(ctx context.Context, p platform.Partition) {
+	if m.isMember.Load() || m.replica.stateAge(p) <= maxAnswerAge {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
+	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	if err := m.replica.catchUp(ctx, p); err != nil {
-		m.log.Info("news not read before an answer", "topic", p.Topic, "age_ms", m.replica.age(p).Milliseconds(), "error", err)
+		m.log.Info("news not read before an answer", "topic", p.Topic, "age_ms", m.replica.stateAge(p).Milliseconds(), "error", err)
 	}
 }
 
-// noneYet answers that no result stands at a position, if that is sure.
-func (m *Manager) noneYet(ctx context.Context, id string, after int) (backlog.Page, error) {
-	if m.replica.age(resultPartition) > freshEnough {
+// currentPage returns the page at a position, which may be empty, from a state no older than maxAnswerAge.
+func (m *Manager) currentPage(ctx context.Context, id string, after int) (backlog.Page, error) {
+	if m.replica.stateAge(resultPartition) > maxAnswerAge {
 		if err := m.refresh(ctx); err != nil {
 			return backlog.Page{}, err
 		}
 	}
 	var page backlog.Page
-	m.replica.with(func(st *backlog.State) { page = st.Page(id, after, pageBytes) })
-	return m.withTexts(ctx, page)
+	m.replica.withState(func(st *backlog.State) { page = st.Page(id, after, maxPageBytes) })
+	return m.fillTexts(ctx, page)
 }
 
-// withTexts puts the texts that lie apart into a page. Error: errs.LogDown.
-func (m *Manager) withTexts(ctx context.Context, page backlog.Page) (backlog.Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
+// fillTexts adds the separately stored texts to a page. Errors: errs.LogDown.
+func (m *Manager) fillTexts(ctx context.Context, page backlog.Page) (backlog.Page, error) {
+	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
-	if err := m.texts.fill(ctx, &page); err != nil {
-		return backlog.Page{}, unsure(err)
+	if err := m.textStore.fillPage(ctx, &page); err != nil {
+		return backlog.Page{}, uncertainError(err)
 	}
 	return page, nil
 }
 
-// ItemBody returns the body of an item of the caller's job that has no result yet. Errors: errs.NotFound, errs.Unauthenticated,
+// ItemBody returns the body of an item of the caller's job. Errors: errs.NotFound, errs.Unauthenticated,
 // errs.LogDown.
 func (m *Manager) ItemBody(ctx context.Context, caller serving.Caller, id, item string) ([]byte, error) {
 	id = backlog.ScopedID(caller.Workspace, id)
-	if err := m.mustExist(ctx, caller, id); err != nil {
+	if err := m.ensureJobExists(ctx, caller, id); err != nil {
 		return nil, err
 	}
 	var body []byte
-	found := false
-	m.replica.with(func(st *backlog.State) {
+	isFound := false
+	m.replica.withState(func(st *backlog.State) {
 		job, ok := st.Job(id)
 		if !ok {
 			return
 		}
 		for i := range job.Items {
 			if job.Items[i].ID == item {
-				body, found = job.Items[i].Body, true
+				body, isFound = job.Items[i].Body, true
 			}
 		}
 	})
-	if !found {
+	if !isFound {
 		return nil, errs.Newf(errs.NotFound, "job %q has no item %q", id, item)
 	}
-	m.bodies.Info(time.Now(), "item body read", "job", id, "item", item, "body_bytes", len(body), "body_sum", bodySum(body))
+	m.bodyLog.Info(time.Now(), "item body read", "job", id, "item", item, "body_bytes", len(body), "body_sum", bodyChecksum(body))
 	return body, nil
 }
--- a/internal/backlog/replica.go
+++ b/internal/backlog/replica.go
@@ -1,6 +1,6 @@
-// Package backlog keeps batch jobs: it accepts them, deals them out among the gateways, runs their
-// items and serves their results. What is promised lies in the platform's store before the
-// promise; every process folds the store's records into the same state.
+// Package backlog runs batch jobs: it accepts them, distributes them among the gateways, runs their items and
+// serves their results. An answer is given only once the record behind it is in the platform's store; every
+// process builds the same state from the store's records.
 package backlog
 
 import (
@@ -20,103 +20,105 @@
 	"arbutusramp/internal/dependency"
 )
 
-// Topics in the store. Jobs and ends are written by any process, jobs under the condition that nobody
-// wrote in between; results by the owners of shards, fenced by their epochs; progress by whoever
-// has run an item.
+// Partitions in the store. Jobs and cancellations are written by any process, jobs on the condition that
+// nothing was written in between. Results are written by the owners of shards, fenced by their epochs.
+// Progress is written by any process that has run an item.
 var (
 	jobPartition    = platform.Partition{Topic: "keyed.jobs"}
 	resultPartition = platform.Partition{Topic: "keyed.results"}
-	// textPartition holds the texts that lie apart from their results; it is read where a caller wants one.
+	// textPartition holds texts that are stored separately from their results. It is read only when a caller
+	// asks for a text.
 	textPartition = platform.Partition{Topic: "keyed.texts"}
-	// progressPartition is read only by processes that take a shard over.
+	// progressPartition is read only by processes that take over a shard.
 	progressPartition = platform.Partition{Topic: "keyed.progress"}
 )
 
 const (
-	// readWait is how long one read waits for records. Each answer proves how far the
-	// partition went, so it also bounds how old a calm partition's state is.
-	readWait = 600 * time.Millisecond
-	// jobPause and resultPause let records gather between two reads: each read costs. Jobs are written under the condition that
-	// their writer has read all before them, so that old news cost it a second try; results are only read by callers, twice a second.
-	jobPause    = 25 * time.Millisecond
-	resultPause = 100 * time.Millisecond
-	// pausePerPeer comes to these for each other process, up to maxSpread: with n of them that read on their own the store answers n
-	// times as often. Callers read results twice a second, and count on seeing
-	// what another process has shown them a second ago.
-	pausePerPeer = 2 * time.Millisecond
-	maxSpread    = 300 * time.Millisecond
+	// longPollWait is how long one read waits for records. Each answer shows the end of the partition, so
+	// this also bounds the age of the state of a partition without new records.
+	longPollWait = 600 * time.Millisecond
+	// jobReadPause and resultReadPause let records accumulate between two reads, since each read has a cost.
+	// Jobs are written on the condition that their writer has read all earlier ones, so a stale state costs a
+	// second attempt; results are only read by callers, twice a second.
+	jobReadPause    = 25 * time.Millisecond
+	resultReadPause = 100 * time.Millisecond
+	// readPausePerPeer is added to these pauses for each other process, up to maxExtraReadPause: n processes
+	// that read independently cause n times as many answers of the store. Callers read results twice a second
+	// and expect to see what another process has shown them a second ago.
+	readPausePerPeer  = 2 * time.Millisecond
+	maxExtraReadPause = 300 * time.Millisecond
 	// readBytes bounds one read.
 	readBytes = 1 << 20
-	// retryPause is the time between reads that fail.
-	retryPause = 100 * time.Millisecond
+	// readRetryPause is the pause after a failed read.
+	readRetryPause = 100 * time.Millisecond
 )
 
-// Replica is this process's copy of the backlog.
+// Replica is this process's copy of the backlog state.
 type Replica struct {
-	name  string // of this start of this process
-	store platform.Store
-	log   hclog.Logger
-	// contact is called when the store has answered a read of the jobs.
-	contact func()
-	// peers is how many other processes live.
-	peers func() int
-	// isFollowing says whether this process has to know all news at once.
+	memberID string // of this start of this process
+	store    platform.Store
+	log      hclog.Logger
+	// onContact is called when the store has answered a read of the jobs.
+	onContact func()
+	// peerCount returns the number of other live processes.
+	peerCount func() int
+	// isFollowing reports whether this process needs all new records at once.
 	isFollowing func() bool
-	// wanted gets a token for each partition whose news are wanted at once.
-	wanted map[platform.Partition]chan struct{}
+	// readRequested receives a token for each partition whose new records are needed at once.
+	readRequested map[platform.Partition]chan struct{}
 
-	mu    sync.Mutex
-	state *backlog.State
-	tails map[platform.Partition]*tail
-	news  chan struct{} // closed and replaced with each change
+	mu         sync.Mutex
+	state      *backlog.State
+	partitions map[platform.Partition]*partitionState
+	changed    chan struct{} // closed and replaced with each change
 }
 
-// tail is how far a partition has been read.
-type tail struct {
-	loaded bool      // the newest records of all keys have been read
-	next   uint64    // offset to read on from
-	fresh  time.Time // a time at which the store had nothing after next
-	// loading is the load that is under way; nil while none is.
-	loading *loading
-	// waiting is how many callers wait for news.
-	waiting int
+// partitionState is how far a partition has been read.
+type partitionState struct {
+	isLoaded  bool      // the newest records of all keys have been read
+	next      uint64    // offset of the next read
+	currentAt time.Time // a time at which the store held nothing after next
+	// loading is the unfinished load; nil without one.
+	loading *partitionLoad
+	// waiters is the number of callers that wait for new records.
+	waiters int
 }
 
-// NewReplica returns an empty copy for the process of that name.
-func NewReplica(name string, store platform.Store, contact func(), peers func() int, log hclog.Logger) *Replica {
+// NewReplica returns an empty replica for the process of that name.
+func NewReplica(memberID string, store platform.Store, onContact func(), peerCount func() int, log hclog.Logger) *Replica {
 	return &Replica{
-		name: name, store: store, log: log, contact: contact, peers: peers, state: backlog.NewState(), news: make(chan struct{}),
-		tails:       map[platform.Partition]*tail{jobPartition: {}, resultPartition: {}},
-		isFollowing: func() bool { return true },
-		wanted:      map[platform.Partition]chan struct{}{jobPartition: make(chan struct{}, 1), resultPartition: make(chan struct{}, 1)},
+		memberID: memberID, store: store, log: log, onContact: onContact, peerCount: peerCount, state: backlog.NewState(), changed: make(chan struct{}),
+		partitions:    map[platform.Partition]*partitionState{jobPartition: {}, resultPartition: {}},
+		isFollowing:   func() bool { return true },
+		readRequested: map[platform.Partition]chan struct{}{jobPartition: make(chan struct{}, 1), resultPartition: make(chan struct{}, 1)},
 	}
 }
 
-// follow reads the news of a partition until ctx ends.
+// follow reads the new records of a partition until ctx ends.
 func (r *Replica) follow(ctx context.Context, p platform.Partition) error {
-	pauses := dependency.Pauses{Answered: jobPause, Failed: retryPause, More: r.spread}
+	pauses := dependency.Pauses{Answered: jobReadPause, Failed: readRetryPause, More: r.extraReadPause}
 	if p == resultPartition {
-		pauses.Answered = resultPause
+		pauses.Answered = resultReadPause
 	}
 	read := func() error {
-		r.awaitNeed(ctx, p)
-		return r.step(ctx, p)
+		r.awaitReadDue(ctx, p)
+		return r.readOnce(ctx, p)
 	}
 	dependency.NewLink(r.log, p.Topic).Follow(ctx, pauses, read, func(bool) {})
 	return nil
 }
 
-// lazyInterval is the time between two reads of news that nobody here wants now. The store keeps its history for some 20 s; what is older
-// has to be read whole.
-const lazyInterval = 4 * time.Second
+// idleReadInterval is the interval between reads of new records that no caller of this process needs now. The
+// store keeps its history for some 20 s; a reader that falls further behind has to load the whole partition.
+const idleReadInterval = 4 * time.Second
 
-// awaitNeed waits until the news of a partition are wanted here, or due to be read in any case.
-func (r *Replica) awaitNeed(ctx context.Context, p platform.Partition) {
-	due := sleep.NewTimer(lazyInterval)
+// awaitReadDue waits until the new records of a partition are needed here, or idleReadInterval has passed.
+func (r *Replica) awaitReadDue(ctx context.Context, p platform.Partition) {
+	due := sleep.NewTimer(idleReadInterval)
 	defer due.Stop()
-	for !r.isNeeded(p) {
+	for !r.needsNewRecords(p) {
 		select {
-		case <-r.wanted[p]:
+		case <-r.readRequested[p]:
 		case <-due.C:
 			return
 		case <-ctx.Done():
@@ -125,46 +127,46 @@
 	}
 }
 
-// isNeeded says whether the news of a partition are wanted here as they come.
-func (r *Replica) isNeeded(p platform.Partition) bool {
+// needsNewRecords reports whether the new records of a partition are needed here at once.
+func (r *Replica) needsNewRecords(p platform.Partition) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.tails[p]
-	return !t.loaded || t.waiting > 0 || r.isFollowing()
+	t := r.partitions[p]
+	return !t.isLoaded || t.waiters > 0 || r.isFollowing()
 }
 
-// wake has the news of all partitions read at once if they are needed.
-func (r *Replica) wake() {
-	for _, c := range r.wanted {
+// requestReads triggers a read of every partition whose new records are needed.
+func (r *Replica) requestReads() {
+	for _, c := range r.readRequested {
 		signal(c)
 	}
 }
 
-// want has the news of a partition read as they come until the returned function is called.
-func (r *Replica) want(p platform.Partition) (done func()) {
+// addWaiter has the new records of a partition read at once until done is called.
+func (r *Replica) addWaiter(p platform.Partition) (done func()) {
 	add := func(n int) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.tails[p].waiting += n
+		r.partitions[p].waiters += n
 	}
 	add(1)
-	signal(r.wanted[p])
+	signal(r.readRequested[p])
 	return func() { add(-1) }
 }
 
-// spread is how much longer this process pauses between two reads because others read, too.
-func (r *Replica) spread() time.Duration {
-	return min(maxSpread, time.Duration(r.peers())*pausePerPeer)
+// extraReadPause is how much longer this process pauses between two reads because of the reads of its peers.
+func (r *Replica) extraReadPause() time.Duration {
+	return min(maxExtraReadPause, time.Duration(r.peerCount())*readPausePerPeer)
 }
 
-// step reads once.
-func (r *Replica) step(ctx context.Context, p platform.Partition) error {
-	next, loaded := r.position(p)
-	if !loaded {
+// readOnce reads once.
+func (r *Replica) readOnce(ctx context.Context, p platform.Partition) error {
+	next, isLoaded := r.nextOffset(p)
+	if !isLoaded {
 		return r.load(ctx, p)
 	}
-	asked, wait := time.Now(), r.readWait(p)
-	page, err := r.store.Read(ctx, platform.Read{Partition: p, From: next, MaxBytes: readBytes, Wait: wait})
+	requestedAt, maxWait := time.Now(), r.pollWait(p)
+	page, err := r.store.Read(ctx, platform.Read{Partition: p, From: next, MaxBytes: readBytes, Wait: maxWait})
 	var expired *platform.Expired
 	if errors.As(err, &expired) {
 		r.log.Warn("records have expired before they were read", "topic", p.Topic, "next", next, "first", expired.First)
@@ -173,102 +175,103 @@
 	if err != nil {
 		return err
 	}
-	r.take(p, page, next, provenAt(asked, wait, page))
+	r.applyPage(p, page, next, provenCurrentAt(requestedAt, maxWait, page))
 	return nil
 }
 
-// provenAt is a time at which the store held no more than an answer shows. An answer may be long on its way: only the question's time is
-// sure, and that a store that has taken as long as it may has waited for news in vain.
-func provenAt(asked time.Time, wait time.Duration, page platform.Records) time.Time {
-	if len(page.Records) > 0 || time.Since(asked) < wait {
-		return asked
+// provenCurrentAt returns a time at which the store held no more than an answer shows. Answers may be
+// delayed, so only the time of the request is certain, except that a store that has taken at least the
+// requested wait has waited that long for new records in vain.
+func provenCurrentAt(requestedAt time.Time, maxWait time.Duration, page platform.Records) time.Time {
+	if len(page.Records) > 0 || time.Since(requestedAt) < maxWait {
+		return requestedAt
 	}
-	return asked.Add(wait)
+	return requestedAt.Add(maxWait)
 }
 
-// readWait is how long a read waits for news.
-func (r *Replica) readWait(p platform.Partition) time.Duration {
-	if !r.isNeeded(p) {
+// pollWait returns how long a read waits for new records.
+func (r *Replica) pollWait(p platform.Partition) time.Duration {
+	if !r.needsNewRecords(p) {
 		return 0
 	}
-	return readWait
+	return longPollWait
 }
 
-// loadProgress reads how far the items of a shard have come. It returns records that drop what nobody
-// needs any more: a former owner may have written it after the item had ended elsewhere.
-func (r *Replica) loadProgress(ctx context.Context, shard int) (drops []platform.KeyedRecord, err error) {
+// loadProgress reads the progress of the items of a shard. It returns tombstones for obsolete progress, which
+// a former owner may have written after another process had finished the item.
+func (r *Replica) loadProgress(ctx context.Context, shard int) (tombstones []platform.KeyedRecord, err error) {
 	prefix := backlog.ProgressPrefix(shard)
 	_, err = platform.EachNewest(ctx, r.store, progressPartition, prefix, func(records []platform.StoredRecord) bool {
-		own := records
-		other := slices.IndexFunc(records, func(rec platform.StoredRecord) bool { return !strings.HasPrefix(rec.Key, prefix) })
-		if other >= 0 {
-			own = records[:other]
+		ownRecords := records
+		firstOther := slices.IndexFunc(records, func(rec platform.StoredRecord) bool { return !strings.HasPrefix(rec.Key, prefix) })
+		if firstOther >= 0 {
+			ownRecords = records[:firstOther]
 		}
-		r.apply(own)
-		drops = append(drops, r.unneeded(own)...)
-		return other < 0
+		r.apply(ownRecords)
+		tombstones = append(tombstones, r.obsoleteProgress(ownRecords)...)
+		return firstOther < 0
 	})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.announce()
-	return drops, err
+	r.notifyChange()
+	return tombstones, err
 }
 
-// unneeded returns records that drop those of progress that nobody will go on from.
-func (r *Replica) unneeded(progress []platform.StoredRecord) []platform.KeyedRecord {
+// obsoleteProgress returns tombstones for those of the progress records from which no owner will resume.
+func (r *Replica) obsoleteProgress(progress []platform.StoredRecord) []platform.KeyedRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var drops []platform.KeyedRecord
+	var tombstones []platform.KeyedRecord
 	for _, rec := range progress {
 		if r.state.Unneeded(rec.Key) {
-			drops = append(drops, platform.KeyedRecord{Key: rec.Key})
+			tombstones = append(tombstones, platform.KeyedRecord{Key: rec.Key})
 		}
 	}
-	return drops
+	return tombstones
 }
 
-func (r *Replica) loaded(p platform.Partition, end uint64, asked time.Time) {
+func (r *Replica) finishLoad(p platform.Partition, end uint64, requestedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.tails[p]
-	t.loaded, t.loading = true, nil
+	t := r.partitions[p]
+	t.isLoaded, t.loading = true, nil
 	t.next = max(t.next, end)
-	t.fresh = asked
+	t.currentAt = requestedAt
 	r.log.Info("backlog loaded", "topic", p.Topic, "end", end)
-	r.announce()
+	r.notifyChange()
 }
 
-// take folds a page that was read from an offset on, and that shows what the store held at a time. Two readers may bring the same page:
-// the state does not go back.
-func (r *Replica) take(p platform.Partition, page platform.Records, from uint64, proven time.Time) {
+// applyPage applies a page that was read at an offset and shows what the store held at the time provenAt. Two
+// readers may apply the same page: the state never goes back.
+func (r *Replica) applyPage(p platform.Partition, page platform.Records, from uint64, provenAt time.Time) {
 	r.apply(page.Records)
 	if p == jobPartition {
-		r.contact()
+		r.onContact()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.tails[p]
+	t := r.partitions[p]
 	t.next = max(t.next, from+uint64(len(page.Records)))
-	if t.next >= page.End && proven.After(t.fresh) {
-		t.fresh = proven
+	if t.next >= page.End && provenAt.After(t.currentAt) {
+		t.currentAt = provenAt
 	}
 	if len(page.Records) > 0 {
-		r.announce()
+		r.notifyChange()
 	}
 }
 
-// takeOwn folds what this process has just written at an offset, so that it knows it before it
-// reads it. Only records that follow what was read move the position.
-func (r *Replica) takeOwn(p platform.Partition, at uint64, records []platform.KeyedRecord) {
+// applyOwnAt applies records that this process has just written at an offset, before it reads them. The read
+// offset advances only if the records directly follow what was read.
+func (r *Replica) applyOwnAt(p platform.Partition, offset uint64, records []platform.KeyedRecord) {
 	r.applyOwn(records)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t := r.tails[p]; t.next == at {
-		t.next = at + uint64(len(records))
+	if t := r.partitions[p]; t.next == offset {
+		t.next = offset + uint64(len(records))
 	}
 }
 
-// applyOwn folds records that are known to be in the store.
+// applyOwn applies records that are known to be in the store.
 func (r *Replica) applyOwn(records []platform.KeyedRecord) {
 	var stored []platform.StoredRecord
 	for _, rec := range records {
@@ -277,7 +280,7 @@
 	r.apply(stored)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.announce()
+	r.notifyChange()
 }
 
 func (r *Replica) apply(records []platform.StoredRecord) {
@@ -285,73 +288,73 @@
 	defer r.mu.Unlock()
 	for _, rec := range records {
 		if err := r.state.Apply(rec.KeyedRecord); err != nil {
-			r.log.Error("record of the backlog left out", "key", rec.Key, "offset", rec.Offset, "error", err)
+			r.log.Error("backlog record skipped", "key", rec.Key, "offset", rec.Offset, "error", err)
 		}
 	}
 }
 
-// announce wakes all that wait for news. The caller holds the lock.
-func (r *Replica) announce() {
-	close(r.news)
-	r.news = make(chan struct{})
+// notifyChange unblocks all callers that wait for a change. The caller holds the lock.
+func (r *Replica) notifyChange() {
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-func (r *Replica) position(p platform.Partition) (next uint64, loaded bool) {
+func (r *Replica) nextOffset(p platform.Partition) (next uint64, isLoaded bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.tails[p].next, r.tails[p].loaded
+	return r.partitions[p].next, r.partitions[p].isLoaded
 }
 
-// age is how old the state of a partition may be.
-func (r *Replica) age(p platform.Partition) time.Duration {
+// stateAge returns the maximum age of the state of a partition.
+func (r *Replica) stateAge(p platform.Partition) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.tails[p].loaded {
+	if !r.partitions[p].isLoaded {
 		return time.Since(time.Time{})
 	}
-	return time.Since(r.tails[p].fresh)
+	return time.Since(r.partitions[p].currentAt)
 }
 
-// with calls f with the state under the lock and returns the channel that the next news closes.
-func (r *Replica) with(f func(*backlog.State)) <-chan struct{} {
+// withState calls f with the state under the lock and returns a channel that the next change closes.
+func (r *Replica) withState(f func(*backlog.State)) <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.state)
-	return r.news
+	return r.changed
 }
 
-// catchUp reads until all that the partition held when the call began has been taken in.
+// catchUp reads until everything that the partition held when the call began has been applied.
 func (r *Replica) catchUp(ctx context.Context, p platform.Partition) error {
-	if _, loaded := r.position(p); !loaded {
-		return errs.New(errs.LogDown, "the backlog has not been read yet").WithRetry(retryPause)
+	if _, isLoaded := r.nextOffset(p); !isLoaded {
+		return errs.New(errs.LogDown, "the backlog has not been loaded yet").WithRetry(readRetryPause)
 	}
-	var target uint64
+	var end uint64
 	for first := true; ; first = false {
-		next, _ := r.position(p)
-		if !first && next >= target {
+		next, _ := r.nextOffset(p)
+		if !first && next >= end {
 			return nil
 		}
-		asked := time.Now()
+		requestedAt := time.Now()
 		page, err := r.store.Read(ctx, platform.Read{Partition: p, From: next, MaxBytes: readBytes})
 		if err != nil {
 			return err
 		}
-		r.take(p, page, next, asked)
+		r.applyPage(p, page, next, requestedAt)
 		if first {
-			target = page.End
+			end = page.End
 		}
 	}
 }
 
-// reach waits until the partition has been read up to an offset.
-func (r *Replica) reach(ctx context.Context, p platform.Partition, offset uint64) error {
+// awaitOffset waits until the partition has been read up to an offset.
+func (r *Replica) awaitOffset(ctx context.Context, p platform.Partition, offset uint64) error {
 	for {
-		news := r.with(func(*backlog.State) {})
-		if next, loaded := r.position(p); loaded && next >= offset {
+		changed := r.withState(func(*backlog.State) {})
+		if next, isLoaded := r.nextOffset(p); isLoaded && next >= offset {
 			return nil
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/internal/backlog/scheduler.go
+++ b/internal/backlog/scheduler.go
@@ -16,85 +16,86 @@
 )
 
 const (
-	// startGap is the pause between two starts of items by one process: within it the peers
-	// hear of the first one.
-	startGap = 6 * time.Millisecond
-	// demandPollInterval is how often the scheduler looks for room while items wait: slots that were left
-	// to other gateways may still be free.
+	// startPause is the pause between two starts of items by one process. Within it the peers receive the
+	// report of the first start.
+	startPause = 6 * time.Millisecond
+	// demandPollInterval is how often the scheduler looks for free slots while items wait: slots that were
+	// left to other gateways may still be free.
 	demandPollInterval = 15 * time.Millisecond
-	// idlePollInterval is how often the scheduler looks for work without a cause.
+	// idlePollInterval is how often the scheduler looks for work without a trigger.
 	idlePollInterval = 250 * time.Millisecond
-	// endsAge is how old the state of jobs may be for an item to start: within it a job's end
-	// may have been accepted elsewhere, and nothing of an ended job may start seconds later.
-	endsAge = 1500 * time.Millisecond
-	// retryDelay is how long an item waits after a target has refused it.
+	// maxCancelAge is the maximum age of the state of jobs at which an item may start: within it another
+	// process may have accepted a job's cancellation, and nothing of a cancelled job may start seconds later.
+	maxCancelAge = 1500 * time.Millisecond
+	// retryDelay is how long an item waits after a run that a target has broken off or failed.
 	retryDelay = 80 * time.Millisecond
 )
 
-// scheduler knows all items that this process has to run and starts them where there is room, in the order
-// of rank.
+// scheduler holds all items that this process has to run and starts them as slots become free, in start
+// order.
 type scheduler struct {
 	m *Manager
 
-	mu     sync.Mutex
-	shards map[*shard]bool
-	tasks  map[string]*task       // by job and item
-	drops  []platform.KeyedRecord // drop checkpoints of items that have ended
-	lease  time.Time              // shards are this process's until then
-	closed bool
-	runs   sync.WaitGroup
-	// settled gets a token when a run is over and what it means for its item is known.
-	settled chan struct{}
-	// adopted gets a token when a shard's items may run.
-	adopted chan struct{}
-	scans   metrics.Counter // of the backlog for items to run
+	mu         sync.Mutex
+	shards     map[*shard]bool
+	tasks      map[string]*task       // by job and item
+	tombstones []platform.KeyedRecord // for checkpoints of items that have a result
+	leaseEnd   time.Time              // this process owns its shards until then
+	isClosed   bool
+	activeRuns sync.WaitGroup
+	// runFinished receives a token when a run is over and its verdict has been applied.
+	runFinished chan struct{}
+	// shardAdopted receives a token when a shard's items may run.
+	shardAdopted chan struct{}
+	scanCount    metrics.Counter // scans of the backlog for items to run
 }
 
-// scansMetric counts how often the scheduler has looked through all jobs.
+// scansMetric counts the scans of all jobs.
 const scansMetric = "backlog.scans"
 
 func newScheduler(m *Manager) *scheduler {
 	return &scheduler{
-		m: m, shards: make(map[*shard]bool), tasks: make(map[string]*task), settled: make(chan struct{}, 1), adopted: make(chan struct{}, 1),
-		scans: metrics.GetOrRegisterCounter(scansMetric, m.reg),
+		m: m, shards: make(map[*shard]bool), tasks: make(map[string]*task), runFinished: make(chan struct{}, 1), shardAdopted: make(chan struct{}, 1),
+		scanCount: metrics.GetOrRegisterCounter(scansMetric, m.registry),
 	}
 }
 
-// leaseUntil notes until when the store deals nobody else this process's shards.
-func (d *scheduler) leaseUntil(t time.Time) {
+// setLeaseEnd sets the time until which the store assigns this process's shards to no other.
+func (d *scheduler) setLeaseEnd(t time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lease = t
+	d.leaseEnd = t
 }
 
-// adopt begins to run a shard's items, unless the shard was given back meanwhile, which ends ctx.
-func (d *scheduler) adopt(ctx context.Context, s *shard) {
+// adoptShard starts running a shard's items, unless ctx has ended because the shard was released meanwhile.
+func (d *scheduler) adoptShard(ctx context.Context, s *shard) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if ctx.Err() == nil {
 		d.shards[s] = true
-		signal(d.adopted)
+		signal(d.shardAdopted)
 	}
 }
 
-// drop takes records that drop progress for the next checkpoint.
-func (d *scheduler) drop(records []platform.KeyedRecord) {
+// addTombstones adds tombstones of progress to the next write of checkpoints.
+func (d *scheduler) addTombstones(records []platform.KeyedRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.drops = append(d.drops, records...)
+	d.tombstones = append(d.tombstones, records...)
 }
 
-// checkpoint returns the records of items that have come far since their last checkpoint.
-func (d *scheduler) checkpoint() []platform.KeyedRecord {
+// dueCheckpoints returns the queued tombstones and the progress records of items with checkpointEvents or
+// more events since their last checkpoint.
+func (d *scheduler) dueCheckpoints() []platform.KeyedRecord {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	records := d.drops
-	d.drops = nil
+	records := d.tombstones
+	d.tombstones = nil
 	for _, t := range d.tasks {
-		if !d.m.opts.Off.Allows(policy.Checkpoints) || !t.dueForCheckpoint() {
+		if !d.m.opts.Off.Allows(policy.Checkpoints) || !t.isCheckpointDue() {
 			continue
 		}
-		saved := d.m.progressOf(t)
+		saved := d.m.progressRecords(t)
 		t.noteCheckpoint(saved)
 		records = append(records, saved...)
 	}
@@ -113,56 +114,57 @@
 	return c
 }
 
-// stopRuns ends all runs and waits until they are over.
+// stopRuns cancels all runs and waits until they are over.
 func (d *scheduler) stopRuns(ctx context.Context) {
 	d.mu.Lock()
-	d.closed = true
+	d.isClosed = true
 	for _, t := range d.tasks {
-		t.stop()
+		t.cancelRun()
 	}
 	d.mu.Unlock()
-	if !waitFor(ctx, &d.runs) {
-		d.m.log.Warn("runs of items have not ended in time")
+	if !waitFor(ctx, &d.activeRuns) {
+		d.m.log.Warn("runs of items did not end in time")
 	}
 }
 
-// run starts items until ctx ends. Peers' reports wake it many times a second in a large fleet: it looks through the backlog only when
-// that has changed, and leaves the reports alone while it has nothing to run.
+// run starts items until ctx ends. In a large fleet, reports of peers trigger it many times a second, so it
+// scans the backlog only when the state has changed, and ignores the reports while it has no items.
 func (d *scheduler) run(ctx context.Context) error {
-	look := sleep.NewTimer(idlePollInterval)
-	defer look.Stop()
-	var news <-chan struct{}
-	var synced time.Time // zero: the tasks may lack something
+	poll := sleep.NewTimer(idlePollInterval)
+	defer poll.Stop()
+	var changed <-chan struct{}
+	var lastScan time.Time // zero: the tasks may be incomplete
 	for {
-		if time.Since(synced) >= idlePollInterval {
-			synced = time.Now()
-			d.scans.Inc(1)
-			news = d.sync()
+		if time.Since(lastScan) >= idlePollInterval {
+			lastScan = time.Now()
+			d.scanCount.Inc(1)
+			changed = d.sync()
 		}
-		for d.startOne(ctx) {
-			sleep.For(ctx, startGap)
+		for d.startNext(ctx) {
+			sleep.For(ctx, startPause)
 		}
-		if d.want() > 0 || d.pausing() {
-			look.Reset(demandPollInterval)
+		if d.publishDemand() > 0 || d.hasPausedTask() {
+			poll.Reset(demandPollInterval)
 		} else {
-			look.Reset(idlePollInterval)
+			poll.Reset(idlePollInterval)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-news:
-			synced = time.Time{}
-		case <-d.adopted:
-			synced = time.Time{}
-		case <-d.freed():
-		case <-d.settled:
-		case <-look.C:
+		case <-changed:
+			lastScan = time.Time{}
+		case <-d.shardAdopted:
+			lastScan = time.Time{}
+		case <-d.capacityFreed():
+		case <-d.runFinished:
+		case <-poll.C:
 		}
 	}
 }
 
-// freed gets a token when there may be room for an item that there was not before; nil without items.
-func (d *scheduler) freed() <-chan struct{} {
+// capacityFreed returns a channel that receives a token when a slot may have become free; nil without items,
+// so that it never triggers.
+func (d *scheduler) capacityFreed() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.tasks) == 0 {
@@ -171,24 +173,26 @@
 	return d.m.view.Freed()
 }
 
-// want tells the peers how many items wait here and when the first is due.
-func (d *scheduler) want() int {
-	var w fleet.Demand
+// publishDemand reports to the peers how many items wait here and the start key of the first, and returns
+// that number.
+func (d *scheduler) publishDemand() int {
+	var demand fleet.Demand
 	now := time.Now()
-	for _, t := range d.waiting(now) {
-		if key := d.key(t, now); w.Items == 0 || key < w.Due {
-			w.Due = key
+	for _, t := range d.startableTasks(now) {
+		if key := d.startKey(t, now); demand.Items == 0 || key < demand.Due {
+			demand.Due = key
 		}
-		w.Items++
+		demand.Items++
 	}
-	d.m.view.SetDemand(w)
-	return w.Items
+	d.m.view.SetDemand(demand)
+	return demand.Items
 }
 
-// noteSettled wakes the scheduler after a run. The slot that has come free wakes it, too, but maybe before the item can go on.
-func (d *scheduler) noteSettled() { signal(d.settled) }
+// notifyRunFinished triggers the scheduler after a run. The slot that became free triggers it as well, but
+// possibly before the item can resume.
+func (d *scheduler) notifyRunFinished() { signal(d.runFinished) }
 
-// signal leaves a token in a channel that has room for one.
+// signal leaves a token in a channel with a buffer of one.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -196,8 +200,9 @@
 	}
 }
 
-// pausing says whether an item waits for the end of a short pause: nothing else wakes the scheduler then.
-func (d *scheduler) pausing() bool {
+// hasPausedTask reports whether an item can start within idlePollInterval: the end of such a pause does not
+// trigger the scheduler.
+func (d *scheduler) hasPausedTask() bool {
 	soon := time.Now().Add(idlePollInterval)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -209,36 +214,36 @@
 	return false
 }
 
-// startOne starts the item that is first in order among those for which there is room. It reports
-// whether it has started one.
-func (d *scheduler) startOne(ctx context.Context) bool {
+// startNext starts the first item in start order for whose service there is a free slot. It reports whether
+// it has started one.
+func (d *scheduler) startNext(ctx context.Context) bool {
 	now := time.Now()
-	full := make(map[string]bool) // services without room
-	for _, ranked := range d.rank(d.waiting(now), now) {
-		t := ranked.task
+	fullServices := make(map[string]bool) // services without a free slot
+	for _, ordered := range d.sortTasks(d.startableTasks(now), now) {
+		t := ordered.task
 		route, _, err := d.m.router.Route(t.job.Host, t.item().URI)
 		if errs.Is(err, errs.NotFound) {
-			d.unrouted(t, now)
+			d.deferUnrouted(t, now)
 			continue
 		}
 		if err != nil {
 			return false
 		}
 		service := route.Service(t.item().ID)
-		if full[service] || d.isQuarantined(t, now) || d.mustWait(t) {
+		if fullServices[service] || d.deferIfQuarantined(t, now) || d.mustWaitForRelated(t) {
 			continue
 		}
-		if d.start(ctx, t, route, service) {
+		if d.startRun(ctx, t, route, service) {
 			return true
 		}
-		full[service] = true
+		fullServices[service] = true
 	}
 	return false
 }
 
-// waiting returns the tasks that may start now, in no order.
-func (d *scheduler) waiting(now time.Time) []*task {
-	if !d.canRun(now) {
+// startableTasks returns the tasks that may start now, unordered.
+func (d *scheduler) startableTasks(now time.Time) []*task {
+	if !d.canStartItems(now) {
 		return nil
 	}
 	d.mu.Lock()
@@ -252,49 +257,52 @@
 	return list
 }
 
-// canRun says whether items may start. They may while this process knows of the jobs' ends and holds
-// its shards; and also when the store can't be reached by anybody, since then no end is accepted and
-// no shard dealt to another: without that, each outage of the store would stop all batch work.
-func (d *scheduler) canRun(now time.Time) bool {
+// canStartItems reports whether items may start. They may while this process has a current state of
+// cancellations and holds the lease of its shards, and also while no process can reach the store: then no
+// cancellation is accepted and no shard is reassigned. Without the second case, each outage of the store
+// would stop all batch work.
+func (d *scheduler) canStartItems(now time.Time) bool {
 	d.mu.Lock()
-	closed, lease := d.closed, d.lease
+	isClosed, leaseEnd := d.isClosed, d.leaseEnd
 	d.mu.Unlock()
-	if closed {
+	if isClosed {
 		return false
 	}
-	sure := d.m.replica.age(jobPartition) <= endsAge && now.Before(lease)
-	return sure || d.m.view.StoreDownForAll()
+	isCurrent := d.m.replica.stateAge(jobPartition) <= maxCancelAge && now.Before(leaseEnd)
+	return isCurrent || d.m.view.StoreDownForAll()
 }
 
-// An item is given up once unroutedLooks looks in a row, each unroutedPause after the one before,
-// found no route for it: a configuration may take a route away and bring it back.
+// An item gets the outcome Errored after maxUnroutedChecks consecutive checks, unroutedRecheckDelay apart,
+// that found no route for it. A configuration may remove a route and restore it later.
 const (
-	unroutedLooks = 4
-	unroutedPause = 5 * time.Second
+	maxUnroutedChecks    = 4
+	unroutedRecheckDelay = 5 * time.Second
 )
 
-// unrouted puts off an item without a route, and gives it up in the end.
-func (d *scheduler) unrouted(t *task, now time.Time) {
-	if end := t.noRoute(now); end != nil {
-		t.shard.finish(end)
+// deferUnrouted delays an item without a route, and finally ends it as Errored.
+func (d *scheduler) deferUnrouted(t *task, now time.Time) {
+	if result := t.markUnrouted(now); result != nil {
+		t.shard.enqueueResult(result)
 	}
 }
 
-// quarantineRecheck is how long a quarantined item waits until it is looked at again: another request with its content may be served.
-const quarantineRecheck = time.Second
+// quarantineRecheckDelay is how long a quarantined item waits for its next check: another request with the
+// same content may be served meanwhile.
+const quarantineRecheckDelay = time.Second
 
-// isQuarantined puts off an item under which targets have crashed, and gives it up once its job allows that.
-func (d *scheduler) isQuarantined(t *task, now time.Time) bool {
+// deferIfQuarantined reports whether an item is quarantined. If so, it delays the item, or ends it as Errored
+// once its job allows that.
+func (d *scheduler) deferIfQuarantined(t *task, now time.Time) bool {
 	if d.m.opts.Quarantine.Check(t.content) == nil {
 		return false
 	}
-	d.putOff(t, now)
+	d.deferQuarantined(t, now)
 	return true
 }
 
-// mustWait says whether a task that may crash targets like others of its resource or job has to wait until one of these that runs has
-// passed: side by side they would crash a target each.
-func (d *scheduler) mustWait(t *task) bool {
+// mustWaitForRelated reports whether a suspect task has to wait until a running one of the same resource or
+// job has passed. Run side by side, each would crash a target.
+func (d *scheduler) mustWaitForRelated(t *task) bool {
 	if !d.m.opts.Quarantine.IsSuspect(t.content) {
 		return false
 	}
@@ -308,54 +316,54 @@
 	return false
 }
 
-// putOff has a quarantined task wait, or gives it up.
-func (d *scheduler) putOff(t *task, now time.Time) {
-	end, isNew := t.putOff(now)
+// deferQuarantined delays a quarantined task, or ends it as Errored.
+func (d *scheduler) deferQuarantined(t *task, now time.Time) {
+	result, isNew := t.markQuarantined(now)
 	if isNew {
-		d.m.log.Info("item held", "job", t.job.ID, "item", t.item().ID, "content", t.content.Fingerprint().String(), "until", t.givenUpAt().UTC().Format(time.RFC3339))
+		d.m.log.Info("item held", "job", t.job.ID, "item", t.item().ID, "content", t.content.Fingerprint().String(), "until", t.giveUpTime().UTC().Format(time.RFC3339))
 	}
-	if end != nil {
-		t.shard.finish(end)
+	if result != nil {
+		t.shard.enqueueResult(result)
 	}
 }
 
-// start runs a task if a target has room for it.
-func (d *scheduler) start(ctx context.Context, t *task, route *serving.Route, service string) bool {
+// startRun starts a task if a target has a free slot for it. It reports whether it has.
+func (d *scheduler) startRun(ctx context.Context, t *task, route *serving.Route, service string) bool {
 	runCtx, cancel := context.WithCancel(ctx)
-	r, ok := d.m.view.StartBatch(service, t.job.Rank, t.avoided(), func() { t.preempt(cancel) })
+	r, ok := d.m.view.StartBatch(service, t.job.Rank, t.targetsToAvoid(), func() { t.preempt(cancel) })
 	if !ok {
 		cancel()
 		return false
 	}
-	if !d.enter() {
+	if !d.registerRun() {
 		r.Done()
 		cancel()
 		return false
 	}
 	if d.m.opts.Quarantine.AdmitRequest(t.content) != nil {
-		d.putOff(t, time.Now())
-		d.runs.Done()
+		d.deferQuarantined(t, time.Now())
+		d.activeRuns.Done()
 		r.Done()
 		cancel()
 		return false
 	}
-	t.begin(cancel)
+	t.markStarted(cancel)
 	go func() {
-		defer d.runs.Done()
+		defer d.activeRuns.Done()
 		defer cancel()
 		d.m.runItem(runCtx, t, r, route)
 	}()
 	return true
 }
 
-// enter counts a run that begins, unless the process stops: who waits for the runs to end must not
-// miss one.
-func (d *scheduler) enter() bool {
+// registerRun counts a run that begins. It returns false while the process stops, so that the wait for the
+// end of all runs misses none.
+func (d *scheduler) registerRun() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.closed {
+	if d.isClosed {
 		return false
 	}
-	d.runs.Add(1)
+	d.activeRuns.Add(1)
 	return true
 }
--- a/internal/backlog/submit.go
+++ b/internal/backlog/submit.go
@@ -15,34 +15,36 @@
 )
 
 const (
-	// submitTimeout is how long a job's submission is tried before its caller is told to come
-	// again: callers wait for 4 s and give a second attempt the same time.
+	// submitTimeout bounds a job's submission before its caller is asked to retry: callers wait for 4 s and
+	// allow a second attempt the same time.
 	submitTimeout = 2500 * time.Millisecond
-	// tryTimeout is how long one append of a job may take. The store answers within 300 ms even while it is slow; a call that it
-	// has not answered by then may be lost, and the same append, under the same condition, does no harm.
-	tryTimeout = 600 * time.Millisecond
-	// endTimeout is the same as submitTimeout for a job's end.
-	endTimeout = 3 * time.Second
-	// fullRetry is when a job should come again that does not fit into its route's limit.
-	fullRetry = time.Second
-	// writePause is the time between writes that fail.
-	writePause = 60 * time.Millisecond
-	// maxCallBytes is the most that one append may hold, less room for framing.
-	maxCallBytes = 2<<20 - 64<<10
+	// appendTimeout bounds one append of a job. The store answers within 300 ms even while it is slow; a call
+	// without an answer by then may be lost, and repeating the same append under the same condition is
+	// harmless.
+	appendTimeout = 600 * time.Millisecond
+	// cancelTimeout bounds a job's cancellation, as submitTimeout bounds its submission.
+	cancelTimeout = 3 * time.Second
+	// limitRetryDelay is the retry delay for a job that exceeds its route's limit.
+	limitRetryDelay = time.Second
+	// writeRetryPause is the pause after a failed write.
+	writeRetryPause = 60 * time.Millisecond
+	// maxAppendBytes bounds the records of one append, leaving room for framing.
+	maxAppendBytes = 2<<20 - 64<<10
 )
 
-// Submit accepts a job. It returns nil once the job lies in the store. A job that comes again is
-// accepted again. Errors: errs.RateLimited (it does not fit into its workspace's limit on the route), errs.LogDown and
-// errs.LogBusy (it is not in the store), errs.AppendUnknown (it may be or may get there).
+// Submit accepts a job. It returns nil once the job is in the store; submitting a job again is accepted as
+// well. Errors: errs.RateLimited (the job exceeds its workspace's limit on the route), errs.LogDown and
+// errs.LogBusy (the job is not in the store), errs.AppendUnknown (the job may be in the store or may still be
+// written).
 //
-// All jobs go through one partition, each under the condition that its process has read all
-// before it: so the limit holds across processes, and an append whose answer was lost is either
-// found by reading on or can no longer be done.
+// All jobs go through one partition, each on the condition that its process has read all earlier ones. So the
+// limit holds across processes, and an append with a lost answer is either found by reading on or can no
+// longer succeed.
 func (m *Manager) Submit(ctx context.Context, route *serving.Route, job *backlog.Job) error {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	if len(job.ID) > backlog.MaxIDBytes {
-		return errs.Newf(errs.BadRequest, "the job's id has over %d bytes", backlog.MaxIDBytes)
+		return errs.Newf(errs.BadRequest, "the job's id is longer than %d bytes", backlog.MaxIDBytes)
 	}
 	scoped := *job
 	scoped.ID = backlog.ScopedID(job.Workspace, job.ID)
@@ -53,197 +55,198 @@
 	}
 	s := &submission{m: m, route: route, job: job, records: records}
 	err = s.run(ctx)
-	m.log.Log(levelOf(err), "job", "request", job.ID, "workspace", job.Workspace, "route", route.Name, "items", len(job.Items), "tokens", job.Tokens(),
-		"queued", s.queued, "limit", route.MaxQueued, "end", s.at, "tries", s.tries, "outcome", outcomeOf(err))
-	m.count("job.submit", err)
+	m.log.Log(logLevel(err), "job", "request", job.ID, "workspace", job.Workspace, "route", route.Name, "items", len(job.Items), "tokens", job.Tokens(),
+		"queued", s.queuedTokens, "limit", route.MaxQueued, "end", s.expectedEnd, "tries", s.tries, "outcome", logOutcome(err))
+	m.countOutcome("job.submit", err)
 	m.logItems(job)
 	return err
 }
 
-// logItems writes what has come in as a job's items.
+// logItems logs the received items of a job.
 func (m *Manager) logItems(job *backlog.Job) {
 	now := time.Now()
 	for i := range job.Items {
 		item := &job.Items[i]
-		m.bodies.Info(now, "item received", "job", job.ID, "item", item.ID, "uri", item.URI, "body_bytes", len(item.Body), "body_sum", bodySum(item.Body))
+		m.bodyLog.Info(now, "item received", "job", job.ID, "item", item.ID, "uri", item.URI, "body_bytes", len(item.Body), "body_sum", bodyChecksum(item.Body))
 	}
 }
 
-// submission is one job on its way into the store.
+// submission is one attempt to write a job into the store.
 type submission struct {
-	m       *Manager
-	route   *serving.Route
-	job     *backlog.Job
-	records []platform.KeyedRecord
-	at      uint64 // where the partition must end
-	queued  int64  // tokens that the route held
-	tries   int
-	unknown bool // an append without an answer may have been done
+	m            *Manager
+	route        *serving.Route
+	job          *backlog.Job
+	records      []platform.KeyedRecord
+	expectedEnd  uint64 // end of the partition that the append requires
+	queuedTokens int64  // tokens of the workspace that are queued on the route
+	tries        int
+	mayBeStored  bool // an append without an answer may have succeeded
 }
 
 func (s *submission) run(ctx context.Context) error {
-	s.m.catchUpLazy(ctx, jobPartition)
-	if s.known() {
+	s.m.catchUpIfStale(ctx, jobPartition)
+	if s.isAccepted() {
 		return nil
 	}
-	if err := s.large(ctx); err != nil {
+	if err := s.writeLeadingChunks(ctx); err != nil {
 		return err
 	}
 	for {
-		done, err := s.try(ctx)
+		done, err := s.tryAppend(ctx)
 		if done {
 			return err
 		}
-		if !sleep.For(ctx, pauseAfter(err)) {
-			return s.giveUp(err)
+		if !sleep.For(ctx, retryPauseAfter(err)) {
+			return s.finalError(err)
 		}
 	}
 }
 
-// pauseAfter is short when only another job came first.
-func pauseAfter(err error) time.Duration {
+// retryPauseAfter returns the pause before the next attempt; 0 if another job was merely written first.
+func retryPauseAfter(err error) time.Duration {
 	var moved *platform.EndMoved
 	if errors.As(err, &moved) {
 		return 0
 	}
-	return writePause
+	return writeRetryPause
 }
 
-// giveUp is the failure after the last try.
-func (s *submission) giveUp(err error) error {
+// finalError returns the error of the submission after its last attempt.
+func (s *submission) finalError(err error) error {
 	e := errs.As(err)
-	if s.unknown {
+	if s.mayBeStored {
 		return errs.Newf(errs.AppendUnknown, "the job may have been accepted: %v", err).WithRan(errs.RanUnknown)
 	}
 	if e.Type != errs.LogBusy {
 		e = errs.Newf(errs.LogDown, "the job was not written: %v", err)
 	}
-	return e.WithRan(errs.RanNo).WithRetry(writePause)
+	return e.WithRan(errs.RanNo).WithRetry(writeRetryPause)
 }
 
-// known says whether the job has been accepted already.
-func (s *submission) known() bool {
-	ok := false
-	s.m.replica.with(func(st *backlog.State) { _, ok = st.Job(s.job.ID) })
-	return ok
+// isAccepted reports whether the job has been accepted already.
+func (s *submission) isAccepted() bool {
+	isKnown := false
+	s.m.replica.withState(func(st *backlog.State) { _, isKnown = st.Job(s.job.ID) })
+	return isKnown
 }
 
-// try writes the job if it fits. done says that err is the answer.
-func (s *submission) try(ctx context.Context) (done bool, err error) {
+// tryAppend writes the job if it fits the limit. done reports that err is the final answer.
+func (s *submission) tryAppend(ctx context.Context) (done bool, err error) {
 	s.tries++
-	next, loaded := s.m.replica.position(jobPartition)
-	if !loaded {
-		return false, errs.New(errs.LogDown, "the backlog has not been read yet")
+	next, isLoaded := s.m.replica.nextOffset(jobPartition)
+	if !isLoaded {
+		return false, errs.New(errs.LogDown, "the backlog has not been loaded yet")
 	}
-	if next > s.at {
-		s.unknown = false // all up to next has been read, so an append at s.at is in there or void
+	if next > s.expectedEnd {
+		// Everything before next has been read: an append at s.expectedEnd has been seen or can't succeed.
+		s.mayBeStored = false
 	}
-	fits := true
-	s.m.replica.with(func(st *backlog.State) {
-		if _, known := st.Job(s.job.ID); known {
+	isWithinLimit := true
+	s.m.replica.withState(func(st *backlog.State) {
+		if _, isKnown := st.Job(s.job.ID); isKnown {
 			done = true
 			return
 		}
-		fits = s.fits(st)
+		isWithinLimit = s.fitsLimit(st)
 	})
 	if done {
 		return true, nil
 	}
-	if !fits && !s.unknown {
-		return s.full(ctx)
+	if !isWithinLimit && !s.mayBeStored {
+		return s.refuseIfFull(ctx)
 	}
-	s.at = next
-	return s.judge(ctx, s.append(ctx))
+	s.expectedEnd = next
+	return s.handleAppendResult(ctx, s.append(ctx))
 }
 
-// append sends the job's append once. The condition is a copy: a call that is given up may still be under way when the next one
-// is made, and must not be done under the next one's condition.
+// append sends the job's append once. The condition is a copy: an abandoned call may still be under way
+// when the next one is made, and must not be done under the next one's condition.
 func (s *submission) append(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	at := s.at
+	at := s.expectedEnd
 	_, err := s.m.store.Append(ctx, platform.Append{Partition: jobPartition, Records: s.records, At: &at})
 	return err
 }
 
-// full refuses a job that does not fit, once the state is known to be fresh.
-func (s *submission) full(ctx context.Context) (bool, error) {
-	if s.m.replica.age(jobPartition) > freshEnough || s.m.replica.age(resultPartition) > freshEnough {
+// refuseIfFull refuses a job that exceeds the limit, once the state is known to be current.
+func (s *submission) refuseIfFull(ctx context.Context) (bool, error) {
+	if s.m.replica.stateAge(jobPartition) > maxAnswerAge || s.m.replica.stateAge(resultPartition) > maxAnswerAge {
 		if err := s.m.refresh(ctx); err != nil {
 			return false, err
 		}
-		fits := false
-		s.m.replica.with(func(st *backlog.State) { fits = s.fits(st) })
-		if fits {
+		isWithinLimit := false
+		s.m.replica.withState(func(st *backlog.State) { isWithinLimit = s.fitsLimit(st) })
+		if isWithinLimit {
 			return false, nil
 		}
 	}
-	return true, errs.Newf(errs.RateLimited, "the workspace has %d of %d tokens on the route", s.queued, s.route.MaxQueued).WithRetry(fullRetry)
+	return true, errs.Newf(errs.RateLimited, "the workspace has %d of %d tokens on the route", s.queuedTokens, s.route.MaxQueued).WithRetry(limitRetryDelay)
 }
 
-// fits notes what the route holds and says whether the job fits beside it.
-func (s *submission) fits(st *backlog.State) bool {
-	s.queued = st.Queued(s.job.Workspace, s.route.Name)
-	return s.route.MaxQueued == 0 || s.queued+s.job.Tokens() <= s.route.MaxQueued
+// fitsLimit updates queuedTokens and reports whether the job fits the limit beside them.
+func (s *submission) fitsLimit(st *backlog.State) bool {
+	s.queuedTokens = st.Queued(s.job.Workspace, s.route.Name)
+	return s.route.MaxQueued == 0 || s.queuedTokens+s.job.Tokens() <= s.route.MaxQueued
 }
 
-// judge reads what an append has done.
-func (s *submission) judge(ctx context.Context, err error) (bool, error) {
+// handleAppendResult evaluates the result of an append.
+func (s *submission) handleAppendResult(ctx context.Context, err error) (bool, error) {
 	if err == nil {
-		s.m.replica.takeOwn(jobPartition, s.at, s.records)
+		s.m.replica.applyOwnAt(jobPartition, s.expectedEnd, s.records)
 		return true, nil
 	}
 	var moved *platform.EndMoved
 	if errors.As(err, &moved) {
-		// Somebody wrote first, or this job's own append whose answer was lost. Reading on
-		// tells; after that, nothing that was sent before can still be done.
+		// Another writer came first, or this job's own append whose answer was lost. Reading on shows which;
+		// after that, no earlier append of this submission can succeed.
 		if readErr := s.m.replica.catchUp(ctx, jobPartition); readErr != nil {
 			return false, readErr
 		}
-		s.unknown = false
+		s.mayBeStored = false
 		return false, err
 	}
 	if errs.Is(err, errs.AppendUnknown) {
-		s.unknown = true
+		s.mayBeStored = true
 	}
 	return false, err
 }
 
-// large writes the first parts of a job that is too large for one append. They mean nothing
-// without the last part, which is written under the condition.
-func (s *submission) large(ctx context.Context) error {
+// writeLeadingChunks writes all but the last chunks of a job that is too large for one append. They have no
+// effect without the last ones, which are written on the condition.
+func (s *submission) writeLeadingChunks(ctx context.Context) error {
 	for {
-		n := callSize(s.records)
+		n := recordsPerAppend(s.records)
 		if n == len(s.records) {
 			return nil
 		}
 		_, err := s.m.store.Append(ctx, platform.Append{Partition: jobPartition, Records: s.records[:n]})
 		if err != nil {
-			return errs.Newf(errs.LogDown, "a large job was not written: %v", err).WithRan(errs.RanNo).WithRetry(writePause)
+			return errs.Newf(errs.LogDown, "failed to write the first chunks of a large job: %v", err).WithRan(errs.RanNo).WithRetry(writeRetryPause)
 		}
 		s.records = s.records[n:]
 	}
 }
 
-// End takes a job's end. It returns nil once the end lies in the store. Errors: errs.NotFound, errs.Unauthenticated,
-// errs.LogDown, errs.AppendUnknown.
+// End cancels a job. It returns nil once the cancellation is in the store. Errors: errs.NotFound,
+// errs.Unauthenticated, errs.LogDown, errs.AppendUnknown.
 func (m *Manager) End(ctx context.Context, caller serving.Caller, id string) error {
 	id = backlog.ScopedID(caller.Workspace, id)
-	ctx, cancel := context.WithTimeout(ctx, endTimeout)
+	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
-	err := m.end(ctx, caller, id)
-	m.log.Log(levelOf(err), "job end", "job", id, "outcome", outcomeOf(err))
-	m.count("job.end", err)
+	err := m.cancelJob(ctx, caller, id)
+	m.log.Log(logLevel(err), "job end", "job", id, "outcome", logOutcome(err))
+	m.countOutcome("job.end", err)
 	return err
 }
 
-func (m *Manager) end(ctx context.Context, caller serving.Caller, id string) error {
-	if err := m.mustExist(ctx, caller, id); err != nil {
+func (m *Manager) cancelJob(ctx context.Context, caller serving.Caller, id string) error {
+	if err := m.ensureJobExists(ctx, caller, id); err != nil {
 		return err
 	}
-	ended := false
-	m.replica.with(func(st *backlog.State) { ended = st.Ended(id) })
-	if ended {
+	isCancelled := false
+	m.replica.withState(func(st *backlog.State) { isCancelled = st.Ended(id) })
+	if isCancelled {
 		return nil
 	}
 	records, err := backlog.EncodeEnd(id)
@@ -251,28 +254,28 @@
 		return err
 	}
 	for {
-		// An end that is written twice means the same, so a lost answer needs no care.
+		// Cancellation is idempotent, so an append with a lost answer is repeated.
 		_, err := m.store.Append(ctx, platform.Append{Partition: jobPartition, Records: records})
 		if err == nil {
 			m.replica.applyOwn(records)
 			return nil
 		}
-		if !sleep.For(ctx, writePause) {
-			return errs.Newf(errs.AppendUnknown, "the end may have been written: %v", err)
+		if !sleep.For(ctx, writeRetryPause) {
+			return errs.Newf(errs.AppendUnknown, "the cancellation may have been written: %v", err)
 		}
 	}
 }
 
-// levelOf is the level of a log line about a call that ended with err.
-func levelOf(err error) hclog.Level {
+// logLevel returns the log level for a call that returned err.
+func logLevel(err error) hclog.Level {
 	if err != nil {
 		return hclog.Warn
 	}
 	return hclog.Info
 }
 
-// outcomeOf is the word of a log line for err.
-func outcomeOf(err error) string {
+// logOutcome returns the outcome field of a log line for err.
+func logOutcome(err error) string {
 	if err == nil {
 		return "done"
 	}
--- a/internal/backlog/submit_test.go
+++ b/internal/backlog/submit_test.go
@@ -8,12 +8,12 @@
 	"arbutusramp/standin/keyedlog"
 )
 
-// Symptom: jobs were turned away for a second after the store was back from a silence.
-// Sequence: a job is handed in while the store is silent; its first append waits for an answer until 1.2 s are over, the second one is
-// sent just before the store is back and waits as long; the job's time is over.
-// Cause: an append that was lost in the silence was waited for as long as one that the store works on.
-func TestAJobIsAcceptedSoonAfterASilence(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, w *world) {
+// A job must be accepted soon after a silent store responds again. Its first append waits for an answer for
+// as long as one that the store works on, 1.2 s, and the second one, sent just before the store is back,
+// waits as long. With such a timeout the job's time is over, and jobs are refused for a second after the
+// silence.
+func TestJobAcceptedSoonAfterSilentStoreReturns(t *testing.T) {
+	withCluster(t, 1, func(t *testing.T, w *cluster) {
 		const silence = 1300 * time.Millisecond
 		n := w.nodes[0]
 		n.view.Set(keyedlog.Faults{Silent: true})
@@ -26,9 +26,9 @@
 		if err := n.manager.Submit(context.Background(), w.route, j); err != nil {
 			t.Fatalf("after %v: %v", time.Since(began), err)
 		}
-		if took := time.Since(began); took > silence+tryTimeout+2*writePause {
+		if took := time.Since(began); took > silence+appendTimeout+2*writeRetryPause {
 			t.Errorf("accepted %v after the store was back", took-silence)
 		}
-		w.check(j, n.results(j, 20*time.Second))
+		w.checkResults(j, n.results(j, 20*time.Second))
 	})
 }
--- a/internal/backlog/task.go
+++ b/internal/backlog/task.go
@@ -14,41 +14,41 @@
 	"arbutusramp/internal/telemetry"
 )
 
-// task is an item that this process has to bring to an end.
+// task is an item that this process has to finish.
 type task struct {
 	shard *shard
 	job   *backlog.Job
 	index int
 
-	content *quarantine.Content // the item as it is sent to targets
-
-	taken time.Time // when this process took it on
-
-	mu        sync.Mutex
-	begun     bool // a run has begun here
-	hasPassed bool // a run here has passed; see quarantine.PassTime
-	isHeld    bool // it is quarantined
-	running   bool
-	ending    backlog.Outcome // how it has ended, written or about to be; empty until that is known
-	cancel    context.CancelFunc
-	preempted bool
-	notUntil  time.Time
-	lastID    string // of the last event in text
-	text      []byte
-	events    int                    // in text
-	unsaved   int                    // events since the last checkpoint
-	saved     []platform.KeyedRecord // the last checkpoint; empty without one
-	failures  int                    // runs that a target has answered with a failure, at former owners too
-	unrouted  int                    // looks in a row that found no route
-	avoid     []string               // targets that have just failed it
-}
-
-// newTask returns the task of a job's item that a shard takes on now.
+	content *quarantine.Content // the request as it is sent to targets
+
+	takenAt time.Time // when this process took it on
+
+	mu             sync.Mutex
+	hasRun         bool // a run has begun here
+	hasPassed      bool // a run here has passed; see quarantine.PassTime
+	isQuarantined  bool // it is quarantined
+	hasActiveRun   bool
+	outcome        backlog.Outcome // written or about to be written; empty until it is known
+	cancel         context.CancelFunc
+	isPreempted    bool
+	notBefore      time.Time
+	lastID         string // id of the last event in text
+	text           []byte
+	events         int                    // number of events in text
+	unsavedEvents  int                    // number of events since the last checkpoint
+	checkpoint     []platform.KeyedRecord // records of the last checkpoint; empty without one
+	failures       int                    // runs that a target has answered with a failure, at former owners as well
+	unroutedChecks int                    // consecutive checks that found no route
+	avoidTargets   []string               // targets at which the last run was broken off or failed
+}
+
+// newTask returns the task of an item that a shard takes on now.
 func newTask(s *shard, j *backlog.Job, index int) *task {
-	return &task{shard: s, job: j, index: index, content: contentOf(j, index), taken: time.Now()}
+	return &task{shard: s, job: j, index: index, content: contentOf(j, index), takenAt: time.Now()}
 }
 
-// contentOf is a job's item as it is sent to targets.
+// contentOf returns the content of a job's item as it is sent to targets.
 func contentOf(j *backlog.Job, index int) *quarantine.Content {
 	item := &j.Items[index]
 	return quarantine.NewContent(&serving.Request{
@@ -59,33 +59,34 @@
 
 func (t *task) item() *backlog.Item { return &t.job.Items[t.index] }
 
-// due is when the task should be done.
+// due returns the due time in milliseconds since 1970.
 func (t *task) due() int64 { return t.job.Submitted + t.job.Due.Milliseconds() }
 
-// lastEvent is the id of the last event that the task has; empty without one.
+// lastEvent returns the id of the task's last event; empty without one.
 func (t *task) lastEvent() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lastID
 }
 
-// progress is how far the task has come.
+// progress returns the task's progress.
 func (t *task) progress() *backlog.Progress {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return &backlog.Progress{Job: t.job.ID, Item: t.item().ID, LastID: t.lastID, Text: string(t.text), Failures: t.failures, Outcome: t.ending}
+	return &backlog.Progress{Job: t.job.ID, Item: t.item().ID, LastID: t.lastID, Text: string(t.text), Failures: t.failures, Outcome: t.outcome}
 }
 
-// adopt goes on from p if that is further and no run is on. A run of an item that has ended elsewhere
-// is cancelled, so that a later call can take the end over. It returns the task's end, if p brings it.
-func (t *task) adopt(p backlog.Progress) *outcome {
+// mergeProgress continues from p if that is further and the task has no active run. If p has an outcome,
+// another process has finished the item: an active run is cancelled, so that a later call can apply the
+// outcome. mergeProgress returns the task's result, if p holds it.
+func (t *task) mergeProgress(p backlog.Progress) *pendingResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.failures = max(t.failures, p.Failures)
-	if t.running && p.Outcome != "" {
+	if t.hasActiveRun && p.Outcome != "" {
 		t.cancel()
 	}
-	if t.running || t.ending != "" {
+	if t.hasActiveRun || t.outcome != "" {
 		return nil
 	}
 	if len(p.Text) > len(t.text) {
@@ -94,33 +95,33 @@
 	}
 	switch p.Outcome {
 	case backlog.Complete:
-		return t.end(backlog.Complete, string(t.text))
+		return t.setOutcome(backlog.Complete, string(t.text))
 	case backlog.Errored:
-		return t.end(backlog.Errored, "")
+		return t.setOutcome(backlog.Errored, "")
 	}
 	return nil
 }
 
-func (t *task) dueForCheckpoint() bool {
+func (t *task) isCheckpointDue() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ending == "" && t.unsaved >= checkpointEvents
+	return t.outcome == "" && t.unsavedEvents >= checkpointEvents
 }
 
 func (t *task) noteCheckpoint(saved []platform.KeyedRecord) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unsaved, t.saved = 0, saved
+	t.unsavedEvents, t.checkpoint = 0, saved
 }
 
-func (t *task) checkpointed() []platform.KeyedRecord {
+func (t *task) lastCheckpoint() []platform.KeyedRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.saved
+	return t.checkpoint
 }
 
-// stop cancels the task's run.
-func (t *task) stop() {
+// cancelRun cancels the task's run.
+func (t *task) cancelRun() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.cancel != nil {
@@ -128,15 +129,15 @@
 	}
 }
 
-// ended says whether the task's end is known.
-func (t *task) ended() bool {
+// hasOutcome reports whether the task's outcome is known.
+func (t *task) hasOutcome() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ending != ""
+	return t.outcome != ""
 }
 
-// made is how many events the task has.
-func (t *task) made() int {
+// eventCount returns the number of the task's events.
+func (t *task) eventCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.events
@@ -145,18 +146,18 @@
 func (t *task) isRunning() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.running
+	return t.hasActiveRun
 }
 
-// isUnproven says whether the task runs and none of its runs has passed.
+// isUnproven reports whether the task has an active run and none of its runs has passed.
 func (t *task) isUnproven() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.running && !t.hasPassed
+	return t.hasActiveRun && !t.hasPassed
 }
 
-// notePassed notes that a run of the task has passed. It reports whether that was not known yet.
-func (t *task) notePassed() (isNew bool) {
+// markPassed notes that a run of the task has passed. It reports whether that is new.
+func (t *task) markPassed() (isNew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	isNew = !t.hasPassed
@@ -167,68 +168,70 @@
 func (t *task) canStart(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.running && t.ending == "" && !now.Before(t.notUntil)
+	return !t.hasActiveRun && t.outcome == "" && !now.Before(t.notBefore)
 }
 
-// end makes the task's end, to be told to its shard. The caller holds the task's lock.
-func (t *task) end(o backlog.Outcome, text string) *outcome {
-	t.ending = o
-	return &outcome{job: t.job, index: t.index, outcome: o, text: text}
+// setOutcome sets the task's outcome and returns its result for the shard. The caller holds the task's lock.
+func (t *task) setOutcome(o backlog.Outcome, text string) *pendingResult {
+	t.outcome = o
+	return &pendingResult{job: t.job, index: t.index, outcome: o, text: text}
 }
 
-func (t *task) avoided() []string {
+func (t *task) targetsToAvoid() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.avoid
+	return t.avoidTargets
 }
 
-// preempt ends a run whose slot online requests need.
+// preempt cancels a run whose slot online requests need.
 func (t *task) preempt(cancel context.CancelFunc) {
 	t.mu.Lock()
-	t.preempted = true
+	t.isPreempted = true
 	t.mu.Unlock()
 	cancel()
 }
 
-// noRoute notes that the task has no route. It returns the task's end once that has been so for long.
-func (t *task) noRoute(now time.Time) *outcome {
+// markUnrouted notes that a check found no route. It returns the task's result after maxUnroutedChecks of
+// them.
+func (t *task) markUnrouted(now time.Time) *pendingResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.notUntil = now.Add(unroutedPause)
-	t.unrouted++
-	if t.unrouted < unroutedLooks {
+	t.notBefore = now.Add(unroutedRecheckDelay)
+	t.unroutedChecks++
+	if t.unroutedChecks < maxUnroutedChecks {
 		return nil
 	}
-	return t.end(backlog.Errored, "")
+	return t.setOutcome(backlog.Errored, "")
 }
 
-// putOff notes that the task is quarantined. It returns the task's end once its job allows to give it up: before, its content may be
-// cleared. isNew says that it could run until now.
-func (t *task) putOff(now time.Time) (end *outcome, isNew bool) {
+// markQuarantined notes that the task is quarantined. It returns the task's result once its job allows to
+// give it up; before that, its content may still be cleared. isNew reports that the task was not quarantined
+// until now.
+func (t *task) markQuarantined(now time.Time) (result *pendingResult, isNew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !now.Before(t.givenUpAt()) {
-		return t.end(backlog.Errored, ""), false
+	if !now.Before(t.giveUpTime()) {
+		return t.setOutcome(backlog.Errored, ""), false
 	}
-	isNew = !t.isHeld
-	t.isHeld = true
-	t.notUntil = now.Add(quarantineRecheck)
+	isNew = !t.isQuarantined
+	t.isQuarantined = true
+	t.notBefore = now.Add(quarantineRecheckDelay)
 	return nil, isNew
 }
 
-// givenUpAt is when the task is given up if it is quarantined then.
-func (t *task) givenUpAt() time.Time {
-	return time.UnixMilli(t.job.Submitted).Add(t.job.Retain + clockSlack)
+// giveUpTime returns the time from which a quarantined task is given up.
+func (t *task) giveUpTime() time.Time {
+	return time.UnixMilli(t.job.Submitted).Add(t.job.Retain + maxClockSkew)
 }
 
-// begin notes that a run of the task begins, which cancel ends.
-func (t *task) begin(cancel context.CancelFunc) {
+// markStarted notes that a run of the task begins; cancel ends it.
+func (t *task) markStarted(cancel context.CancelFunc) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.begun {
-		telemetry.Observe(t.shard.m.reg, waitMetric, time.Since(t.taken))
+	if !t.hasRun {
+		telemetry.Observe(t.shard.m.registry, waitMetric, time.Since(t.takenAt))
 	}
-	t.begun, t.isHeld = true, false
-	t.running, t.preempted, t.cancel = true, false, cancel
-	t.unrouted = 0
+	t.hasRun, t.isQuarantined = true, false
+	t.hasActiveRun, t.isPreempted, t.cancel = true, false, cancel
+	t.unroutedChecks = 0
 }
--- a/internal/backlog/tasks.go
+++ b/internal/backlog/tasks.go
@@ -2,63 +2,64 @@
 
 import "arbutusramp/core/backlog"
 
-// giveUpShard ends the runs of a shard's items and forgets them. What they have come to is written
-// for the next owner, who goes on from there: events are the same from every target. No fence is
-// needed for it; the fold takes the longest and none of items that have ended.
-func (d *scheduler) giveUpShard(s *shard) {
+// releaseShard cancels the runs of a shard's items and discards their tasks. Their progress is written for
+// the next owner, which resumes from there: events are the same from every target. This write needs no
+// fencing: the state keeps the longest progress, and none of finished items.
+func (d *scheduler) releaseShard(s *shard) {
 	d.mu.Lock()
 	delete(d.shards, s)
-	var left []*task
+	var released []*task
 	for key, t := range d.tasks {
 		if t.shard == s {
-			t.stop()
-			left = append(left, t)
+			t.cancelRun()
+			released = append(released, t)
 			delete(d.tasks, key)
 		}
 	}
 	d.mu.Unlock()
-	d.m.saveProgress(left)
+	d.m.saveProgress(released)
 }
 
-// adoptProgress takes over what another process has written of a task, if that is further. In any case
-// it is the last checkpoint, to be dropped once the task has ended. It returns the task's end, if
-// that is what was written.
-func (d *scheduler) adoptProgress(t *task, p backlog.Progress) *outcome {
+// applyProgress applies the stored progress of a task, if that is further. In any case it counts as the last
+// checkpoint, to be deleted once the task is finished. applyProgress returns the task's result, if the
+// progress holds it.
+func (d *scheduler) applyProgress(t *task, p backlog.Progress) *pendingResult {
 	if !p.Begun() {
 		return nil
 	}
-	end := t.adopt(p)
-	if len(t.checkpointed()) == 0 {
+	result := t.mergeProgress(p)
+	if len(t.lastCheckpoint()) == 0 {
 		t.noteCheckpoint(d.m.encodeProgress(t, &p))
 	}
-	return end
+	return result
 }
 
-// ended is an end that a former owner could not write, and the shard that now writes it.
-type ended struct {
-	shard *shard
-	end   *outcome
+// inheritedResult is a result that a former owner could not write, and the shard that writes it now.
+type inheritedResult struct {
+	shard  *shard
+	result *pendingResult
 }
 
-// sync takes in new jobs of the owned shards, drops what is over and passes on the ends that former
-// owners have left.
+// sync adds tasks for new jobs of the owned shards, removes finished ones and passes inherited results
+// to their shards. It returns a channel that the next change of the state closes.
 func (d *scheduler) sync() <-chan struct{} {
-	news, ends := d.update()
-	for _, e := range ends {
-		e.shard.finish(e.end)
+	changed, inherited := d.updateTasks()
+	for _, e := range inherited {
+		e.shard.enqueueResult(e.result)
 	}
-	return news
+	return changed
 }
 
-// update is sync without telling the shards, which must not happen under the scheduler's lock.
-func (d *scheduler) update() (news <-chan struct{}, ends []ended) {
+// updateTasks does the work of sync under the scheduler's lock, under which results must not be passed to
+// shards.
+func (d *scheduler) updateTasks() (changed <-chan struct{}, inherited []inheritedResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	owned := make(map[int]*shard, len(d.shards))
 	for s := range d.shards {
 		owned[s.index] = s
 	}
-	news = d.m.replica.with(func(st *backlog.State) {
+	changed = d.m.replica.withState(func(st *backlog.State) {
 		st.Open(func(j *backlog.Job) {
 			if s, ok := owned[d.m.shardOf(j.ID)]; ok {
 				d.addJob(st, s, j)
@@ -66,17 +67,17 @@
 		})
 		for key, t := range d.tasks {
 			if st.Done(t.job.ID, t.item().ID) || st.Ended(t.job.ID) {
-				t.stop()
+				t.cancelRun()
 				delete(d.tasks, key)
-				d.drops = append(d.drops, backlog.Drop(t.checkpointed())...)
+				d.tombstones = append(d.tombstones, backlog.Drop(t.lastCheckpoint())...)
 				continue
 			}
-			if end := d.adoptProgress(t, st.Progress(t.job.ID, t.item().ID)); end != nil {
-				ends = append(ends, ended{t.shard, end})
+			if result := d.applyProgress(t, st.Progress(t.job.ID, t.item().ID)); result != nil {
+				inherited = append(inherited, inheritedResult{t.shard, result})
 			}
 		}
 	})
-	return news, ends
+	return changed, inherited
 }
 
 func (d *scheduler) addJob(st *backlog.State, s *shard, j *backlog.Job) {
--- a/internal/backlog/workspace_test.go
+++ b/internal/backlog/workspace_test.go
@@ -10,21 +10,21 @@
 	"arbutusramp/core/serving"
 )
 
-var ownerOfJobs, stranger, nobody = serving.Caller{Workspace: "w1"}, serving.Caller{Workspace: "w2"}, serving.Caller{IsUnidentified: true}
+var owner, otherWorkspace, unidentified = serving.Caller{Workspace: "w1"}, serving.Caller{Workspace: "w2"}, serving.Caller{IsUnidentified: true}
 
-// A workspace finds no job but its own, under whatever id, and cannot end another's.
-func TestJobsBelongToTheirWorkspace(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, w *world) {
+// A workspace finds only its own jobs, under whatever id, and cannot cancel those of others.
+func TestJobsVisibleOnlyToTheirWorkspace(t *testing.T) {
+	withCluster(t, 2, func(t *testing.T, w *cluster) {
 		ctx := context.Background()
 		m, other := w.nodes[0].manager, w.nodes[1].manager
 		mine := w.job("a", repeat("ok", 3)...)
-		mine.Workspace = ownerOfJobs.Workspace
+		mine.Workspace = owner.Workspace
 		w.nodes[0].submit(mine)
 		time.Sleep(time.Second)
 		for _, c := range []struct {
 			caller serving.Caller
 			want   errs.Type
-		}{{stranger, errs.NotFound}, {nobody, errs.Unauthenticated}} {
+		}{{otherWorkspace, errs.NotFound}, {unidentified, errs.Unauthenticated}} {
 			if _, err := other.Results(ctx, c.caller, "a", 0, 0); !errs.Is(err, c.want) {
 				t.Errorf("results for %+v: %v", c.caller, err)
 			}
@@ -32,29 +32,29 @@
 				t.Errorf("body for %+v: %v", c.caller, err)
 			}
 			if err := other.End(ctx, c.caller, "a"); !errs.Is(err, c.want) {
-				t.Errorf("end for %+v: %v", c.caller, err)
+				t.Errorf("cancellation for %+v: %v", c.caller, err)
 			}
 		}
 		theirs := w.job("a", repeat("ok", 1)...)
-		theirs.Workspace = stranger.Workspace
+		theirs.Workspace = otherWorkspace.Workspace
 		w.nodes[1].submit(theirs)
 		time.Sleep(20 * time.Second)
-		for caller, job := range map[serving.Caller]*backlog.Job{ownerOfJobs: mine, stranger: theirs} {
+		for caller, job := range map[serving.Caller]*backlog.Job{owner: mine, otherWorkspace: theirs} {
 			page, err := m.Results(ctx, caller, "a", 0, 0)
 			if err != nil || page.Total != len(job.Items) {
 				t.Errorf("%s: %+v, %v", caller.Workspace, page, err)
 			}
-			w.check(job, page.Results)
+			w.checkResults(job, page.Results)
 		}
-		if err := m.End(ctx, ownerOfJobs, "a"); err != nil {
+		if err := m.End(ctx, owner, "a"); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// Token limits hold for each workspace by itself, over all processes.
-func TestTokenLimitsAreOfAWorkspace(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, w *world) {
+// Token limits hold for each workspace separately, across all processes.
+func TestTokenLimitsPerWorkspace(t *testing.T) {
+	withCluster(t, 2, func(t *testing.T, w *cluster) {
 		w.route.MaxQueued = 500
 		submit := func(n *node, workspace, id string, items int) error {
 			j := w.job(id, repeat("slow", items)...)
@@ -81,11 +81,11 @@
 	for _, c := range []struct{ workspace, id string }{{"", "a"}, {"a", "b"}, {"a/b", "c"}, {"a", "b/c"}, {"b", "a"}, {string(make([]byte, 200)), "x"}} {
 		scoped := backlog.ScopedID(c.workspace, c.id)
 		if other, ok := seen[scoped]; ok || len(scoped) > 100 {
-			t.Errorf("%q and %q have the id %q", other, c, scoped)
+			t.Errorf("%q and %q have the scoped id %q", other, c, scoped)
 		}
 		seen[scoped] = c.workspace + " " + c.id
 	}
 	if backlog.ScopedID("", "a") != "a" {
-		t.Error("the id changes without a workspace")
+		t.Error("the scoped id differs from the id without a workspace")
 	}
 }
