--- a/core/backlog/state_test.go
+++ b/core/backlog/state_test.go
@@ -174,17 +174,17 @@
 		t.Errorf("TextRecords is %d, the text has %d records", r.TextRecords(), len(records))
 	}
 	records[0], records[1] = records[1], records[0]
-	in := NewTextReader()
+	reader := NewTextReader()
 	for i, r := range records {
-		key, text, whole, err := in.Put(r)
-		if err != nil || whole != (i == len(records)-1) {
-			t.Fatalf("record %d of %d: complete %v, %v", i, len(records), whole, err)
+		key, text, isComplete, err := reader.Put(r)
+		if err != nil || isComplete != (i == len(records)-1) {
+			t.Fatalf("record %d of %d: complete %v, %v", i, len(records), isComplete, err)
 		}
-		if whole && (key != TextKey(want.Job, want.Index, Sum(want.Text)) || text != want.Text) {
+		if isComplete && (key != TextKey(want.Job, want.Index, Sum(want.Text)) || text != want.Text) {
 			t.Errorf("key %s, %d bytes", key, len(text))
 		}
 	}
-	if _, _, _, err := in.Put(platform.KeyedRecord{Key: "t/a/0/0", Value: []byte{0, 0, 0, 1, 0xa0}}); !errs.Is(err, errs.BadFrame) {
+	if _, _, _, err := reader.Put(platform.KeyedRecord{Key: "t/a/0/0", Value: []byte{0, 0, 0, 1, 0xa0}}); !errs.Is(err, errs.BadFrame) {
 		t.Errorf("a record that is not a text: %v", err)
 	}
 }
--- a/core/backlog/text.go
+++ b/core/backlog/text.go
@@ -76,9 +76,9 @@
 	return &TextReader{chunkAssembler{partial: make(map[string][][]byte)}}
 }
 
-// Put takes one record. whole reports that the record completed the text of the returned key. Errors:
+// Put takes one record. isComplete reports that the record completed the text of the returned key. Errors:
 // errs.BadFrame.
-func (t *TextReader) Put(r platform.KeyedRecord) (key, text string, whole bool, err error) {
+func (t *TextReader) Put(r platform.KeyedRecord) (key, text string, isComplete bool, err error) {
 	key, value, err := t.chunks.add(r)
 	if err != nil || value == nil {
 		return "", "", false, err
--- a/internal/backlog/members_test.go
+++ b/internal/backlog/members_test.go
@@ -176,11 +176,11 @@
 			"no new records, early":          {600 * time.Millisecond, 100 * time.Millisecond, 0, 0},
 			"new records, late":              {600 * time.Millisecond, late, 1, 0},
 		} {
-			asked := time.Now()
+			requestedAt := time.Now()
 			time.Sleep(c.took)
-			got := provenCurrentAt(asked, c.wait, platform.Records{Records: make([]platform.StoredRecord, c.records)})
-			if got.Sub(asked) != c.want {
-				t.Errorf("%s: proven %v after the request, want %v", name, got.Sub(asked), c.want)
+			got := provenCurrentAt(requestedAt, c.wait, platform.Records{Records: make([]platform.StoredRecord, c.records)})
+			if got.Sub(requestedAt) != c.want {
+				t.Errorf("%s: proven %v after the request, want %v", name, got.Sub(requestedAt), c.want)
 			}
 		}
 	})
--- a/internal/backlog/texts.go
+++ b/internal/backlog/texts.go
@@ -181,11 +181,11 @@
 		if len(rec.Value) == 0 {
 			continue // the job was deleted meanwhile
 		}
-		key, text, whole, err := reader.Put(rec.KeyedRecord)
+		key, text, isComplete, err := reader.Put(rec.KeyedRecord)
 		if err != nil {
 			return err
 		}
-		if whole {
+		if isComplete {
 			textByKey[key] = text
 		}
 	}
