--- /dev/null
+++ b/internal/backlog/result_batch.go
@@ -0,0 +1,167 @@
+package backlog
+
+import (
+	"context"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"arbutusramp/core/backlog"
+	"arbutusramp/core/errs"
+	"arbutusramp/core/platform"
+	"arbutusramp/core/sleep"
+	"arbutusramp/internal/telemetry"
+)
+
+// resultBatch is one write of a shard's results. Separately stored texts are written before the results, so
+// that every reader of a result finds its text.
+type resultBatch struct {
+	pendingCount int // number of the shard's pending results that the batch covers
+	results      []backlog.Result
+	texts        []backlog.Text         // texts that are stored separately from their results
+	records      []platform.KeyedRecord // records of the results; set once the texts are written
+}
+
+// flush writes pending results, as many as fit into one append. It reports whether it should be called again
+// at once.
+func (s *shard) flush(ctx context.Context) bool {
+	b := s.nextBatch()
+	if b.pendingCount == 0 {
+		return false
+	}
+	if len(b.results) > 0 && !(s.prepare(ctx, b) && s.writeResults(ctx, b.records)) {
+		return false
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, p := range s.pending[:b.pendingCount] {
+		telemetry.Observe(s.m.registry, listMetric, time.Since(p.receivedAt))
+		s.m.log.Info("item", "job", p.job.ID, "item", p.item(), "outcome", p.outcome, "bytes", len(p.text), "shard", s.index, "epoch", s.epoch)
+	}
+	s.pending = s.pending[b.pendingCount:]
+	s.unconfirmed = nil
+	return len(s.pending) > 0
+}
+
+// nextBatch assigns positions to pending results and returns their batch. A batch whose write is unconfirmed
+// is returned again.
+func (s *shard) nextBatch() *resultBatch {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.unconfirmed != nil {
+		return s.unconfirmed
+	}
+	b := &resultBatch{}
+	size := 0
+	for _, p := range s.pending {
+		size += len(p.text)
+		if b.pendingCount > 0 && size > maxAppendBytes/2 {
+			break
+		}
+		b.pendingCount++
+		if !s.hasPosition(p) {
+			s.addToBatch(b, p)
+		}
+	}
+	if b.pendingCount > 0 {
+		s.unconfirmed = b
+	}
+	return b
+}
+
+// addToBatch adds a result to a batch. The caller holds the lock.
+func (s *shard) addToBatch(b *resultBatch, p *pendingResult) {
+	s.positioned[p.key()] = true
+	r := backlog.Result{Job: p.job.ID, Position: s.nextPosition(p.job.ID), Item: p.item(), Outcome: p.outcome, Index: p.index}
+	if s.m.storesInline(p.text) {
+		r.Text = p.text
+	} else {
+		r.Size, r.Sum = len(p.text), backlog.Sum(p.text)
+		b.texts = append(b.texts, backlog.Text{Job: r.Job, Index: r.Index, Text: p.text})
+	}
+	s.nextPositions[p.job.ID]++
+	b.results = append(b.results, r)
+}
+
+// storesInline reports whether a text is stored in the record of its result. Every process reads these
+// records: with few processes this is cheaper than one extra read for each text that a caller asks for, with
+// many it is not.
+func (m *Manager) storesInline(text string) bool {
+	return len(text)*(1+m.view.Peers()) <= m.opts.SpreadBytes
+}
+
+// prepare writes the texts of a batch and encodes its results.
+func (s *shard) prepare(ctx context.Context, b *resultBatch) bool {
+	if b.records != nil {
+		return true
+	}
+	offsets, ok := s.m.textStore.write(ctx, b.texts)
+	if !ok {
+		return false
+	}
+	var records []platform.KeyedRecord
+	for i := range b.results {
+		r := &b.results[i]
+		r.TextAt = offsets[r.TextKey()]
+		encoded, err := backlog.EncodeResult(r)
+		if err != nil {
+			s.m.log.Error("can't encode result", "job", r.Job, "item", r.Item, "error", err)
+			return false
+		}
+		records = append(records, encoded...)
+	}
+	b.records = records
+	return true
+}
+
+// hasPosition reports whether an item has a result already. An item may end twice here, because another run
+// of it was started while its first result was being written; it must not get a second position.
+func (s *shard) hasPosition(p *pendingResult) (hasResult bool) {
+	if s.positioned[p.key()] {
+		return true
+	}
+	s.m.replica.withState(func(st *backlog.State) { hasResult = st.Done(p.job.ID, p.item()) })
+	return hasResult
+}
+
+// nextPosition returns the position of the job's next result. The caller holds the lock.
+func (s *shard) nextPosition(job string) int {
+	if _, ok := s.nextPositions[job]; !ok {
+		s.m.replica.withState(func(st *backlog.State) { s.nextPositions[job] = st.Listed(job) })
+	}
+	return s.nextPositions[job]
+}
+
+// writeResults appends records until the store has them or a newer owner exists. After a lost answer it
+// repeats the write with the same sequence number; the store does it only once.
+func (s *shard) writeResults(ctx context.Context, records []platform.KeyedRecord) bool {
+	isFirst := true
+	for tries := 0; ; tries++ {
+		_, err := s.m.store.Append(ctx, platform.Append{Partition: resultPartition, Records: records, Producer: s.producer()})
+		if err == nil {
+			s.seq++
+			s.m.replica.applyOwn(records)
+			return true
+		}
+		var outOfSequence *platform.OutOfSequence
+		if errors.As(err, &outOfSequence) && isFirst && s.seq == 1 {
+			// The store may count the write that set the epoch.
+			s.seq = outOfSequence.Expected
+			continue
+		}
+		if errors.As(err, &outOfSequence) {
+			s.m.log.Error("result write out of sequence", "shard", s.index, "epoch", s.epoch, "seq", s.seq, "expected", outOfSequence.Expected)
+			s.handleFenced(&platform.Fenced{Epoch: s.epoch})
+			return false
+		}
+		if errs.Is(err, errs.AppendUnknown) {
+			isFirst = false
+		}
+		if tries == 0 {
+			s.m.log.Warn("results not written yet", "shard", s.index, "epoch", s.epoch, "seq", s.seq, "records", len(records), "error", err)
+		}
+		if s.handleFenced(err) || !sleep.For(ctx, writeRetryPause) {
+			return false
+		}
+	}
+}
