--- a/core/shed/fairness_test.go
+++ b/core/shed/fairness_test.go
@@ -11,8 +11,8 @@
 	"arbutusramp/core/workspace"
 )
 
-// The load: ten workspaces together use the whole capacity of the targets, and one of them sends eight times
-// its rate for ten seconds.
+// The simulated load: ten workspaces together use the whole capacity of the targets, and the first of them
+// sends eight times its base rate for ten seconds.
 const (
 	burstFactor    = 8
 	workspaceCount = 10
@@ -26,21 +26,22 @@
 	stepInterval   = 10 * ms
 )
 
-// fairnessSim simulates that load in steps of stepInterval against one controller and slots that serve in
-// order of arrival.
+// fairnessSim simulates ten workspaces that send requests, in steps of stepInterval, to one controller and to
+// slots that serve requests in order of arrival.
 type fairnessSim struct {
 	rng             *rand.Rand
 	now             time.Time
 	controller      Controller
-	ledger          *quota.Ledger // nil admits all
+	limiter         *quota.Ledger // nil admits all requests
 	isNearLimitLast bool          // requests of workspaces near their limit rank below the others
 	slotFreeAt      []time.Time   // when each slot becomes free
 	queuedCalls     []queuedCall
 	pendingRetries  []call
-	offered         [workspaceCount]int
-	metGoal         [workspaceCount]int
+	offered         [workspaceCount]int // requests sent, by workspace
+	metLatencyGoal  [workspaceCount]int // of these, served within the latency goal
 }
 
+// call is one request of a workspace.
 type call struct {
 	workspace    int
 	firstAttempt time.Time // time of the first attempt
@@ -54,108 +55,111 @@
 }
 
 func newFairnessSim(seed uint64, hasQuota, isNearLimitLast bool) *fairnessSim {
-	c := &fairnessSim{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), isNearLimitLast: isNearLimitLast, slotFreeAt: make([]time.Time, slotCount)}
+	s := &fairnessSim{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), isNearLimitLast: isNearLimitLast, slotFreeAt: make([]time.Time, slotCount)}
 	if hasQuota {
-		c.ledger = quota.New(c.now, quota.Options{Window: 5 * time.Second, Excess: 0.1, Slack: 20, ClaimTTL: time.Minute})
-		var list []workspace.Workspace
+		s.limiter = quota.New(s.now, quota.Options{Window: 5 * time.Second, Excess: 0.1, Slack: 20, ClaimTTL: time.Minute})
+		var workspaces []workspace.Workspace
 		for i := range workspaceCount {
-			list = append(list, workspace.Workspace{Name: workspaceName(i), Quota: workspace.Quota{PerSecond: quotaRate, Burst: quotaRate}})
+			workspaces = append(workspaces, workspace.Workspace{Name: workspaceName(i), Quota: workspace.Quota{PerSecond: quotaRate, Burst: quotaRate}})
 		}
-		c.ledger.SetQuotas(c.now, list)
+		s.limiter.SetQuotas(s.now, workspaces)
 	}
-	return c
+	return s
 }
 
 func workspaceName(i int) string { return string(rune('a' + i)) }
 
-// wait is how long a request that arrives now waits for a slot.
-func (c *fairnessSim) wait() time.Duration {
-	return max(0, slices.MinFunc(c.slotFreeAt, time.Time.Compare).Sub(c.now))
+// expectedWait is how long a request that arrives now waits for a slot.
+func (s *fairnessSim) expectedWait() time.Duration {
+	return max(0, slices.MinFunc(s.slotFreeAt, time.Time.Compare).Sub(s.now))
 }
 
-func (c *fairnessSim) request(x call) Request {
+func (s *fairnessSim) request(c call) Request {
 	r := Request{
-		Wait: c.wait(), Hold: holdTime, Pace: slotCount / holdTime.Seconds(), Goal: latencyGoal,
-		Remaining: callerTimeout - c.now.Sub(x.firstAttempt), InitialTimeout: callerTimeout, IdleTimeout: 2 * time.Second,
+		Wait: s.expectedWait(), Hold: holdTime, Pace: slotCount / holdTime.Seconds(), Goal: latencyGoal,
+		Remaining: callerTimeout - s.now.Sub(c.firstAttempt), InitialTimeout: callerTimeout, IdleTimeout: 2 * time.Second,
 	}
-	if x.isNearLimit && c.isNearLimitLast {
+	if c.isNearLimit && s.isNearLimitLast {
 		r.HigherRanks = 1
 	}
 	return r
 }
 
-func (c *fairnessSim) arrive(x call) {
-	if c.ledger != nil {
-		d := c.ledger.Admit(c.now, workspaceName(x.workspace))
+// arrive checks the quota of a request that has just arrived, and sends, queues or rejects it.
+func (s *fairnessSim) arrive(c call) {
+	if s.limiter != nil {
+		d := s.limiter.Admit(s.now, workspaceName(c.workspace))
 		if !d.IsAdmitted {
-			return // requests over the quota have no claim to service
+			return // requests over the quota need not be served
 		}
-		x.isNearLimit = d.IsNearLimit
+		c.isNearLimit = d.IsNearLimit
 	}
-	switch d := c.controller.Arrive(c.now, c.request(x)); d.Verdict {
+	switch d := s.controller.Arrive(s.now, s.request(c)); d.Verdict {
 	case Send:
-		c.send(x)
+		s.send(c)
 	case Queue:
-		c.queuedCalls = append(c.queuedCalls, queuedCall{x, d.Queued})
+		s.queuedCalls = append(s.queuedCalls, queuedCall{c, d.Queued})
 	case RetryLater:
-		if c.ledger != nil {
-			c.ledger.Refund(c.now, workspaceName(x.workspace))
+		if s.limiter != nil {
+			s.limiter.Refund(s.now, workspaceName(c.workspace))
 		}
-		x.attemptTime = c.now.Add(d.After)
-		c.pendingRetries = append(c.pendingRetries, x)
+		c.attemptTime = s.now.Add(d.After)
+		s.pendingRetries = append(s.pendingRetries, c)
 	}
 }
 
-func (c *fairnessSim) send(x call) {
-	i := slices.Index(c.slotFreeAt, slices.MinFunc(c.slotFreeAt, time.Time.Compare))
-	startTime := c.now.Add(c.wait())
-	c.slotFreeAt[i] = startTime.Add(holdTime)
-	if startTime.Sub(x.firstAttempt) <= latencyGoal || x.attemptTime.After(x.firstAttempt) && startTime.Sub(x.attemptTime) <= latencyGoal {
-		c.metGoal[x.workspace]++
+// send serves a request in the slot that is free first.
+func (s *fairnessSim) send(c call) {
+	i := slices.Index(s.slotFreeAt, slices.MinFunc(s.slotFreeAt, time.Time.Compare))
+	startTime := s.now.Add(s.expectedWait())
+	s.slotFreeAt[i] = startTime.Add(holdTime)
+	if startTime.Sub(c.firstAttempt) <= latencyGoal || c.attemptTime.After(c.firstAttempt) && startTime.Sub(c.attemptTime) <= latencyGoal {
+		s.metLatencyGoal[c.workspace]++
 	}
 }
 
-// run simulates the burst. It returns the share of requests within the goal, of the least served other
-// workspace and of all others.
-func (c *fairnessSim) run() (least, all float64) {
-	for end := c.now.Add(burstDuration); c.now.Before(end); c.now = c.now.Add(stepInterval) {
+// run simulates the burst of the first workspace. It returns the share of requests within the latency goal: of
+// the least served of the other workspaces, and of all other workspaces together.
+func (s *fairnessSim) run() (least, all float64) {
+	for end := s.now.Add(burstDuration); s.now.Before(end); s.now = s.now.Add(stepInterval) {
 		for i := range workspaceCount {
 			rate := baseRate
 			if i == 0 {
 				rate *= burstFactor
 			}
-			if c.rng.Float64() < rate*stepInterval.Seconds() {
-				c.offered[i]++
-				c.arrive(call{workspace: i, firstAttempt: c.now, attemptTime: c.now})
+			if s.rng.Float64() < rate*stepInterval.Seconds() {
+				s.offered[i]++
+				s.arrive(call{workspace: i, firstAttempt: s.now, attemptTime: s.now})
 			}
 		}
-		c.retryAndRecheck()
+		s.retryAndRecheck()
 	}
 	sum, total := 0, 0
 	least = 1
 	for i := 1; i < workspaceCount; i++ {
-		least = min(least, float64(c.metGoal[i])/float64(c.offered[i]))
-		sum, total = sum+c.metGoal[i], total+c.offered[i]
+		least = min(least, float64(s.metLatencyGoal[i])/float64(s.offered[i]))
+		sum, total = sum+s.metLatencyGoal[i], total+s.offered[i]
 	}
 	return least, float64(sum) / float64(total)
 }
 
-func (c *fairnessSim) retryAndRecheck() {
-	slices.SortStableFunc(c.pendingRetries, func(a, b call) int { return cmp.Compare(a.attemptTime.UnixNano(), b.attemptTime.UnixNano()) })
-	for len(c.pendingRetries) > 0 && !c.pendingRetries[0].attemptTime.After(c.now) {
-		x := c.pendingRetries[0]
-		c.pendingRetries = c.pendingRetries[1:]
-		c.arrive(x)
+// retryAndRecheck sends the retries that are due and rechecks the queued requests.
+func (s *fairnessSim) retryAndRecheck() {
+	slices.SortStableFunc(s.pendingRetries, func(a, b call) int { return cmp.Compare(a.attemptTime.UnixNano(), b.attemptTime.UnixNano()) })
+	for len(s.pendingRetries) > 0 && !s.pendingRetries[0].attemptTime.After(s.now) {
+		c := s.pendingRetries[0]
+		s.pendingRetries = s.pendingRetries[1:]
+		s.arrive(c)
 	}
-	waiting := c.queuedCalls
-	c.queuedCalls = nil
-	for _, q := range waiting {
-		if c.controller.Recheck(c.now, q.request, c.request(q.call)) == Send {
-			c.controller.Dequeue(c.now, q.request, true)
-			c.send(q.call)
+	queued := s.queuedCalls
+	s.queuedCalls = nil
+	for _, q := range queued {
+		if s.controller.Recheck(s.now, q.request, s.request(q.call)) == Send {
+			s.controller.Dequeue(s.now, q.request, true)
+			s.send(q.call)
 			continue
 		}
-		c.queuedCalls = append(c.queuedCalls, q)
+		s.queuedCalls = append(s.queuedCalls, q)
 	}
 }
 
@@ -177,10 +181,10 @@
 		shares[variant.name] = sum
 		t.Logf("%-28s %.3f of the others' requests within the goal, the least served workspace at %.2f of that", variant.name, sum, worst)
 		if variant.hasQuota && worst < 0.5 {
-			t.Errorf("%s: the least served workspace gets %.2f of the average", variant.name, worst)
+			t.Errorf("%s: the least served workspace gets %.2f of the average, want at least 0.5", variant.name, worst)
 		}
 	}
 	if shares["quotas"] <= shares["order of arrival"] || shares["quotas, near the limit last"] <= shares["quotas"] {
-		t.Errorf("a variant does not improve the service of the others: %v", shares)
+		t.Errorf("shares of the others' requests within the goal are %v, want order of arrival below quotas below near the limit last", shares)
 	}
 }
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -1,9 +1,10 @@
-// Package shed implements admission control: it decides what happens to requests while more of them arrive
-// than the targets can answer in time.
+// Package shed implements admission control for online requests with a latency goal. A gateway uses it to
+// decide which requests it sends to a target, rejects or queues while more of them arrive than the targets can
+// answer in time.
 //
 // Engines serve requests in order of arrival. In an overload of a few seconds every request would therefore
 // wait in the engines' queues until the overload ends, and all of them would be late. The controller keeps
-// these queues no longer than a request can wait and still meet its latency goal. A first attempt beyond that
+// these queues so short that a request that waits there can still meet its latency goal. A first attempt beyond that
 // is rejected immediately with a time to retry after. A second attempt is queued rather than rejected,
 // because callers retry only once. It is sent as soon as there is capacity that no request able to meet its
 // goal needs. Requests that cannot be sent before their caller's timeout are rejected immediately.
@@ -24,26 +25,28 @@
 	// minRetryHoldTimes is the shortest retry time, as a multiple of the time for which a request holds a
 	// slot. Earlier than that the targets are as full as before.
 	minRetryHoldTimes = 1.5
-	// queuedWaitShare is the wait allowed to queued requests, as a share of the wait allowed to requests that
-	// can meet their goal.
+	// queuedWaitShare is the longest expected wait for a slot with which a queued request is sent, as a share
+	// of the wait allowed to a request that can still meet its goal.
 	queuedWaitShare = 0.34
 	// maxQueueTimeShare is the longest time that a request is queued, as a share of the time for which its
-	// caller waits. After that it is sent however long the engines' queues are: it must still get its first
-	// event, even in a lasting overload.
+	// caller waits. After that it is sent regardless of the engines' queues: it must still get its first event
+	// before its caller gives up, even in a lasting overload.
 	maxQueueTimeShare = 0.75
-	// minDequeueRateShare is the lowest expected rate of dequeued requests, as a share of the gateway's start
-	// rate. With an expected rate of zero, an overload that has ended would still count as one.
+	// minDequeueRateShare is the lowest expected rate at which queued requests are sent, as a share of the
+	// gateway's start rate. With an expected rate near zero, requests would still be rejected after the
+	// overload has ended.
 	minDequeueRateShare = 0.1
-	// gapWeight is the weight of a new observation in the mean time between two dequeued requests.
+	// gapWeight is the weight of a new observation in the moving average of the time between two dequeued
+	// requests, 0 to 1.
 	gapWeight = 0.2
 )
 
-// Request holds the input of a decision on one request.
+// Request holds what the controller needs to decide on one request.
 type Request struct {
-	Wait           time.Duration // expected until a slot is free for it
+	Wait           time.Duration // expected time until a slot is free for the request
 	Hold           time.Duration // how long requests hold a slot; 0 if unknown
 	Pace           float64       // requests per second that this gateway may start; 0 if unknown
-	Goal           time.Duration // latency goal: an answer after it is late; 0 for none
+	Goal           time.Duration // latency goal: an answer that takes longer is late; 0 for none
 	Remaining      time.Duration // time until the caller gives up; 0 if unknown
 	InitialTimeout time.Duration // how long callers of the route wait on their first attempt; 0 if unknown
 	IdleTimeout    time.Duration // how long the caller waits without receiving an event; 0 for as long as Remaining
@@ -56,13 +59,13 @@
 	return time.Duration(maxWaitShare * float64(r.Goal) / float64(1+r.HigherRanks))
 }
 
-// isFirstAttempt reports whether the caller has not tried before: on a second attempt less than the initial
-// timeout remains.
+// isFirstAttempt reports whether the caller has not sent the request before: on a second attempt less than the
+// initial timeout remains. It is false if the initial timeout is unknown.
 func (r Request) isFirstAttempt() bool {
 	return r.InitialTimeout > 0 && r.Remaining >= r.InitialTimeout
 }
 
-// maxQueueTime is how long the request may be queued.
+// maxQueueTime is how long the request may be queued: a share of the time until its caller gives up.
 func (r Request) maxQueueTime() time.Duration {
 	timeLeft := r.IdleTimeout
 	if timeLeft == 0 || r.Remaining > 0 && r.Remaining < timeLeft {
@@ -71,8 +74,8 @@
 	return time.Duration(maxQueueTimeShare * float64(timeLeft))
 }
 
-// retryAfter is when the caller should retry: once a slot is expected to be free, not before engines have had
-// time to free slots, and no later than callers honour. Callers that arrive one after the other get retry
+// retryAfter is the time after which the caller should retry: when a slot is expected to be free, but not
+// before engines have had time to free slots, and no later than callers honour. Callers that arrive one after the other get retry
 // times as far apart as their arrivals.
 func (r Request) retryAfter() time.Duration {
 	return min(r.Remaining/LeftShare, max(r.Wait, time.Duration(minRetryHoldTimes*float64(r.Hold))))
@@ -95,28 +98,30 @@
 // String implements fmt.Stringer.
 func (v Verdict) String() string { return [...]string{"send", "come back", "hold", "refuse"}[v] }
 
-// Decision is the verdict on an arriving request.
+// Decision is the verdict on a request that has just arrived, with its details.
 type Decision struct {
 	Verdict Verdict
-	After   time.Duration  // set with RetryLater
-	Queued  *QueuedRequest // set with Queue
+	After   time.Duration  // how long the caller should wait before it retries; set with RetryLater
+	Queued  *QueuedRequest // the request's place in the queue; set with Queue
 }
 
-// QueuedRequest is a request that waits for capacity.
+// QueuedRequest is a request that waits at the gateway for capacity. At expiresAt it is sent regardless of the
+// engines' queues.
 type QueuedRequest struct{ expiresAt time.Time }
 
-// Controller decides on the requests of one service at one gateway. It does no I/O and is not safe for
-// concurrent use.
+// Controller decides on the online requests of one service at one gateway. It does no I/O, uses no clock and is
+// not safe for concurrent use.
 type Controller struct {
 	// Off is the set of disabled mechanisms.
 	Off policy.Off
 
 	queue       []*QueuedRequest // in order of arrival
-	dequeueGap  time.Duration    // mean time between two dequeued requests; 0 if unknown
+	dequeueGap  time.Duration    // moving average of the time between two dequeued requests; 0 if unknown
 	lastDequeue time.Time        // when a request was last dequeued or the queue last became non-empty
 }
 
-// Arrive decides on a request that has just arrived.
+// Arrive decides on a request that has just arrived. With the verdict Queue the request is in the queue until
+// Dequeue is called for it.
 func (c *Controller) Arrive(now time.Time, r Request) Decision {
 	switch {
 	case r.Goal == 0 || r.Wait <= r.maxWait():
@@ -136,13 +141,14 @@
 	return Decision{Verdict: Queue, Queued: q}
 }
 
-// maxQueued is how many requests may be queued: as many as are expected to be sent before their callers give
-// up.
+// maxQueued is how many requests may be queued: as many as are expected to be sent within the maximum queue
+// time of r, but at least one.
 func (c *Controller) maxQueued(now time.Time, r Request) int {
 	return max(1, int(c.dequeueRate(now, r.Pace)*r.maxQueueTime().Seconds()))
 }
 
-// dequeueRate is how many queued requests per second are expected to be sent.
+// dequeueRate is how many queued requests per second are expected to be sent: the start rate until a request
+// has been dequeued. startRate is in requests per second.
 func (c *Controller) dequeueRate(now time.Time, startRate float64) float64 {
 	gap := c.dequeueGap
 	if len(c.queue) > 0 {
@@ -154,10 +160,11 @@
 	return max(1/gap.Seconds(), minDequeueRateShare*startRate)
 }
 
-// Recheck decides again on a queued request; the verdict is Send or Queue.
+// Recheck decides on a queued request with the input r as of now; the verdict is Send or Queue. Requests are
+// sent in order of arrival, except expired ones.
 func (c *Controller) Recheck(now time.Time, q *QueuedRequest, r Request) Verdict {
 	if !now.Before(q.expiresAt) {
-		return Send // the caller is about to give up: waiting in the engine's queue is the last chance
+		return Send // the caller gives up soon: the engine's queue is the only place left to wait
 	}
 	if !c.IsFirst(q) {
 		return Queue
@@ -168,22 +175,23 @@
 	return Queue
 }
 
-// IsFirst reports whether a queued request is the first in order of arrival.
+// IsFirst reports whether q has been in the queue for the longest time.
 func (c *Controller) IsFirst(q *QueuedRequest) bool { return len(c.queue) > 0 && c.queue[0] == q }
 
 // IsExpired reports whether the request has reached its maximum queue time.
 func (q *QueuedRequest) IsExpired(now time.Time) bool { return !now.Before(q.expiresAt) }
 
-// Dequeue removes a queued request that is sent or whose caller has given up. An expired request that is sent
-// without free capacity does not count as an observation of the dequeue rate.
-func (c *Controller) Dequeue(now time.Time, q *QueuedRequest, isAdmitted bool) {
+// Dequeue removes a request from the queue. isSent is true if it is sent to a target and false if its caller
+// has given up. An expired request does not count as an observation of the dequeue rate, because it is sent
+// without free capacity.
+func (c *Controller) Dequeue(now time.Time, q *QueuedRequest, isSent bool) {
 	for i, other := range c.queue {
 		if other == q {
 			c.queue = append(c.queue[:i:i], c.queue[i+1:]...)
 			break
 		}
 	}
-	if !isAdmitted || q.IsExpired(now) {
+	if !isSent || q.IsExpired(now) {
 		return
 	}
 	gap := now.Sub(c.lastDequeue)
--- a/core/shed/shed_test.go
+++ b/core/shed/shed_test.go
@@ -9,24 +9,24 @@
 
 var start = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// typicalRequest is a first attempt at a service whose requests hold a slot for 800 ms.
+// typicalRequest returns a first attempt at a service whose requests hold a slot for 800 ms.
 func typicalRequest() Request {
 	return Request{Hold: 800 * ms, Pace: 10, Goal: 300 * ms, Remaining: 5000 * ms, InitialTimeout: 5000 * ms, IdleTimeout: 2000 * ms}
 }
 
 func TestArrive(t *testing.T) {
 	cases := []struct {
-		name   string
-		change func(*Request)
-		want   Verdict
-		after  time.Duration
+		name           string
+		change         func(*Request)
+		want           Verdict
+		wantRetryAfter time.Duration
 	}{
 		{"a free slot", func(*Request) {}, Send, 0},
 		{"a wait within the goal", func(r *Request) { r.Wait = 225 * ms }, Send, 0},
-		{"a wait beyond the goal", func(r *Request) { r.Wait = 226 * ms }, RetryLater, 1200 * ms},
+		{"a wait just beyond the goal", func(r *Request) { r.Wait = 226 * ms }, RetryLater, 1200 * ms},
 		{"a wait allowed only to more urgent requests", func(r *Request) { r.Wait, r.HigherRanks = 120*ms, 1 }, RetryLater, 1200 * ms},
 		{"a long wait", func(r *Request) { r.Wait = 1500 * ms }, RetryLater, 1500 * ms},
-		{"a wait longer than the caller honours", func(r *Request) { r.Wait = 1700 * ms }, RetryLater, 5000 * ms / 3},
+		{"a wait longer than the longest retry time callers honour", func(r *Request) { r.Wait = 1700 * ms }, RetryLater, 5000 * ms / 3},
 		{"no goal", func(r *Request) { r.Wait, r.Goal = time.Second, 0 }, Send, 0},
 		{"a second attempt", func(r *Request) { r.Wait, r.Remaining = time.Second, 4400*ms }, Queue, 0},
 		{"an unknown initial timeout", func(r *Request) { r.Wait, r.InitialTimeout = time.Second, 0 }, Queue, 0},
@@ -37,62 +37,61 @@
 		r := typicalRequest()
 		c.change(&r)
 		got := new(Controller).Arrive(start, r)
-		if got.Verdict != c.want || got.After != c.after {
-			t.Errorf("%s: %v after %v, want %v after %v", c.name, got.Verdict, got.After, c.want, c.after)
+		if got.Verdict != c.want || got.After != c.wantRetryAfter {
+			t.Errorf("%s: verdict %v with a retry time of %v, want %v with %v", c.name, got.Verdict, got.After, c.want, c.wantRetryAfter)
 		}
 	}
 }
 
 // Guards against callers rejected in a burst that all retry at the same moment and cause the next overload.
-// That happens when a burst rejects a hundred callers within a second and all get the same retry time,
-// because it does not depend on the ones given before.
+// That happens when a hundred callers are rejected within a second and their retry times, which do not depend
+// on each other, all end at the same moment.
 func TestRetryTimesAreSpreadOut(t *testing.T) {
-	var d Controller
+	var c Controller
 	r := typicalRequest()
 	r.Wait = 400 * ms
 	retriesPer100ms := make(map[time.Duration]int)
 	const callers = 200
 	for i := range callers {
 		now := start.Add(time.Duration(i) * 2 * ms)
-		got := d.Arrive(now, r)
+		got := c.Arrive(now, r)
 		if got.Verdict != RetryLater || got.After < 1200*ms || got.After > r.Remaining/LeftShare {
-			t.Fatalf("caller %d: %v after %v", i, got.Verdict, got.After)
+			t.Fatalf("caller %d: verdict %v with a retry time of %v, want come back with 1.2s to 1.666s", i, got.Verdict, got.After)
 		}
 		retriesPer100ms[now.Add(got.After).Sub(start).Truncate(100*ms)]++
 	}
-	for at, n := range retriesPer100ms {
+	for retryTime, n := range retriesPer100ms {
 		if n > callers/4 {
-			t.Errorf("%d of %d retry within 100 ms, after %v", n, callers, at)
+			t.Errorf("%d of %d callers retry within the same 100 ms, %v after the start, want at most a quarter", n, callers, retryTime)
 		}
 	}
 }
 
-// Guards against second attempts that take slots from requests able to meet their goal in a lasting overload,
-// so that all are late. That happens when second attempts are sent regardless of the lengths of the engines'
-// queues.
+// Guards against second attempts that take slots from requests able to meet their goal, so that all are late in
+// a lasting overload. That happens when second attempts are sent regardless of the expected wait for a slot.
 func TestQueuedRequestsYieldToFirstAttempts(t *testing.T) {
-	var d Controller
+	var c Controller
 	retry := typicalRequest()
 	retry.Wait, retry.Remaining = 300*ms, 3800*ms
-	first := d.Arrive(start, retry)
-	second := d.Arrive(start, retry)
+	first := c.Arrive(start, retry)
+	second := c.Arrive(start, retry)
 	if first.Verdict != Queue || second.Verdict != Queue {
-		t.Fatalf("%v, %v", first.Verdict, second.Verdict)
+		t.Fatalf("verdicts %v and %v on two second attempts, want hold for both", first.Verdict, second.Verdict)
 	}
-	retry.Wait = 200 * ms // a first attempt would meet its goal with that
-	if v := d.Recheck(start.Add(10*ms), first.Queued, retry); v != Queue {
-		t.Errorf("with a queue in which others can meet their goal: %v", v)
+	retry.Wait = 200 * ms // a first attempt would still be sent with this wait
+	if v := c.Recheck(start.Add(10*ms), first.Queued, retry); v != Queue {
+		t.Errorf("verdict %v on the first queued request with an expected wait of 200 ms, want hold", v)
 	}
 	retry.Wait = 50 * ms
-	if v := d.Recheck(start.Add(20*ms), second.Queued, retry); v != Queue {
-		t.Errorf("the second one before the first: %v", v)
+	if v := c.Recheck(start.Add(20*ms), second.Queued, retry); v != Queue {
+		t.Errorf("verdict %v on the second queued request while the first is queued, want hold", v)
 	}
-	if v := d.Recheck(start.Add(20*ms), first.Queued, retry); v != Send {
-		t.Errorf("with a free slot: %v", v)
+	if v := c.Recheck(start.Add(20*ms), first.Queued, retry); v != Send {
+		t.Errorf("verdict %v on the first queued request with an expected wait of 50 ms, want send", v)
 	}
-	d.Dequeue(start.Add(20*ms), first.Queued, true)
-	if v := d.Recheck(start.Add(20*ms), second.Queued, retry); v != Send {
-		t.Errorf("the next one with a free slot: %v", v)
+	c.Dequeue(start.Add(20*ms), first.Queued, true)
+	if v := c.Recheck(start.Add(20*ms), second.Queued, retry); v != Send {
+		t.Errorf("verdict %v on the second queued request after the first was sent, want send", v)
 	}
 }
 
@@ -101,7 +100,7 @@
 // request must be sent while its caller still waits, and one for which that is not expected must be rejected
 // immediately.
 func TestQueuedRequestsAreSentWithinMaxQueueTime(t *testing.T) {
-	var d Controller
+	var c Controller
 	retry := typicalRequest()
 	retry.Wait, retry.Remaining = 300*ms, 3800*ms
 	queuedSince := make(map[*QueuedRequest]time.Time)
@@ -109,7 +108,7 @@
 	for i := range 500 { // five seconds with a caller every 20 ms, five times the start rate of this gateway
 		now := start.Add(time.Duration(i) * 10 * ms)
 		if i%2 == 0 {
-			got := d.Arrive(now, retry)
+			got := c.Arrive(now, retry)
 			if got.Verdict == Reject {
 				rejected++
 			} else {
@@ -117,33 +116,33 @@
 			}
 		}
 		for queued, since := range queuedSince {
-			if d.Recheck(now, queued, retry) == Queue {
+			if c.Recheck(now, queued, retry) == Queue {
 				continue
 			}
 			if now.Sub(since) > retry.maxQueueTime()+10*ms {
-				t.Fatalf("queued for %v", now.Sub(since))
+				t.Fatalf("a request was queued for %v, want at most 1.51s", now.Sub(since))
 			}
-			d.Dequeue(now, queued, true)
+			c.Dequeue(now, queued, true)
 			delete(queuedSince, queued)
 			sent++
 		}
 	}
 	if sent+rejected+len(queuedSince) != 250 || sent < 10 {
-		t.Errorf("%d queued requests were sent, %d were rejected, %d are queued", sent, rejected, len(queuedSince))
+		t.Errorf("%d queued requests were sent, %d were rejected, %d are still queued; want 250 in total and at least 10 sent", sent, rejected, len(queuedSince))
 	}
 	if rejected < 100 {
-		t.Errorf("%d of 250 were rejected", rejected)
+		t.Errorf("%d of 250 requests were rejected, want at least 100", rejected)
 	}
 }
 
 func TestDequeueRemovesCancelledRequest(t *testing.T) {
-	var d Controller
+	var c Controller
 	retry := typicalRequest()
 	retry.Wait, retry.Remaining = 300*ms, 3800*ms
-	first := d.Arrive(start, retry)
-	second := d.Arrive(start, retry)
-	d.Dequeue(start.Add(ms), first.Queued, false)
-	if len(d.queue) != 1 || !d.IsFirst(second.Queued) {
-		t.Errorf("%d are queued", len(d.queue))
+	first := c.Arrive(start, retry)
+	second := c.Arrive(start, retry)
+	c.Dequeue(start.Add(ms), first.Queued, false)
+	if len(c.queue) != 1 || !c.IsFirst(second.Queued) {
+		t.Errorf("%d requests are queued after the first was removed, want only the second", len(c.queue))
 	}
 }
--- a/core/shed/timeouts.go
+++ b/core/shed/timeouts.go
@@ -7,29 +7,30 @@
 
 const (
 	// minSamples is how many requests of a route must arrive before its callers' timeout counts as known:
-	// right after a start most of them are second attempts.
+	// right after the start of a gateway most requests are second attempts.
 	minSamples = 10
 	// typicalShare is the share of a route's requests that must have the same remaining time for it to count
-	// as the timeout of first attempts. Callers that retry have been away for different times.
+	// as the timeout of first attempts. The remaining times of second attempts differ from each other.
 	typicalShare = 0.2
 	// bucketWidth is the width of a bucket of remaining times that count as equal.
 	bucketWidth = 50 * time.Millisecond
-	// maxSamples is how many requests of a route are counted before all counts are halved, because callers
-	// change.
+	// maxSamples is how many requests of a route are counted before all counts are halved, so that the estimate
+	// follows when callers with other timeouts replace the earlier ones.
 	maxSamples = 400
-	// maxRoutes bounds the number of tracked routes. Routes are added and removed; beyond the bound all
-	// samples are dropped and collected again.
+	// maxRoutes bounds the number of routes with samples, because routes that the operator has removed are not
+	// dropped one by one. Beyond the bound the samples of all routes are dropped.
 	maxRoutes = 4096
 )
 
-// CallerTimeouts estimates for each route how long its callers wait on their first attempt: the longest time
-// that many of them report. A single caller with a longer time does not change the estimate. It is safe for
-// concurrent use.
+// CallerTimeouts estimates for each route how long its callers wait for an answer to their first attempt: the
+// longest remaining time that a large enough share of the requests has on arrival. A single caller with a
+// longer time does not change the estimate. It is safe for concurrent use.
 type CallerTimeouts struct {
 	mu     sync.Mutex
 	routes map[string]*routeTimeouts
 }
 
+// routeTimeouts counts the requests of one route by the time that their callers had left on arrival.
 type routeTimeouts struct {
 	samples int
 	counts  map[time.Duration]int // requests by remaining time, in steps of bucketWidth
@@ -40,8 +41,8 @@
 	return &CallerTimeouts{routes: make(map[string]*routeTimeouts)}
 }
 
-// Note records the remaining time of a caller of a route, and returns how long callers of that route wait on
-// their first attempt; 0 while that is unknown.
+// Note records the remaining time of a caller of a route; a time of 0 or less is not recorded. It returns how
+// long callers of that route wait for an answer to their first attempt; 0 while that is unknown.
 func (c *CallerTimeouts) Note(route string, remaining time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,6 +61,7 @@
 	return r.typical()
 }
 
+// add counts a request and halves the counts once maxSamples requests have been counted.
 func (r *routeTimeouts) add(remaining time.Duration) {
 	if remaining <= 0 {
 		return
@@ -79,12 +81,12 @@
 	}
 }
 
-// typical is the longest time that many callers have reported; 0 if there is none.
+// typical is the longest remaining time that at least typicalShare of the requests had; 0 if there is none.
 func (r *routeTimeouts) typical() time.Duration {
 	longest := time.Duration(0)
-	for t, n := range r.counts {
-		if t > longest && float64(n) >= typicalShare*float64(r.samples) {
-			longest = t
+	for timeout, n := range r.counts {
+		if timeout > longest && float64(n) >= typicalShare*float64(r.samples) {
+			longest = timeout
 		}
 	}
 	return longest
