--- a/core/shed/fairness_test.go
+++ b/core/shed/fairness_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// run simulates the burst of the first workspace. It returns the share of requests within the latency goal: of
-// the least served of the other workspaces, and of all other workspaces together.
+// run simulates the burst of the first workspace. It returns the share of requests within the latency goal:
+// of the least served of the other workspaces, and of all other workspaces together.
 func (s *fairnessSim) run() (least, all float64) {
 	for end := s.now.Add(burstDuration); s.now.Before(end); s.now = s.now.Add(stepInterval) {
 		for i := range workspaceCount {
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -1,13 +1,13 @@
 // Package shed implements admission control for online requests with a latency goal. A gateway uses it to
-// decide which requests it sends to a target, rejects or queues while more of them arrive than the targets can
-// answer in time.
+// decide which requests it sends to a target, rejects or queues while more of them arrive than the targets
+// can answer in time.
 //
 // Engines serve requests in order of arrival. In an overload of a few seconds every request would therefore
 // wait in the engines' queues until the overload ends, and all of them would be late. The controller keeps
-// these queues so short that a request that waits there can still meet its latency goal. A first attempt beyond that
-// is rejected immediately with a time to retry after. A second attempt is queued rather than rejected,
-// because callers retry only once. It is sent as soon as there is capacity that no request able to meet its
-// goal needs. Requests that cannot be sent before their caller's timeout are rejected immediately.
+// these queues so short that a request that waits there can still meet its latency goal. A first attempt
+// beyond that is rejected immediately with a time to retry after. A second attempt is queued rather than
+// rejected, because callers retry only once. It is sent as soon as there is capacity that no request able to
+// meet its goal needs. Requests that cannot be sent before their caller's timeout are rejected immediately.
 package shed
 
 import (
@@ -29,8 +29,8 @@
 	// of the wait allowed to a request that can still meet its goal.
 	queuedWaitShare = 0.34
 	// maxQueueTimeShare is the longest time that a request is queued, as a share of the time for which its
-	// caller waits. After that it is sent regardless of the engines' queues: it must still get its first event
-	// before its caller gives up, even in a lasting overload.
+	// caller waits. After that it is sent regardless of the engines' queues: it must still get its first
+	// event before its caller gives up, even in a lasting overload.
 	maxQueueTimeShare = 0.75
 	// minDequeueRateShare is the lowest expected rate at which queued requests are sent, as a share of the
 	// gateway's start rate. With an expected rate near zero, requests would still be rejected after the
@@ -59,8 +59,8 @@
 	return time.Duration(maxWaitShare * float64(r.Goal) / float64(1+r.HigherRanks))
 }
 
-// isFirstAttempt reports whether the caller has not sent the request before: on a second attempt less than the
-// initial timeout remains. It is false if the initial timeout is unknown.
+// isFirstAttempt reports whether the caller has not sent the request before: on a second attempt less than
+// the initial timeout remains. It is false if the initial timeout is unknown.
 func (r Request) isFirstAttempt() bool {
 	return r.InitialTimeout > 0 && r.Remaining >= r.InitialTimeout
 }
@@ -75,8 +75,8 @@
 }
 
 // retryAfter is the time after which the caller should retry: when a slot is expected to be free, but not
-// before engines have had time to free slots, and no later than callers honour. Callers that arrive one after the other get retry
-// times as far apart as their arrivals.
+// before engines have had time to free slots, and no later than callers honour. Callers that arrive one after
+// the other get retry times as far apart as their arrivals.
 func (r Request) retryAfter() time.Duration {
 	return min(r.Remaining/LeftShare, max(r.Wait, time.Duration(minRetryHoldTimes*float64(r.Hold))))
 }
@@ -105,12 +105,12 @@
 	Queued  *QueuedRequest // the request's place in the queue; set with Queue
 }
 
-// QueuedRequest is a request that waits at the gateway for capacity. At expiresAt it is sent regardless of the
-// engines' queues.
+// QueuedRequest is a request that waits at the gateway for capacity. At expiresAt it is sent regardless of
+// the engines' queues.
 type QueuedRequest struct{ expiresAt time.Time }
 
-// Controller decides on the online requests of one service at one gateway. It does no I/O, uses no clock and is
-// not safe for concurrent use.
+// Controller decides on the online requests of one service at one gateway. It does no I/O, uses no clock and
+// is not safe for concurrent use.
 type Controller struct {
 	// Off is the set of disabled mechanisms.
 	Off policy.Off
--- a/core/shed/shed_test.go
+++ b/core/shed/shed_test.go
@@ -67,8 +67,9 @@
 	}
 }
 
-// Guards against second attempts that take slots from requests able to meet their goal, so that all are late in
-// a lasting overload. That happens when second attempts are sent regardless of the expected wait for a slot.
+// Guards against second attempts that take slots from requests able to meet their goal, so that all are late
+// in a lasting overload. That happens when second attempts are sent regardless of the expected wait for a
+// slot.
 func TestQueuedRequestsYieldToFirstAttempts(t *testing.T) {
 	var c Controller
 	retry := typicalRequest()
--- a/core/shed/timeouts.go
+++ b/core/shed/timeouts.go
@@ -14,11 +14,11 @@
 	typicalShare = 0.2
 	// bucketWidth is the width of a bucket of remaining times that count as equal.
 	bucketWidth = 50 * time.Millisecond
-	// maxSamples is how many requests of a route are counted before all counts are halved, so that the estimate
-	// follows when callers with other timeouts replace the earlier ones.
+	// maxSamples is how many requests of a route are counted before all counts are halved, so that the
+	// estimate follows when callers with other timeouts replace the earlier ones.
 	maxSamples = 400
-	// maxRoutes bounds the number of routes with samples, because routes that the operator has removed are not
-	// dropped one by one. Beyond the bound the samples of all routes are dropped.
+	// maxRoutes bounds the number of routes with samples, because routes that the operator has removed are
+	// not dropped one by one. Beyond the bound the samples of all routes are dropped.
 	maxRoutes = 4096
 )
 
--- a/core/shed/timeouts_test.go
+++ b/core/shed/timeouts_test.go
@@ -7,8 +7,8 @@
 )
 
 // Guards against callers that are rejected on their second attempt and give up. That happens when the first
-// requests after the start of a process are second attempts, and their shorter remaining time is taken for the
-// timeout of first attempts.
+// requests after the start of a process are second attempts, and their shorter remaining time is taken for
+// the timeout of first attempts.
 func TestCallerTimeoutRequiresMinSamples(t *testing.T) {
 	timeouts := NewCallerTimeouts()
 	for i := range minSamples - 1 {
