--- a/core/fleet/batch.go
+++ b/core/fleet/batch.go
@@ -10,14 +10,15 @@
 	"arbutusramp/core/policy"
 )
 
-// staggerInterval is how long a gateway leaves free slots to a gateway ahead of it. By then it has received a
-// report of what that gateway has started.
+// staggerInterval is how long a gateway leaves a free slot to each gateway ahead of it. After that time it
+// has received a report of what that gateway has started.
 const staggerInterval = 12 * time.Millisecond
 
-// PickBatch chooses the target for a batch item: one with free slots beyond Options.StartSpare. Gateways take
-// turns, in the order in which their first items are due. The n-th gateway may take the n-th free slot of a
-// target immediately, and an earlier one only after that slot has stayed free for a while. Without turns all
-// gateways would start an item in the same slot, and all but one would preempt it again.
+// PickBatch chooses the target for a batch item: one with free slots beyond Options.StartSpare, and none of
+// those in tried. ok is false if there is none. Gateways stagger their starts in the order in which their
+// first items are due: the n-th gateway may take the n-th free slot of a target immediately, and an earlier
+// slot only after it has stayed free for a multiple of staggerInterval. Otherwise all gateways would start an
+// item in the same slot, and all but one would preempt it again.
 func (f *Fleet) PickBatch(now time.Time, service string, tried []string) (c Choice, ok bool) {
 	list := f.candidates(now, service, tried, func(ts *targetState) bool { return ts.health.canTakeBatch(now) })
 	ahead := f.gatewaysAhead()
@@ -35,12 +36,12 @@
 	return f.choice(best, fmt.Sprintf("turn %d", ahead)), true
 }
 
-// batchDomainBonus is how many more free slots a target in another failure domain must have to be preferred
-// for a batch item, because traffic between domains is costly. A larger bonus would fill the targets of the
-// gateway's own domain first.
+// batchDomainBonus is how many free slots are added to those of a target in the gateway's own failure domain
+// when targets for a batch item are compared, because traffic between domains is costly. A larger bonus would
+// fill the targets of the own domain first.
 const batchDomainBonus = 3
 
-// domainBonus is what counts in favour of a target for batch items in addition to its free slots.
+// domainBonus is batchDomainBonus for a target in the gateway's own failure domain and 0 for others.
 func (c candidate) domainBonus() int {
 	if c.isSameDomain {
 		return batchDomainBonus
@@ -48,7 +49,8 @@
 	return 0
 }
 
-// canStart reports whether a slot of a target is free for a gateway with that many gateways ahead of it.
+// canStart reports whether this gateway may start a batch item at a target while ahead other gateways start
+// theirs before it.
 func (f *Fleet) canStart(now time.Time, c candidate, ahead int) bool {
 	batchSlots := c.freeSlots() - f.opts.StartSpare
 	if batchSlots <= 0 {
@@ -58,7 +60,8 @@
 	return gatewaysWithoutSlot <= 0 || now.Sub(c.target.freeSince) >= time.Duration(gatewaysWithoutSlot)*staggerInterval
 }
 
-// gatewaysAhead is how many gateways start batch items before this one.
+// gatewaysAhead is how many gateways have batch items whose first one is due earlier than this gateway's
+// first; these start theirs before this gateway. It is 0 while staggered starts are disabled.
 func (f *Fleet) gatewaysAhead() int {
 	ahead := 0
 	if !f.opts.Off.Allows(policy.Turns) {
@@ -72,8 +75,9 @@
 	return ahead
 }
 
-// Preempt returns how many of its own batch items this gateway must preempt now, by target. Each gateway
-// computes the same division of the excess, so that together they preempt as many as needed.
+// Preempt returns how many of its own batch items this gateway must preempt now, by target id. Each gateway
+// divides the items to be preempted between the gateways in the same way, so that together they preempt as
+// many as needed.
 func (f *Fleet) Preempt(now time.Time) map[string]int {
 	f.expirePeers(now)
 	preempted := make(map[string]int)
@@ -93,14 +97,14 @@
 	return preempted
 }
 
-// batchHolder is a gateway's number of batch items at one target.
+// batchHolder is a gateway with its number of batch items at one target.
 type batchHolder struct {
 	peer  Peer
 	items int
 }
 
-// ownPreemptions is this gateway's part of excess batch items at a target. The gateways with items there give
-// up one each in turn, those with the most items first.
+// ownPreemptions is how many of excess batch items at a target this gateway must preempt. Each item is taken
+// from the gateway that has the most items left there.
 func (f *Fleet) ownPreemptions(ts *targetState, excess int) int {
 	if excess <= 0 {
 		return 0
@@ -123,6 +127,7 @@
 	return ownCount
 }
 
+// batchHolders returns this gateway and all peers that have batch items at a target.
 func (f *Fleet) batchHolders(ts *targetState) []batchHolder {
 	list := []batchHolder{{f.opts.Self, ts.ownLoad.Batch}}
 	for name, items := range ts.peerBatch {
@@ -131,7 +136,8 @@
 	return list
 }
 
-// hashPair hashes two names to a number.
+// hashPair returns a hash of two names. With the name of a gateway in the pair, ties are broken
+// differently at each gateway.
 func hashPair(a, b string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(a)) // a hash never fails to write
--- a/core/fleet/bench_test.go
+++ b/core/fleet/bench_test.go
@@ -9,10 +9,11 @@
 	"arbutusramp/core/structs"
 )
 
-// fleetSizes are numbers of targets: those of a deployment of some hundred hosts, and those expected in two
-// years.
+// fleetSizes are the numbers of targets to measure with: a deployment of some hundred hosts, and a much
+// larger one.
 var fleetSizes = []int{44, 3000}
 
+// benchFleet returns a fleet with that many targets of one service in five failure domains.
 func benchFleet(targets int) *Fleet {
 	f := New(Options{Self: "self", Domain: "d1", PeerTTL: time.Hour})
 	for i := range targets {
@@ -21,7 +22,8 @@
 	return f
 }
 
-// BenchmarkPickOnline measures the choice of a target, which each request pays.
+// BenchmarkPickOnline measures the choice of a target, which takes place once per attempt of an online
+// request.
 func BenchmarkPickOnline(b *testing.B) {
 	for _, targets := range fleetSizes {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
@@ -35,7 +37,8 @@
 	}
 }
 
-// BenchmarkApplyReport measures a peer's report at a gateway that runs a few batch items.
+// BenchmarkApplyReport measures applying a peer's report and computing the preemptions that follow from it,
+// at a gateway with three batch items.
 func BenchmarkApplyReport(b *testing.B) {
 	const items = 3
 	for _, targets := range fleetSizes {
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -1,10 +1,11 @@
-// Package fleet decides which target gets the next request and how many batch items each target may have. It
-// is a state machine without I/O or clock: callers lock it and pass the time in.
+// Package fleet holds a gateway's view of the targets and of the other gateways. The gateway uses it to
+// choose the target of each request and the batch items to preempt. It is a state machine without I/O or
+// clock: callers lock it and pass the time in.
 //
-// Targets admit requests in order of arrival, so a batch item in a slot keeps an online request waiting.
-// Gateways report their loads at each target to each other, so every gateway can compute how many slots are
-// free. Batch items start only in spare slots. They are preempted, and continue at another target, as soon as
-// online requests need their slots.
+// A target has slots, one for each request that it processes at once, and queues further requests in order of
+// arrival, so a batch item in a slot keeps an online request waiting. Gateways report their loads at each
+// target to each other, so every gateway can compute how many slots are free. Batch items start only in spare
+// slots. They are preempted, and continue at another target, as soon as online requests need their slots.
 package fleet
 
 import (
@@ -26,7 +27,7 @@
 // Peer is the name of another gateway.
 type Peer string
 
-// Options are the limits of the decisions.
+// Options are the settings of a Fleet.
 type Options struct {
 	// Domain is the failure domain of this gateway.
 	Domain string
@@ -34,44 +35,44 @@
 	Self Peer
 	// StartSpare is how many slots must stay free at a target after a batch item has started there.
 	StartSpare int
-	// KeepSpare is how many slots are kept free by preempting batch items.
+	// KeepSpare is how many slots of each target are kept free by preempting batch items.
 	KeepSpare int
-	// PeerTTL is how long the last report of a silent peer counts.
+	// PeerTTL is how long the last report of a peer counts if no other report or sign of life of it follows.
 	PeerTTL time.Duration
 	// Off is the set of disabled mechanisms.
 	Off policy.Off
 }
 
-// Fleet is the view of one gateway. It is not safe for concurrent use.
+// Fleet is one gateway's view of the targets and of the other gateways. It is not safe for concurrent use.
 type Fleet struct {
 	opts    Options
 	targets map[string]*targetState // by target id
-	// ownBatchTargets holds the targets at which this gateway has batch items, out of what may be many
-	// hundred targets.
+	// ownBatchTargets holds, by target id, the targets at which this gateway has batch items. Preempt scans
+	// only these, because there may be many hundred targets.
 	ownBatchTargets map[string]*targetState
 	peers           map[Peer]*peer
-	// nextExpiry is a time before which no peer can expire; zero until it is computed.
+	// nextExpiry is a time before which no peer expires; zero until it is computed.
 	nextExpiry time.Time
 	demand     Demand
-	holdTimes  map[string]time.Duration // how long online requests hold a slot, by service; see Held
-	timings    map[string]eventTiming   // by service; see IdleLimit
-	// storeContact is when the store last answered this gateway.
+	holdTimes  map[string]time.Duration // mean time for which online requests hold a slot, by service; see Held
+	timings    map[string]eventTiming   // mean times between events, by service; see IdleLimit
+	// storeContact is when the platform's store last answered this gateway.
 	storeContact time.Time
 }
 
-// targetState is a target with its known state.
+// targetState is a target with what this gateway has recorded of its load and health.
 type targetState struct {
 	serving.Target
 	ownLoad  Load
 	peerLoad Load // sum over the live peers
 	health   health
-	// peerBatch is the number of batch items of each peer that has any at the target. These peers are few,
-	// and after each report Preempt looks at them.
+	// peerBatch is the number of batch items of each peer that has any at the target. Preempt reads it after
+	// each report; it is short, because few peers have batch items at the same target.
 	peerBatch map[Peer]int
 	// freeSince is when the target last went from no free slots to some.
 	freeSince time.Time
-	// tieBreak orders targets that are equal otherwise. It differs between gateways, so that they do not all
-	// pick the same target.
+	// tieBreak orders targets that are equal otherwise, lowest first. It differs between gateways, so that
+	// they do not all pick the same target.
 	tieBreak uint64
 }
 
@@ -83,10 +84,10 @@
 // freeSlots is the number of free slots; negative when requests are queued.
 func (ts *targetState) freeSlots() int { return ts.Slots - ts.totalLoad().total() }
 
-// Demand is the work that a gateway has ready to start.
+// Demand describes the batch items that a gateway has ready to start.
 type Demand struct {
 	Items int   // batch items that wait for a slot
-	Due   int64 // when the first of them is due, in milliseconds since 1970
+	Due   int64 // when the first of them is due, in milliseconds since 1970; the gateway with the earliest time starts first
 }
 
 // Report is the message in which a gateway describes its state to its peers.
@@ -95,22 +96,22 @@
 	Demand Demand
 	// Contact is when the platform's store last answered the gateway.
 	Contact time.Time
-	// Suspects are the ids of the targets that have recently failed the gateway.
+	// Suspects are the ids of the targets that are suspect because they have failed requests of the gateway.
 	Suspects []string
 }
 
-// peer is the last report of another gateway.
+// peer is the last report of another gateway, with the time of its last report or sign of life.
 type peer struct {
 	lastSeen time.Time
 	Report
 }
 
-// New returns an empty view.
+// New returns a Fleet without targets and peers.
 func New(o Options) *Fleet {
 	return &Fleet{opts: o, targets: make(map[string]*targetState), ownBatchTargets: make(map[string]*targetState), peers: make(map[Peer]*peer), holdTimes: make(map[string]time.Duration), timings: make(map[string]eventTiming)}
 }
 
-// Put adds a target or applies a change to it.
+// Put adds a target, or replaces the description of the one with the same id.
 func (f *Fleet) Put(t serving.Target) {
 	ts, ok := f.targets[t.ID]
 	if ok {
@@ -125,13 +126,13 @@
 	f.targets[t.ID] = ts
 }
 
-// Remove drops a target. Requests that it still has end by themselves.
+// Remove drops a target. Requests that are still running there are not ended.
 func (f *Fleet) Remove(id string) {
 	delete(f.targets, id)
 	delete(f.ownBatchTargets, id)
 }
 
-// Targets returns all listed targets.
+// Targets returns all targets that have been put and not removed.
 func (f *Fleet) Targets() []serving.Target {
 	list := make([]serving.Target, 0, len(f.targets))
 	for _, ts := range f.targets {
@@ -140,16 +141,16 @@
 	return list
 }
 
-// Begin counts a request that is about to be sent.
+// Begin counts a request of this gateway that is about to be sent to a target.
 func (f *Fleet) Begin(now time.Time, id string, c structs.Class) {
 	if ts, ok := f.targets[id]; ok {
 		ts.ownLoad.addRequests(c, 1)
-		ts.health.noteStart(now)
+		ts.health.recordStart(now)
 		f.trackOwnBatch(id, ts)
 	}
 }
 
-// End counts a request as finished.
+// End counts a request of this gateway at a target as finished.
 func (f *Fleet) End(now time.Time, id string, c structs.Class) {
 	if ts, ok := f.targets[id]; ok {
 		ts.updateLoad(now, func() { ts.ownLoad.addRequests(c, -1) })
@@ -166,11 +167,12 @@
 	f.ownBatchTargets[id] = ts
 }
 
-// updateLoad applies a change to the loads and records when slots become free by it.
+// updateLoad calls update, which changes a load of the target, and sets freeSince if that frees the first
+// slot.
 func (ts *targetState) updateLoad(now time.Time, update func()) {
-	before := ts.freeSlots()
+	oldFreeSlots := ts.freeSlots()
 	update()
-	if before <= 0 && ts.freeSlots() > 0 {
+	if oldFreeSlots <= 0 && ts.freeSlots() > 0 {
 		ts.freeSince = now
 	}
 }
@@ -185,6 +187,7 @@
 	l.Batch -= o.Batch
 }
 
+// addRequests adds delta requests of a class; the sum is at least 0.
 func (l *Load) addRequests(c structs.Class, delta int) {
 	if c == structs.ClassBatch {
 		l.Batch = max(0, l.Batch+delta)
@@ -209,16 +212,16 @@
 	f.peers[from] = &peer{lastSeen: now, Report: r}
 }
 
-// Sign is a sign of life of a peer that another gateway forwards.
+// Sign is a sign of life of a peer, which another gateway forwards in place of the peer's report.
 type Sign struct {
 	Heard   time.Time // when the forwarding gateway last received a message of the peer
 	Contact time.Time // when the platform's store last answered the peer
-	// IsIdle reports that the peer has no requests at targets and no demand.
+	// IsIdle is set if the peer has no requests at targets and no demand.
 	IsIdle bool
 }
 
-// NoteSign applies a forwarded sign of life of a peer. The peer's last report stays valid, unless the peer is
-// idle.
+// NoteSign applies a forwarded sign of life of the peer from. The peer's last report stays valid, unless the
+// peer is idle. A sign of life older than Options.PeerTTL is ignored.
 func (f *Fleet) NoteSign(now time.Time, from Peer, s Sign) {
 	f.expirePeers(now)
 	if now.Sub(s.Heard) > f.opts.PeerTTL {
@@ -241,7 +244,8 @@
 	}
 }
 
-// hasState reports whether the peer's last report holds anything that the report of an idle peer does not.
+// hasState reports whether the peer's last report contains loads, demand or suspects, unlike that of an idle
+// peer.
 func (p *peer) hasState() bool { return len(p.Loads) > 0 || p.Demand.Items > 0 || len(p.Suspects) > 0 }
 
 // setPeerBatch records how many batch items a peer has at the target.
@@ -253,7 +257,8 @@
 	ts.peerBatch[name] = items
 }
 
-// replaceReport subtracts the loads of a peer's old report from the sums and adds those of its new one.
+// replaceReport updates the peer loads of the targets: it subtracts the loads of a peer's old report, if
+// there is one, and adds those of its new report r.
 func (f *Fleet) replaceReport(now time.Time, name Peer, old *peer, r *Report) {
 	affected := make(map[string]bool, len(r.Loads))
 	for id := range r.Loads {
@@ -279,9 +284,9 @@
 	}
 }
 
-// expirePeers drops silent peers: they have stopped, or their last report is too old. It is called with each
-// report and scans the peers only when one of them may have expired; otherwise the cost of a report would
-// grow with the fleet.
+// expirePeers drops the peers whose last report or sign of life is older than Options.PeerTTL: they have
+// stopped or cannot be reached. It is called with each report and scans the peers only when one of them may
+// have expired; otherwise the cost of a report would grow with the number of gateways.
 func (f *Fleet) expirePeers(now time.Time) {
 	if now.Before(f.nextExpiry) {
 		return
@@ -300,19 +305,19 @@
 	f.nextExpiry = oldest.Add(f.opts.PeerTTL)
 }
 
-// SetDemand records the work that this gateway has ready to start.
+// SetDemand records the batch items that this gateway has ready to start.
 func (f *Fleet) SetDemand(d Demand) { f.demand = d }
 
-// SetContact records that the store has answered.
+// SetContact records that the platform's store has just answered this gateway.
 func (f *Fleet) SetContact(now time.Time) { f.storeContact = now }
 
-// storeContactTolerance is how much later than this gateway's a peer's contact with the store must be to
+// storeContactTolerance is how much later than this gateway's last contact with the store a peer's must be to
 // count as later. Reports are delayed, and each process polls the store at its own times.
 const storeContactTolerance = 1200 * time.Millisecond
 
 // StoreDownForAll reports whether no live peer has reached the store since this gateway last did. In that
-// case no decision unknown to this gateway can have been committed there meanwhile. Without a live peer the
-// result is false, because this gateway may be the one that is cut off.
+// case no live peer can have committed a decision there that this gateway has not read. Without a live peer
+// the result is false, because this gateway may be the one that is cut off from the store.
 func (f *Fleet) StoreDownForAll(now time.Time) bool {
 	f.expirePeers(now)
 	for _, p := range f.peers {
@@ -323,18 +328,18 @@
 	return len(f.peers) > 0
 }
 
-// Peers is the number of other live gateways.
+// Peers is the number of live peers: those whose last report or sign of life has not expired.
 func (f *Fleet) Peers(now time.Time) int {
 	f.expirePeers(now)
 	return len(f.peers)
 }
 
-// Report returns the loads, demand and suspects of this gateway.
+// Report returns this gateway's report to its peers.
 func (f *Fleet) Report(now time.Time) Report {
 	return Report{Loads: f.Own(), Demand: f.demand, Contact: f.storeContact, Suspects: f.ownSuspects(now)}
 }
 
-// Own returns the loads of this gateway, without targets at which it has none.
+// Own returns this gateway's own loads by target id, without targets at which it has no requests.
 func (f *Fleet) Own() map[string]Load {
 	loads := make(map[string]Load)
 	for id, ts := range f.targets {
@@ -345,7 +350,7 @@
 	return loads
 }
 
-// OwnAt returns the load of this gateway at one target.
+// OwnAt returns this gateway's own load at one target; zero if the target is not listed.
 func (f *Fleet) OwnAt(id string) Load {
 	if ts, ok := f.targets[id]; ok {
 		return ts.ownLoad
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -13,6 +13,7 @@
 
 const testSlots = 4
 
+// testFleet returns the fleet of gateway self, in failure domain d0, with targets 0 to targets-1.
 func testFleet(self Peer, targets int) *Fleet {
 	f := New(Options{Domain: "d0", Self: self, PeerTTL: time.Second})
 	for i := range targets {
@@ -21,10 +22,12 @@
 	return f
 }
 
+// target returns target i with testSlots slots, in a failure domain of its own.
 func target(i int) serving.Target {
 	return serving.Target{ID: fmt.Sprintf("t%d", i), Service: "llm", Domain: fmt.Sprintf("d%d", i), Slots: testSlots}
 }
 
+// begin counts n requests of a class at a target.
 func begin(f *Fleet, id string, c structs.Class, n int) {
 	for range n {
 		f.Begin(start, id, c)
@@ -38,7 +41,7 @@
 		tried []string
 		want  string // "" for none
 	}{
-		{name: "the own failure domain among equal targets", want: "t0"},
+		{name: "the target in the own failure domain among equal targets", want: "t0"},
 		{name: "a free slot in another domain before a full target", setup: func(f *Fleet) {
 			begin(f, "t0", structs.ClassOnline, testSlots)
 			begin(f, "t1", structs.ClassOnline, 1)
@@ -55,16 +58,16 @@
 			f.ApplyReport(start.Add(-2*time.Second), "peer", Report{Loads: map[string]Load{"t0": {Online: testSlots}}})
 		}, want: "t0"},
 		{name: "not a draining target", setup: func(f *Fleet) {
-			d := target(0)
-			d.Draining = true
-			f.Put(d)
+			draining := target(0)
+			draining.Draining = true
+			f.Put(draining)
 			begin(f, "t1", structs.ClassOnline, 1)
 		}, want: "t2"},
 		{name: "not a target already tried", tried: []string{"t0", "t1"}, want: "t2"},
 		{name: "not a suspect target", setup: func(f *Fleet) { f.Failed(start, "t0"); f.Failed(start, "t1") }, want: "t2"},
 		{name: "a suspect target when no other is left", setup: func(f *Fleet) { f.Failed(start, "t2") },
 			tried: []string{"t0", "t1"}, want: "t2"},
-		{name: "none", tried: []string{"t0", "t1", "t2"}},
+		{name: "no target when all were tried", tried: []string{"t0", "t1", "t2"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -74,7 +77,7 @@
 			}
 			got, ok := f.PickOnline(start, "llm", c.tried)
 			if ok != (c.want != "") || got.Target.ID != c.want {
-				t.Errorf("got %q, want %q", got.Target.ID, c.want)
+				t.Errorf("picked target %q, want %q", got.Target.ID, c.want)
 			}
 		})
 	}
@@ -88,20 +91,20 @@
 	for range 2 * testSlots {
 		got, ok := f.PickBatch(start, "llm", nil)
 		if !ok {
-			t.Fatal("no target though slots are free")
+			t.Fatal("no target was picked though slots are free")
 		}
 		f.Begin(start, got.Target.ID, structs.ClassBatch)
 	}
 	if got, ok := f.PickBatch(start, "llm", nil); ok {
-		t.Errorf("picked %s though all slots are taken", got)
+		t.Errorf("picked %s though all slots are taken, want no target", got)
 	}
 	if n := f.OwnAt("t0").Batch; n != testSlots {
-		t.Errorf("%d items at the first of two equal targets, want %d", n, testSlots)
+		t.Errorf("%d batch items were started at t0, want %d", n, testSlots)
 	}
 }
 
-// Guards against head-of-line blocking, and against needless preemption: gateways that each preempt none of
-// the excess or all of it.
+// Guards against online requests that wait behind batch items, and against needless preemption. These happen
+// when each gateway leaves the preemption to the others, or when each preempts all of the excess.
 func TestGatewaysTogetherPreemptTheExcess(t *testing.T) {
 	names := []Peer{"a", "b", "c"}
 	items := map[Peer]int{"a": 2, "b": 1, "c": 0}
@@ -114,24 +117,24 @@
 				if peer == self {
 					continue
 				}
-				l := Load{Batch: items[peer]}
+				load := Load{Batch: items[peer]}
 				if peer == "c" {
-					l.Online = online
+					load.Online = online
 				}
-				f.ApplyReport(start, peer, Report{Loads: map[string]Load{"t0": l}})
+				f.ApplyReport(start, peer, Report{Loads: map[string]Load{"t0": load}})
 			}
 			if self == "c" {
 				begin(f, "t0", structs.ClassOnline, online)
 			}
 			n := f.Preempt(start)["t0"]
 			if n > items[self] {
-				t.Errorf("%s preempts %d of its %d items", self, n, items[self])
+				t.Errorf("gateway %s preempts %d of its %d batch items", self, n, items[self])
 			}
 			preempted += n
 		}
 		want := max(0, online+3-testSlots)
 		if preempted != min(want, 3) {
-			t.Errorf("with %d online requests %d items were preempted, want %d", online, preempted, want)
+			t.Errorf("with %d online requests %d batch items were preempted, want %d (at most 3)", online, preempted, want)
 		}
 	}
 }
@@ -141,81 +144,82 @@
 	begin(f, "t0", structs.ClassBatch, 2)
 	begin(f, "t1", structs.ClassBatch, 1)
 	if preempted := f.Preempt(start); len(preempted) != 0 {
-		t.Errorf("preempted %v without a cause", preempted)
+		t.Errorf("preempted %v at targets that are neither draining nor suspect, want none", preempted)
 	}
-	d := target(0)
-	d.Draining = true
-	f.Put(d)
+	draining := target(0)
+	draining.Draining = true
+	f.Put(draining)
 	f.Failed(start, "t1")
 	preempted := f.Preempt(start)
 	if preempted["t0"] != 2 || preempted["t1"] != 1 {
-		t.Errorf("preempted %v", preempted)
+		t.Errorf("preempted %v, want 2 at draining target t0 and 1 at suspect target t1", preempted)
 	}
 }
 
 func TestActivityEndsSuspicion(t *testing.T) {
 	f := testFleet("self", 1)
 	if !f.Failed(start, "t0") || f.Failed(start, "t0") {
-		t.Error("the first failure must make the target suspect, and the next one within the suspicion must not")
+		t.Error("the first failure must make the target suspect, and a second failure while it is suspect must not count")
 	}
 	if _, ok := f.PickBatch(start, "llm", nil); ok {
 		t.Error("a batch item was sent to a suspect target")
 	}
 	later := start.Add(minSuspectTime)
 	if _, ok := f.PickBatch(later, "llm", nil); !ok {
-		t.Error("no batch item was sent to a target on probation")
+		t.Error("no batch item was sent to a target on probation, want one")
 	}
 	f.Begin(later, "t0", structs.ClassBatch)
 	if _, ok := f.PickBatch(later, "llm", nil); ok {
-		t.Error("a second batch item was sent while the first one is on probation")
+		t.Error("a second batch item was sent to a target on probation within the probation interval")
 	}
 	if !f.Failed(later, "t0") {
 		t.Error("a failure on probation does not make the target suspect")
 	}
 	if _, ok := f.PickBatch(later.Add(minSuspectTime), "llm", nil); ok {
-		t.Error("the second suspicion is not longer than the first")
+		t.Error("after the second failure the target is not suspect for longer than after the first")
 	}
 	f.NoteActivity(later, "t0")
 	if _, ok := f.PickBatch(later, "llm", nil); !ok {
-		t.Error("no batch item for a target that has just answered")
+		t.Error("no batch item was sent to a target that has just sent something")
 	}
 }
 
-func TestSilence(t *testing.T) {
+func TestTargetIsSilentAfterLimit(t *testing.T) {
 	f := testFleet("self", 1)
 	if f.IsIdleSince(start.Add(defaultSilenceLimit), start, "t0") {
-		t.Error("silent before the limit")
+		t.Error("the target counts as silent before the limit")
 	}
 	late := start.Add(defaultSilenceLimit + time.Millisecond)
 	if !f.IsIdleSince(late, start, "t0") {
-		t.Error("not silent after the limit")
+		t.Error("the target does not count as silent after the limit")
 	}
 	f.NoteActivity(late, "t0")
 	if f.IsIdleSince(late.Add(defaultSilenceLimit), start, "t0") {
-		t.Error("silent though it has answered another request")
+		t.Error("the target counts as silent though it has sent something within the limit")
 	}
 }
 
-// Guards against a load that is decremented more often than incremented, which makes a full target look free.
+// Guards against a full target that looks free. That happens when its load becomes negative, because the end
+// of a request is counted without its start.
 func TestLoadsAreNeverNegative(t *testing.T) {
 	f := testFleet("self", 1)
 	f.End(start, "t0", structs.ClassOnline)
 	f.Begin(start, "t0", structs.ClassOnline)
 	if got := f.OwnAt("t0"); got != (Load{Online: 1}) {
-		t.Errorf("load %+v", got)
+		t.Errorf("after one end and one begin the load is %+v, want 1 online request", got)
 	}
 	f.Remove("t0")
 	f.End(start, "t0", structs.ClassOnline)
 	if got := f.Own(); len(got) != 0 {
-		t.Errorf("loads %v of removed targets", got)
+		t.Errorf("loads %v after the only target was removed, want none", got)
 	}
 }
 
-// Guards against wasted starts: all gateways start an item in the same free slot, and all but one preempt it
-// again.
+// Guards against wasted starts. They happen when all gateways start an item in the same free slot, and all
+// but one preempt it again.
 func TestGatewaysStaggerStartsAtAFreeSlot(t *testing.T) {
 	demands := map[Peer]Demand{"a": {Items: 3, Due: 200}, "b": {Items: 1, Due: 100}, "c": {}}
-	pick := func(self Peer, freeSlots int, after time.Duration) bool {
+	pick := func(self Peer, freeSlots int, freeFor time.Duration) bool {
 		f := testFleet(self, 1)
 		f.SetDemand(demands[self])
 		begin(f, "t0", structs.ClassOnline, testSlots)
@@ -227,30 +231,30 @@
 		for range freeSlots {
 			f.End(start, "t0", structs.ClassOnline)
 		}
-		_, ok := f.PickBatch(start.Add(after), "llm", nil)
+		_, ok := f.PickBatch(start.Add(freeFor), "llm", nil)
 		return ok
 	}
 	cases := []struct {
 		self      Peer
 		freeSlots int
-		after     time.Duration
+		freeFor   time.Duration
 		want      bool
 	}{
 		{"b", 1, 0, true}, // its item is due first
 		{"a", 1, 0, false},
-		{"a", 2, 0, true}, // the second slot is its own
+		{"a", 2, 0, true}, // the first slot is left to gateway b
 		{"a", 1, staggerInterval, true},
 		{"a", 0, staggerInterval, false},
 	}
 	for _, c := range cases {
-		if got := pick(c.self, c.freeSlots, c.after); got != c.want {
-			t.Errorf("%s with %d free slots after %v: %v", c.self, c.freeSlots, c.after, got)
+		if got := pick(c.self, c.freeSlots, c.freeFor); got != c.want {
+			t.Errorf("gateway %s may start an item in one of %d slots that are free for %v: %v, want the opposite", c.self, c.freeSlots, c.freeFor, got)
 		}
 	}
 }
 
-// The sums over peers match the latest reports, regardless of earlier reports and of the order in which
-// targets and peers are added.
+// The load of a target is the sum of the peers' latest reports, regardless of earlier reports and of whether
+// the target is added before or after the reports.
 func TestPeerLoadsMatchTheLatestReports(t *testing.T) {
 	f := testFleet("self", 1)
 	f.ApplyReport(start, "a", Report{Loads: map[string]Load{"t0": {Online: 1, Batch: 2}, "t1": {Online: 3}}})
@@ -258,37 +262,38 @@
 	f.ApplyReport(start, "a", Report{Loads: map[string]Load{"t0": {Batch: 1}, "t1": {Online: 2}}})
 	f.Put(target(1))
 	if got := f.targets["t0"].totalLoad(); got != (Load{Online: 1, Batch: 1}) {
-		t.Errorf("t0 has %+v", got)
+		t.Errorf("the load of t0 is %+v, want 1 online request and 1 batch item", got)
 	}
 	if got := f.targets["t1"].totalLoad(); got != (Load{Online: 2}) {
-		t.Errorf("t1, which was added later, has %+v", got)
+		t.Errorf("the load of t1, which was added after the reports, is %+v, want 2 online requests", got)
 	}
 	f.ApplyReport(start.Add(2*time.Second), "b", Report{})
 	if got := f.targets["t1"].totalLoad(); got != (Load{}) {
-		t.Errorf("after the expiry of peer a t1 has %+v", got)
+		t.Errorf("after the expiry of peer a the load of t1 is %+v, want none", got)
 	}
 }
 
-// Batch items may start without the store only while no other gateway can have committed a decision there.
-func TestStoreDownForAll(t *testing.T) {
+// Batch items may start without the store only while no live peer can have committed a decision there. A
+// peer's contact counts as later only if it is later by more than storeContactTolerance.
+func TestIsStoreDownForPeers(t *testing.T) {
 	f := testFleet("self", 1)
 	f.SetContact(start)
 	now := start.Add(5 * time.Second)
 	if f.StoreDownForAll(now) {
-		t.Error("without a live peer this gateway may be the one that is cut off")
+		t.Error("true without a live peer, want false: this gateway may be the one that is cut off")
 	}
 	f.ApplyReport(now, "a", Report{Contact: start.Add(100 * time.Millisecond)})
 	if !f.StoreDownForAll(now) {
-		t.Error("no peer has reached the store since this gateway did")
+		t.Error("false though no peer has reached the store since this gateway did, want true")
 	}
 	f.ApplyReport(now, "b", Report{Contact: now.Add(-time.Second)})
 	if f.StoreDownForAll(now) {
-		t.Error("a peer has just reached the store")
+		t.Error("true though a peer has just reached the store, want false")
 	}
 }
 
-// Guards against false suspicion: a request in the queue of a busy target receives nothing, which is not a
-// failure.
+// Guards against false suspicion of a busy target. It happens when a request that waits in the target's queue
+// and therefore receives nothing counts as silence of the target.
 func TestQueuedRequestIsNotSilence(t *testing.T) {
 	f := testFleet("self", 1)
 	f.ApplyReport(start, "peer", Report{Loads: map[string]Load{"t0": {Online: 2*testSlots - 1}}})
@@ -298,7 +303,7 @@
 		t.Error("a target with a full queue counts as silent before its queue has been served")
 	}
 	if !f.IsIdleSince(start.Add(defaultSilenceLimit+defaultHoldTime+time.Millisecond), start, "t0") {
-		t.Error("a target that sends nothing at all is never silent")
+		t.Error("a target that sends nothing does not count as silent after its queue should have been served")
 	}
 }
 
@@ -306,7 +311,7 @@
 // another has clearly more free slots.
 func TestBatchItemsPreferTheOwnDomain(t *testing.T) {
 	cases := []struct {
-		ownDomain, otherDomain int // requests at the targets
+		ownDomain, otherDomain int // online requests at the target in each domain
 		want                   string
 	}{
 		{0, 0, "t0"}, {1, 0, "t0"}, {2, 0, "t0"}, {testSlots, 0, "t1"}, {testSlots, testSlots - 1, "t1"}, {testSlots - 1, testSlots, "t0"},
@@ -316,12 +321,13 @@
 		begin(f, "t0", structs.ClassOnline, c.ownDomain)
 		begin(f, "t1", structs.ClassOnline, c.otherDomain)
 		if got, ok := f.PickBatch(start, "llm", nil); !ok || got.Target.ID != c.want {
-			t.Errorf("with %d in the own domain and %d in the other: %s, %v", c.ownDomain, c.otherDomain, got.Target.ID, ok)
+			t.Errorf("with %d requests at t0 in the own domain and %d at t1 in another: picked %s (found: %v), want the other target", c.ownDomain, c.otherDomain, got.Target.ID, ok)
 		}
 	}
 }
 
-// Guards against late detection: each gateway needs a failed request of its own to detect a dead target.
+// Guards against late detection of a dead target. It happens when each gateway needs a failed request of its
+// own and does not use its peers' reports.
 func TestPeerSuspicionIsApplied(t *testing.T) {
 	report := Report{Suspects: []string{"t0"}}
 	pick := func(f *Fleet, now time.Time) string {
@@ -332,28 +338,28 @@
 	f.NoteActivity(start.Add(-minSilenceForPeerReport), "t0")
 	f.ApplyReport(start, "peer", report)
 	if got := pick(f, start); got != "t1" {
-		t.Errorf("the next request goes to %s", got)
+		t.Errorf("after a peer's suspicion of t0 the next request goes to %s, want t1", got)
 	}
 	if got := f.Report(start).Suspects; len(got) != 0 {
-		t.Errorf("a peer's suspicion is forwarded: %v", got)
+		t.Errorf("this gateway reports suspects %v after a peer's suspicion, want none", got)
 	}
 	if !f.IsIdleSince(start.Add(defaultSilenceLimit/2+time.Millisecond), start, "t0") {
-		t.Error("the silence limit is the same as without the peer's suspicion")
+		t.Error("after a peer's suspicion the silence limit is not halved")
 	}
 	later := start.Add(minSuspectTime)
 	f.ApplyReport(later, "peer", report)
 	f.NoteActivity(later, "t0")
 	if got := pick(f, later); got != "t0" {
-		t.Errorf("after activity the next request goes to %s", got)
+		t.Errorf("after activity of t0 the next request goes to %s, want t0", got)
 	}
 	f = testFleet("self", 2)
 	f.NoteActivity(start.Add(-minSilenceForPeerReport/2), "t0")
 	f.ApplyReport(start, "peer", report)
 	if got := pick(f, start); got != "t0" {
-		t.Errorf("though the target has just answered, the next request goes to %s", got)
+		t.Errorf("after a peer's suspicion of t0, which has just sent something, the next request goes to %s, want t0", got)
 	}
 	f.Failed(start, "t0")
 	if got := f.Report(start).Suspects; len(got) != 1 || got[0] != "t0" {
-		t.Errorf("own suspects %v", got)
+		t.Errorf("after a failure of t0 this gateway reports suspects %v, want t0", got)
 	}
 }
--- a/core/fleet/health.go
+++ b/core/fleet/health.go
@@ -7,41 +7,42 @@
 	"arbutusramp/core/policy"
 )
 
-// healthState is a gateway's assessment of a target.
+// healthState says whether a gateway sends requests to a target.
 type healthState uint8
 
 const (
 	healthy healthState = iota
-	// suspect targets get no requests for a while.
+	// suspect targets get no requests until suspectUntil, unless an online request has no other target.
 	suspect
 	// probation targets were suspect; the outcome of the next request decides whether they are healthy again.
 	probation
 )
 
-// Time limits of the assessment.
+// Time limits by which the health of targets is judged.
 const (
-	// defaultSilenceLimit is how long a target with requests may send nothing before it becomes suspect,
+	// defaultSilenceLimit is how long a target with requests may send nothing before it counts as silent,
 	// until the event times of its service are known; see IdleLimit.
 	defaultSilenceLimit = 450 * time.Millisecond
-	// minSuspectTime and maxSuspectTime bound how long a suspect target gets no requests. The time doubles
+	// minSuspectTime and maxSuspectTime bound how long a target is suspect after a failure. The time doubles
 	// with each consecutive failure.
 	minSuspectTime = 500 * time.Millisecond
 	maxSuspectTime = 4 * time.Second
-	// probationInterval is the pause between two batch items that are sent to a target on probation.
+	// probationInterval is the shortest time between two batch items that are sent to a target on probation.
 	probationInterval = 450 * time.Millisecond
 )
 
-// health tracks one target by the outcomes of its requests only. Probes are not used: they add load, and
-// their result can be wrong.
+// health tracks the health of one target by the outcomes of its requests. Targets are not probed: probes add
+// load, and their result can be wrong.
 type health struct {
-	failures     int       // consecutive
-	suspectUntil time.Time // suspect until then
-	lastStart    time.Time // of the last request
-	lastReceived time.Time // of the last byte
-	// isPeerReported is set when only a peer's report has made the target suspect.
+	failures     int       // consecutive failures; 0 after the target has sent something
+	suspectUntil time.Time // the target is suspect until then
+	lastStart    time.Time // when the last request was about to be sent to the target
+	lastReceived time.Time // when the target last sent something
+	// isPeerReported is set while only a peer's report has made the target suspect.
 	isPeerReported bool
 }
 
+// state returns the health state of the target at a time.
 func (h *health) state(now time.Time) healthState {
 	switch {
 	case h.failures == 0:
@@ -53,7 +54,8 @@
 	}
 }
 
-// canTakeBatch admits one batch item at a time to a target on probation.
+// canTakeBatch reports whether the target may get a batch item: a suspect one gets none, and one on probation
+// at most one every probationInterval.
 func (h *health) canTakeBatch(now time.Time) bool {
 	switch h.state(now) {
 	case healthy:
@@ -65,9 +67,10 @@
 	}
 }
 
-func (h *health) noteStart(now time.Time) { h.lastStart = now }
+// recordStart records that a request is about to be sent to the target.
+func (h *health) recordStart(now time.Time) { h.lastStart = now }
 
-// NoteActivity records that a target has sent something, which ends a suspicion.
+// NoteActivity records that a target has sent something to this gateway, which makes it healthy.
 func (f *Fleet) NoteActivity(now time.Time, id string) {
 	if ts, ok := f.targets[id]; ok {
 		ts.health.lastReceived = now
@@ -76,9 +79,9 @@
 	}
 }
 
-// Failed records that a target has refused or closed a connection, or has been silent for too long. It
-// reports whether that makes the target suspect. Failures of a target that is already suspect do not count,
-// because requests that were sent together fail together.
+// Failed records that a target has failed a request of this gateway, for instance by a refused or closed
+// connection or by silence. It reports whether that makes the target suspect. Failures of a target that is
+// already suspect do not count, because requests that were sent together fail together.
 func (f *Fleet) Failed(now time.Time, id string) bool {
 	ts, ok := f.targets[id]
 	if !ok || ts.health.state(now) == suspect {
@@ -97,19 +100,19 @@
 	return ok && !ts.Draining
 }
 
-// HeardSince reports whether a target has sent something after a time.
+// HeardSince reports whether a target has sent something to this gateway after t.
 func (f *Fleet) HeardSince(id string, t time.Time) bool {
 	ts, ok := f.targets[id]
 	return ok && ts.health.lastReceived.After(t)
 }
 
-// minSilenceForPeerReport is how long a target must have been silent at this gateway for a peer's report to
+// minSilenceForPeerReport is how long a target must have sent nothing to this gateway for a peer's report to
 // make it suspect. A working target sends something every 20 ms to each gateway that has a request there, so
-// one that only the peer cannot reach is still active here.
+// a target that only the peer cannot reach still sends to this gateway.
 const minSilenceForPeerReport = 150 * time.Millisecond
 
-// applyPeerSuspicion records that a target has failed a peer, so that not every gateway needs a failed
-// request of its own to detect it.
+// applyPeerSuspicion makes a healthy target suspect that is suspect at a peer, so that not every gateway
+// needs a failed request of its own to detect the failure.
 func (f *Fleet) applyPeerSuspicion(now time.Time, id string) {
 	ts, ok := f.targets[id]
 	if !f.opts.Off.Allows(policy.PeerWord) || !ok {
@@ -122,8 +125,8 @@
 	ts.health.suspectUntil = now.Add(minSuspectTime)
 }
 
-// ownSuspects returns the targets that have failed this gateway. Suspicions reported by peers are left out:
-// gateways would forward them to each other for ever.
+// ownSuspects returns the sorted ids of the suspect targets that have failed requests of this gateway.
+// Suspicions reported by peers are left out: otherwise gateways would report them back and forth for ever.
 func (f *Fleet) ownSuspects(now time.Time) []string {
 	var ids []string
 	for id, ts := range f.targets {
@@ -135,32 +138,33 @@
 	return ids
 }
 
-// defaultHoldTime is how long a request may wait in a target's queue for each full set of slots ahead of it,
-// until it is known how long requests hold a slot.
+// defaultHoldTime is how long requests are assumed to hold a slot until the mean hold time of their service
+// is known.
 const defaultHoldTime = time.Second
 
-// holdTimeMargin is the factor by which requests may hold their slots longer than on average.
+// holdTimeMargin is the factor by which requests may hold their slots longer than the mean.
 const holdTimeMargin = 1.4
 
-// QueueWait is how long a request at a target may have to wait for a slot before it gets its first byte, by
-// the known loads.
+// QueueWait is how long a request may have to wait in a target's queue, by the loads of all gateways there:
+// the hold time, with its margin, for each full set of slots that is queued. It is 0 for an unlisted target.
 func (f *Fleet) QueueWait(id string) time.Duration {
 	ts, ok := f.targets[id]
 	if !ok {
 		return 0
 	}
-	roundTime := defaultHoldTime
-	if hold := f.holdTimes[ts.Service]; hold > 0 {
-		roundTime = time.Duration(holdTimeMargin * float64(hold))
+	slotTime := defaultHoldTime
+	if holdTime := f.holdTimes[ts.Service]; holdTime > 0 {
+		slotTime = time.Duration(holdTimeMargin * float64(holdTime))
 	}
-	waiting := max(0, -ts.freeSlots())
-	return roundTime * time.Duration(waiting) / time.Duration(ts.Slots)
+	queued := max(0, -ts.freeSlots())
+	return slotTime * time.Duration(queued) / time.Duration(ts.Slots)
 }
 
-// IsIdleSince reports whether a target has sent nothing to any request of this gateway since a request was
-// sent to it at that time, for longer than a working target ever stays silent. In a large system a gateway
-// has few requests at each target, so waiting in a queue there looks like silence; QueueWait is added for
-// that.
+// IsIdleSince reports whether a target has been silent for longer than a working target ever is: it has sent
+// nothing to this gateway within the silence limit and QueueWait, counted from its last activity or from the
+// time sent of a request, whichever is later. QueueWait is added because with many gateways each has few
+// requests at a target, and one that waits in the queue there receives nothing. It is false while silence
+// detection is disabled.
 func (f *Fleet) IsIdleSince(now, sent time.Time, id string) bool {
 	ts, ok := f.targets[id]
 	if !ok {
@@ -175,7 +179,7 @@
 	}
 	limit := f.IdleLimit(ts.Service)
 	if ts.health.isPeerReported {
-		limit /= 2 // two gateways have observed it
+		limit /= 2 // two gateways have observed the failure
 	}
 	return now.Sub(lastActivity) > limit+f.QueueWait(id)
 }
--- a/core/fleet/peers_test.go
+++ b/core/fleet/peers_test.go
@@ -10,9 +10,9 @@
 	"arbutusramp/core/structs"
 )
 
-// The state derived from peers' reports, which keeps reports cheap in a large fleet, always matches the
-// reports themselves: which peer has batch items at which target, the sums of loads, and no expired peers.
-// The same holds for the set of targets at which this gateway has items.
+// Sums of loads, batch items by peer and the set of targets with batch items of this gateway are updated with
+// each report and request, so that a report costs little with many gateways. After any sequence of changes
+// they match the peers' last reports and this gateway's loads, and no expired peer counts.
 func TestDerivedPeerStateMatchesReports(t *testing.T) {
 	const peers, targets, steps = 9, 5, 4000
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -43,41 +43,42 @@
 	}
 }
 
+// checkDerivedState compares the derived state with the peers' last reports and this gateway's loads.
 func checkDerivedState(t *testing.T, f *Fleet, now time.Time, step int) {
 	t.Helper()
 	f.expirePeers(now)
 	for name, p := range f.peers {
 		if now.Sub(p.lastSeen) > f.opts.PeerTTL {
-			t.Fatalf("step %d: peer %s still counts after a silence of %v", step, name, now.Sub(p.lastSeen))
+			t.Fatalf("step %d: peer %s still counts after a silence of %v, want at most 1s", step, name, now.Sub(p.lastSeen))
 		}
 	}
 	for id := range f.ownBatchTargets {
 		if f.targets[id] == nil {
-			t.Fatalf("step %d: removed target %s is listed with items of this gateway", step, id)
+			t.Fatalf("step %d: removed target %s is in ownBatchTargets", step, id)
 		}
 	}
 	for id, ts := range f.targets {
 		if got, want := f.ownBatchTargets[id] == ts, ts.ownLoad.Batch > 0; got != want {
-			t.Fatalf("step %d: target %s has %d items of this gateway, listed: %v", step, id, ts.ownLoad.Batch, got)
+			t.Fatalf("step %d: target %s has %d batch items of this gateway, but whether it is in ownBatchTargets is %v", step, id, ts.ownLoad.Batch, got)
 		}
 		var sum Load
 		holders := 0
 		for name, p := range f.peers {
 			sum.addLoad(p.Loads[id])
 			if items := p.Loads[id].Batch; items != ts.peerBatch[name] {
-				t.Fatalf("step %d: peer %s has %d items at %s, %d are recorded", step, name, items, id, ts.peerBatch[name])
+				t.Fatalf("step %d: peer %s has reported %d batch items at %s, but %d are recorded", step, name, items, id, ts.peerBatch[name])
 			} else if items > 0 {
 				holders++
 			}
 		}
 		if sum != ts.peerLoad || holders != len(ts.peerBatch) {
-			t.Fatalf("step %d: target %s has %+v of %d peers, %+v of %d are recorded", step, id, sum, holders, ts.peerLoad, len(ts.peerBatch))
+			t.Fatalf("step %d: for target %s the reports add up to %+v with batch items of %d peers, but %+v of %d peers are recorded", step, id, sum, holders, ts.peerLoad, len(ts.peerBatch))
 		}
 	}
 }
 
-// Guards against peers that expire although other gateways still receive their reports, and against counting
-// loads of idle peers.
+// Guards against peers that expire although other gateways receive their reports and forward signs of life,
+// and against loads that still count after their peer has become idle.
 func TestForwardedSignsOfLife(t *testing.T) {
 	const ttl = time.Second
 	f := New(Options{Self: "self", PeerTTL: ttl})
@@ -92,27 +93,27 @@
 	f.NoteSign(now, "peer", Sign{Heard: now.Add(-100 * time.Millisecond)})
 	now = now.Add(800 * time.Millisecond)
 	if hasFreeSlot() || f.Peers(now) != 1 {
-		t.Error("a peer with a recent forwarded sign of life has expired")
+		t.Error("a peer has expired within its time to live after a forwarded sign of life")
 	}
 	now = now.Add(200 * time.Millisecond)
 	if !hasFreeSlot() || f.Peers(now) != 0 {
-		t.Error("a peer counts for longer than its TTL after the last sign of life")
+		t.Error("a peer still counts after its time to live since the last sign of life")
 	}
 	f.ApplyReport(now, "peer", Report{Loads: map[string]Load{"t": {Online: 1}}})
 	f.NoteSign(now, "peer", Sign{Heard: now, IsIdle: true})
 	if !hasFreeSlot() || f.Peers(now) != 1 {
-		t.Error("the loads of an idle peer count")
+		t.Error("after a sign of life of an idle peer its loads still count, or the peer has been dropped")
 	}
 	f.NoteSign(now, "new", Sign{Heard: now.Add(-ttl / 2), Contact: now})
 	f.NoteSign(now, "old", Sign{Heard: now.Add(-2 * ttl)})
 	if n := f.Peers(now); n != 2 {
-		t.Errorf("%d peers, want the known one and the new one", n)
+		t.Errorf("%d live peers, want 2: the known one and the new one", n)
 	}
 	now = now.Add(ttl/2 + time.Millisecond)
 	if n := f.Peers(now); n != 1 {
-		t.Errorf("%d peers after the expiry of the new one", n)
+		t.Errorf("%d live peers after the expiry of the new one, want 1", n)
 	}
 	if !f.StoreDownForAll(now) {
-		t.Error("an expired peer counts as one that reaches the store")
+		t.Error("the store contact of an expired peer still counts")
 	}
 }
--- a/core/fleet/pick.go
+++ b/core/fleet/pick.go
@@ -10,16 +10,18 @@
 	"arbutusramp/core/serving"
 )
 
-// candidate is a target considered for a request.
+// candidate is a target that is considered for a request. isSameDomain is false for all candidates while the
+// preference for the own failure domain is disabled.
 type candidate struct {
 	target       *targetState
-	load         Load
+	load         Load // of all gateways
 	isSameDomain bool
 }
 
 func (c candidate) freeSlots() int { return c.target.freeSlots() }
 
-// candidates returns the targets of a service that may get a request, in no particular order.
+// candidates returns the targets of a service that may get a request, in no particular order: those that are
+// not draining, not in tried and usable by isUsable.
 func (f *Fleet) candidates(now time.Time, service string, tried []string, isUsable func(*targetState) bool) []candidate {
 	f.expirePeers(now)
 	var list []candidate
@@ -32,12 +34,12 @@
 	return list
 }
 
-// Choice is the chosen target with the reason for the choice.
+// Choice is the target chosen for a request, with the loads and the reason behind the choice.
 type Choice struct {
 	Target serving.Target
-	Load   Load // of all gateways, before the request
-	Peers  int  // live peers whose loads are included
-	Why    string
+	Load   Load   // of all gateways, before the request
+	Peers  int    // live peers whose loads are included
+	Why    string // reason for the choice, for log lines
 }
 
 // String formats the choice for log lines.
@@ -49,8 +51,8 @@
 	return Choice{Target: c.target.Target, Load: c.load, Peers: len(f.peers), Why: reason}
 }
 
-// PickOnline chooses the target for an online request; ok is false when there is no candidate. Healthy
-// targets are preferred, then those on probation, and as a last resort any listed target.
+// PickOnline chooses the target for an online request, none of those in tried; ok is false if there is none.
+// Healthy targets are preferred, then those on probation, and as a last resort suspect ones.
 func (f *Fleet) PickOnline(now time.Time, service string, tried []string) (c Choice, ok bool) {
 	stages := []struct {
 		isUsable func(*targetState) bool
@@ -84,16 +86,17 @@
 	})
 }
 
-// Tiers of a candidate, best first.
+// Tiers rank candidates by whether the request would get a slot immediately, best first.
 const (
-	tierFree = iota
-	tierPreempt
-	tierQueue
+	tierFree    = iota // a slot is free
+	tierPreempt        // batch items hold slots and can be preempted
+	tierQueue          // online requests hold all slots
 )
 
-// tierNames give the reason for a choice in log lines.
+// tierNames are the reasons for a choice in log lines, by tier.
 var tierNames = [...]string{tierFree: "free slot", tierPreempt: "batch makes way", tierQueue: "shortest queue"}
 
+// tier returns the tier of a candidate.
 func (c candidate) tier() int {
 	switch {
 	case c.freeSlots() > 0:
@@ -109,8 +112,9 @@
 // in another domain and still be preferred.
 const onlineDomainBonus = 2
 
-// cost is the load in requests. Where a slot is free, batch items count in full, because they use memory and
-// step time; at a full target they are preempted anyway.
+// cost orders candidates of the same tier, lowest first. It is the load in requests, plus onlineDomainBonus
+// for a target in another failure domain. Where a slot is free, batch items count in full, because they use
+// memory and step time; at a full target they do not count, because they are preempted anyway.
 func (c candidate) cost() int {
 	cost := c.load.Online
 	if c.tier() == tierFree {
--- a/core/fleet/timing_test.go
+++ b/core/fleet/timing_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Guards against false suspicion: targets of a service with slow events count as silent between two events.
+// Guards against false suspicion of targets whose events are slow: with one limit for all services they count
+// as silent between two events.
 func TestSilenceLimitFollowsEventTimes(t *testing.T) {
 	const ms = time.Millisecond
 	cases := []struct {
-		name       string
-		first, gap time.Duration
-		want       time.Duration
+		name                 string
+		firstEvent, eventGap time.Duration
+		want                 time.Duration
 	}{
-		{"unknown", 0, 0, defaultSilenceLimit},
+		{"unknown event times", 0, 0, defaultSilenceLimit},
 		{"fast engines", 25 * ms, 20 * ms, minSilenceLimit},
 		{"events every 50 ms", 60 * ms, 50 * ms, 600 * ms},
 		{"long prompts", 400 * ms, 20 * ms, 1600 * ms},
@@ -21,22 +22,22 @@
 	}
 	for _, c := range cases {
 		f := testFleet("self", 1)
-		if c.gap > 0 {
+		if c.eventGap > 0 {
 			for range 100 {
-				f.FirstEvent("llm", c.first)
-				f.NextEvent("llm", c.gap)
+				f.FirstEvent("llm", c.firstEvent)
+				f.NextEvent("llm", c.eventGap)
 			}
 		}
 		if got := f.IdleLimit("llm"); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: silence limit %v, want %v", c.name, got, c.want)
 		}
 		if f.IsIdleSince(start.Add(c.want), start, "t0") || !f.IsIdleSince(start.Add(c.want+ms), start, "t0") {
-			t.Errorf("%s: not silent exactly after %v", c.name, c.want)
+			t.Errorf("%s: the target must count as silent after more than %v and not before", c.name, c.want)
 		}
 	}
 }
 
-// A single outlier does not change what counts as silence for all.
+// A single long pause between two events raises the silence limit of the service only slightly.
 func TestOnePauseBarelyRaisesTheSilenceLimit(t *testing.T) {
 	f := testFleet("self", 1)
 	for range 100 {
@@ -45,6 +46,6 @@
 	}
 	f.NextEvent("llm", 200*time.Millisecond)
 	if got := f.IdleLimit("llm"); got > 400*time.Millisecond {
-		t.Errorf("after one pause of 200 ms: %v", got)
+		t.Errorf("after one pause of 200 ms the silence limit is %v, want at most 400ms", got)
 	}
 }
--- a/core/fleet/wait.go
+++ b/core/fleet/wait.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Held records how long an online request of a service has held its slot. It is called only for requests that
-// did not wait for a slot: for others the time at which they began to run is unknown.
+// Held records that an online request of a service has held its slot for d. It is called only for requests
+// that did not wait for a slot: for others the time at which they began to run is unknown.
 func (f *Fleet) Held(service string, d time.Duration) {
 	mean := f.holdTimes[service]
 	updateMean(&mean, d)
 	f.holdTimes[service] = mean
 }
 
-// Prospect is the expected service of an online request that arrives now.
+// Prospect is an estimate of how an online request that arrives now will be served.
 type Prospect struct {
-	// Wait is how long it would wait for a slot, by the known loads: 0 where a slot is free or batch items
-	// can be preempted, or while it is unknown how long requests hold a slot.
+	// Wait is how long the request would wait for a slot at the target that PickOnline chooses, by the loads
+	// of all gateways: 0 if a slot is free there or batch items can be preempted, if no target can be chosen,
+	// or while Hold is unknown.
 	Wait time.Duration
-	// Hold is how long requests hold a slot; 0 if unknown.
+	// Hold is the mean time for which online requests of the service hold a slot; 0 if unknown.
 	Hold time.Duration
-	// Pace is how many requests per second this gateway may start, as its share of the capacity of all
-	// targets; 0 if unknown.
+	// Pace is how many requests per second this gateway may start: the capacity of all targets, divided by
+	// the number of live gateways; 0 if unknown.
 	Pace float64
 }
 
-// Prospect returns the expected service of an online request that arrives now.
+// Prospect returns the estimate for an online request of a service that arrives now.
 func (f *Fleet) Prospect(now time.Time, service string) Prospect {
 	p := Prospect{Hold: f.holdTimes[service]}
 	if p.Hold <= 0 {
@@ -33,13 +34,13 @@
 	if !ok || !c.Waits() || c.Target.Slots == 0 {
 		return p
 	}
-	waitingAhead := c.Load.Online - c.Target.Slots // requests that are queued there
-	p.Wait = p.Hold * time.Duration(waitingAhead+1) / time.Duration(c.Target.Slots)
+	queuedAhead := c.Load.Online - c.Target.Slots // requests that are queued at the target
+	p.Wait = p.Hold * time.Duration(queuedAhead+1) / time.Duration(c.Target.Slots)
 	return p
 }
 
-// totalSlots is how many requests the service's targets process at once, without targets that get no
-// requests.
+// totalSlots is how many requests the service's targets process at once, without draining and suspect
+// targets.
 func (f *Fleet) totalSlots(now time.Time, service string) int {
 	sum := 0
 	for _, ts := range f.targets {
@@ -50,5 +51,6 @@
 	return sum
 }
 
-// Waits reports whether the request for which the target was chosen has to wait there.
+// Waits reports whether the request has to wait for a slot at the chosen target, because online requests hold
+// all of them.
 func (c Choice) Waits() bool { return c.Load.Online >= c.Target.Slots }
--- a/core/fleet/wait_test.go
+++ b/core/fleet/wait_test.go
@@ -7,40 +7,40 @@
 	"arbutusramp/core/structs"
 )
 
-func TestProspectWait(t *testing.T) {
-	const hold = 800 * time.Millisecond
+func TestEstimateWait(t *testing.T) {
+	const holdTime = 800 * time.Millisecond
 	cases := []struct {
 		name   string
 		online int
 		batch  int
 		want   time.Duration
 	}{
-		{"all free", 0, 0, 0},
+		{"all slots are free", 0, 0, 0},
 		{"a slot is free", 3, 0, 0},
 		{"batch items can be preempted", 3, 1, 0},
-		{"first in the queue", 4, 0, hold / 4},
-		{"three requests ahead in the queue", 7, 0, hold},
+		{"first in the queue", 4, 0, holdTime / 4},
+		{"three requests ahead in the queue", 7, 0, holdTime},
 	}
 	for _, c := range cases {
 		f := testFleet("self", 1)
-		f.Held("llm", hold)
+		f.Held("llm", holdTime)
 		begin(f, "t0", structs.ClassOnline, c.online)
 		begin(f, "t0", structs.ClassBatch, c.batch)
 		if got := f.Prospect(start, "llm").Wait; got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: expected wait %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestProspectWaitIsZeroWhenUnknown(t *testing.T) {
+func TestEstimatedWaitIsZeroWithoutData(t *testing.T) {
 	f := testFleet("self", 0)
 	if got := f.Prospect(start, "llm").Wait; got != 0 {
-		t.Errorf("without a target: %v", got)
+		t.Errorf("without a target the expected wait is %v, want 0", got)
 	}
 	f.Put(target(0))
 	begin(f, "t0", structs.ClassOnline, testSlots)
 	if got := f.Prospect(start, "llm").Wait; got != 0 {
-		t.Errorf("with an unknown hold time: %v", got)
+		t.Errorf("with an unknown hold time the expected wait is %v, want 0", got)
 	}
 }
 
@@ -51,26 +51,26 @@
 		f.Held("s", 2*time.Second)
 	}
 	if got := f.holdTimes["s"]; got < 1900*time.Millisecond || got > 2*time.Second {
-		t.Errorf("%v", got)
+		t.Errorf("after 100 requests of 2s the mean hold time is %v, want 1.9s to 2s", got)
 	}
 }
 
-// Each gateway starts its share of the capacity of all targets, so that the starts of all gateways together
-// fit.
-func TestPaceIsThisGatewaysShare(t *testing.T) {
-	const hold = 500 * time.Millisecond
+// Each gateway may start its share of what all targets can serve, so that all gateways together start no more
+// than that.
+func TestStartRateIsShareOfTotalCapacity(t *testing.T) {
+	const holdTime = 500 * time.Millisecond
 	f := testFleet("self", 3)
-	f.Held("llm", hold)
-	pace := func() float64 { return f.Prospect(start, "llm").Pace }
-	if got, want := pace(), 3*testSlots/hold.Seconds(); got != want {
-		t.Errorf("without peers: %v per second, want %v", got, want)
+	f.Held("llm", holdTime)
+	startRate := func() float64 { return f.Prospect(start, "llm").Pace }
+	if got, want := startRate(), 3*testSlots/holdTime.Seconds(); got != want {
+		t.Errorf("without peers the start rate is %v per second, want %v", got, want)
 	}
 	f.ApplyReport(start, "peer", Report{})
 	f.Failed(start, "t0")
-	d := target(1)
-	d.Draining = true
-	f.Put(d)
-	if got, want := pace(), testSlots/hold.Seconds()/2; got != want {
-		t.Errorf("with a peer and one remaining target: %v per second, want %v", got, want)
+	draining := target(1)
+	draining.Draining = true
+	f.Put(draining)
+	if got, want := startRate(), testSlots/holdTime.Seconds()/2; got != want {
+		t.Errorf("with a peer and one remaining target the start rate is %v per second, want %v", got, want)
 	}
 }
