--- a/core/serving/config.go
+++ b/core/serving/config.go
@@ -1,5 +1,6 @@
-// Package serving holds the types, without I/O, that describe what a gateway serves: the operator's
-// configuration with its routes, and the targets that serve them.
+// Package serving describes what a gateway serves: the operator's configuration with its routes, the requests
+// of callers and the targets that serve them. Gateways use it to find the route, the service and the rank of
+// a request. It does no I/O.
 package serving
 
 import (
@@ -12,17 +13,17 @@
 	"arbutusramp/core/workspace"
 )
 
-// Kind is the kind of a route's requests; it decides what may be repeated.
+// Kind is the kind of a route's requests. It says how they are answered and whether they may run again.
 type Kind uint8
 
 const (
-	// KindUnsafe requests run at most once.
+	// KindUnsafe requests are not idempotent: they run at most once.
 	KindUnsafe Kind = iota
-	// KindSafe requests are idempotent.
+	// KindSafe requests are idempotent: they may run again.
 	KindSafe
 	// KindStream requests are answered by a stream of events.
 	KindStream
-	// KindBatch accepts whole jobs, whose items run later.
+	// KindBatch requests submit jobs of many items, which run later.
 	KindBatch
 )
 
@@ -31,57 +32,59 @@
 	return [...]string{"unsafe", "safe", "stream", "batch"}[k]
 }
 
-// Share is the weight of a service among those that a route is split over.
+// Share is the weight of one of the services between which the requests of a route are divided. A service
+// gets its weight divided by the sum of all weights.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// MaxRank is the largest rank: less urgent requests get this one.
+// MaxRank is the largest rank, that of the least urgent requests.
 const MaxRank = 100
 
-// Route describes how requests under one path of one host are served.
+// Route describes how requests with one host name and path prefix are served.
 type Route struct {
 	Name    string
-	Host    string
-	Prefix  string // begins and ends with a slash
+	Host    string // host name in the request, without regard to port and case
+	Prefix  string // of the path; begins and ends with a slash
 	Kind    Kind
-	Timeout time.Duration // longest time that a request is kept waiting
-	Goal    time.Duration // latency goal: the time within which an answer is worth most
+	Timeout time.Duration // longest time that a request may take from its arrival
+	Goal    time.Duration // latency goal: an answer that takes longer is late; 0 for none
 	// Rank is the urgency of the route's requests among those of the same kind; 0 is the most urgent.
 	Rank int
-	// Ranks are the ranks of online requests to the route's services, most urgent first. NewRouter fills them
-	// in.
+	// Ranks are the different ranks that online requests to the route's services can have, most urgent first.
+	// NewRouter sets them.
 	Ranks []int
-	// Stay is how long a caller waits for the first event of a stream, or for the next one, regardless of its
-	// deadline; 0 is as long as its deadline.
+	// Stay is how long a caller waits for the first event of a stream, or for the next one, before it gives
+	// up; 0 if it waits until its deadline.
 	Stay     time.Duration
-	Attempts int // most targets that one request may be sent to
-	// Resumable streams may continue at another target after their last event.
+	Attempts int // largest number of targets that one request may be sent to
+	// Resumable reports that a stream may continue at another target after the last event that was received.
 	Resumable bool
-	Shares    []Share
-	Due       time.Duration // from the acceptance of a job until its items should be done
-	Retain    time.Duration // from the acceptance of a job until an item may be given up
-	MaxQueued int64         // tokens of unfinished items that each workspace may have on the route; 0 for no limit
+	Shares    []Share       // services between which requests are divided
+	Due       time.Duration // from the acceptance of a job until its items should be done; for KindBatch
+	Retain    time.Duration // from the acceptance of a job until its unfinished items may be given up; for KindBatch
+	MaxQueued int64         // limit of the tokens of unfinished items of each workspace on the route; 0 for none
 	IsPublic  bool          // requests need no API key
 }
 
-// Idempotent reports whether a request may run again after it may have run.
+// Idempotent reports whether a request of the route may be sent again although it may already have run.
 func (r *Route) Idempotent() bool {
 	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
 }
 
-// maxHigherRanks bounds the number of ranks that a request yields to, because an operator may use a rank for
-// each workspace.
+// maxHigherRanks bounds the result of HigherRanks, because an operator may give each workspace a rank of its
+// own.
 const maxHigherRanks = 3
 
-// HigherRanks is how many ranks of requests to the route's services are more urgent than rank.
+// HigherRanks is how many of Ranks are more urgent than rank, at most maxHigherRanks.
 func (r *Route) HigherRanks(rank int) int {
 	n, _ := slices.BinarySearch(r.Ranks, rank)
 	return min(n, maxHigherRanks)
 }
 
-// Service picks one of the route's services by weight. The same key always picks the same service.
+// Service picks one of the route's services by weight, and the same one for the same key. It is empty if the
+// route has none.
 func (r *Route) Service(key string) string {
 	if len(r.Shares) == 0 {
 		return ""
@@ -103,15 +106,16 @@
 	return r.Shares[0].Service
 }
 
+// hashKey returns a hash of the key by which a service is picked.
 func hashKey(key string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(key)) // a hash never fails to write
 	return h.Sum64()
 }
 
-// Limits bound what a caller may send.
+// Limits bound the size of callers' requests.
 type Limits struct {
-	MaxBodyBytes int64 // 0 for no limit
+	MaxBodyBytes int64 // largest body of a request; 0 for no limit
 }
 
 // Config is one version of the operator's configuration.
@@ -119,19 +123,19 @@
 	Version uint64
 	Routes  []Route
 	Limits  Limits
-	// KeysRequired reports that requests need the API key of a workspace, except those of public routes.
+	// KeysRequired is set if requests need the API key of a workspace, except those on public routes.
 	KeysRequired bool
 	Workspaces   []workspace.Workspace
-	// Problems are the parts of the configuration that cannot be used. The rest is in force.
+	// Problems say which parts of the configuration cannot be used and why. The other parts apply.
 	Problems []error
 }
 
 // Router finds routes by host and path.
 type Router struct {
-	byHost map[string][]*Route // longest prefix first
+	byHost map[string][]*Route // by host name without port, in lower case; longest prefix first
 }
 
-// NewRouter indexes the routes of c.
+// NewRouter returns a router for the routes of c and sets their Ranks.
 func NewRouter(c *Config) *Router {
 	r := &Router{byHost: make(map[string][]*Route)}
 	for i := range c.Routes {
@@ -146,7 +150,8 @@
 	return r
 }
 
-// fillRanks sets Route.Ranks. Batch routes are left out: their requests yield by other means.
+// fillRanks sets the Ranks of the routes of c. The ranks of batch routes are left out, because batch items
+// yield to online requests by preemption.
 func fillRanks(c *Config) {
 	ranksOfWorkspaces, isEachRanked := workspaceRanks(c)
 	byService := make(map[string][]int)
@@ -174,8 +179,9 @@
 	}
 }
 
-// workspaceRanks returns the ranks of workspaces, and whether each workspace has one, so that no request uses
-// that of its route.
+// workspaceRanks returns the different ranks of workspaces in ascending order. isEachRanked is true if keys
+// are required and each workspace has a rank, so that no request uses the rank of its route, except on public
+// routes.
 func workspaceRanks(c *Config) (ranks []int, isEachRanked bool) {
 	isEachRanked = c.KeysRequired
 	for _, w := range c.Workspaces {
@@ -189,10 +195,10 @@
 	return slices.Compact(ranks), isEachRanked
 }
 
-// Match returns the route with the longest prefix of target's path, or nil. target is the path with its
-// query, as in the request line.
-func (r *Router) Match(host, target string) *Route {
-	path, _, _ := strings.Cut(target, "?")
+// Match returns the route of a request: the one with the longest prefix of its path among those of its host;
+// nil if there is none. uri is the path with its query, as in the request line.
+func (r *Router) Match(host, uri string) *Route {
+	path, _, _ := strings.Cut(uri, "?")
 	for _, route := range r.byHost[hostName(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route
@@ -201,7 +207,7 @@
 	return nil
 }
 
-// hostName drops the port of a Host header and converts it to lower case.
+// hostName returns the host name in a Host header: without the port and in lower case.
 func hostName(host string) string {
 	u := url.URL{Host: host}
 	return strings.ToLower(u.Hostname())
--- a/core/serving/ranks_test.go
+++ b/core/serving/ranks_test.go
@@ -7,6 +7,7 @@
 	"arbutusramp/core/workspace"
 )
 
+// rankedWorkspaces returns a workspace for each rank.
 func rankedWorkspaces(ranks ...int) []workspace.Workspace {
 	var list []workspace.Workspace
 	for i := range ranks {
@@ -15,11 +16,12 @@
 	return list
 }
 
+// routeTo returns a route with a single service.
 func routeTo(name, service string, kind Kind, rank int) Route {
 	return Route{Name: name, Kind: kind, Rank: rank, Shares: []Share{{Service: service, Weight: 1}}}
 }
 
-// The rank of a workspace takes precedence over that of a route; routes of batch jobs are left out.
+// The rank of a workspace takes precedence over that of a route, and the ranks of batch routes are left out.
 func TestRouteRanks(t *testing.T) {
 	routes := func() []Route {
 		return []Route{routeTo("x", "s", KindStream, 0), routeTo("y", "s", KindSafe, 2), routeTo("z", "t", KindSafe, 5), routeTo("b", "s", KindBatch, 9)}
@@ -29,7 +31,7 @@
 		workspaces []workspace.Workspace
 		want       []int // ranks at service s
 	}{
-		{"only routes with ranks", nil, []int{0, 2}},
+		{"no workspaces", nil, []int{0, 2}},
 		{"workspaces with ranks", rankedWorkspaces(1, 0, 1), []int{0, 1}},
 		{"a workspace without a rank", append(rankedWorkspaces(4), workspace.Workspace{Name: "q"}), []int{0, 2, 4}},
 	}
@@ -46,11 +48,11 @@
 	r := Route{Ranks: []int{0, 1, 4, 5, 6, 7}}
 	for rank, want := range map[int]int{0: 0, 1: 1, 2: 2, 4: 2, 7: maxHigherRanks, 100: maxHigherRanks} {
 		if got := r.HigherRanks(rank); got != want {
-			t.Errorf("%d ranks are more urgent than rank %d, want %d", got, rank, want)
+			t.Errorf("%d ranks count as more urgent than rank %d, want %d", got, rank, want)
 		}
 	}
-	one, route := 1, Route{Rank: 3}
-	if (Caller{Rank: &one}).RankOn(&route) != 1 || (Caller{}).RankOn(&route) != 3 {
-		t.Error("the rank of a workspace does not take precedence over that of the route")
+	workspaceRank, route := 1, Route{Rank: 3}
+	if (Caller{Rank: &workspaceRank}).RankOn(&route) != 1 || (Caller{}).RankOn(&route) != 3 {
+		t.Error("the caller's rank is not the workspace's rank 1, or without one not the route's rank 3")
 	}
 }
--- a/core/serving/request.go
+++ b/core/serving/request.go
@@ -7,17 +7,19 @@
 	"arbutusramp/core/workspace"
 )
 
-// Caller is the sender of a request, as identified by its API key.
+// Caller is the sender of a request, identified by its API key.
 type Caller struct {
-	// Workspace is the workspace's name; empty if the caller sent no key.
+	// Workspace is the name of the workspace that the caller's key belongs to; empty without a valid key, or
+	// if no keys are required.
 	Workspace string
-	// Rank is the workspace's rank, which takes precedence over the route's; nil if it has none.
+	// Rank is the workspace's rank, which takes precedence over the route's; nil if the workspace has none.
 	Rank *int
-	// IsUnidentified reports that keys are required and that the caller sent none.
+	// IsUnidentified is set if keys are required and the caller sent none.
 	IsUnidentified bool
 }
 
-// RankOn is the rank of the caller's requests on a route; 0 is the most urgent.
+// RankOn is the rank of the caller's requests on r: that of its workspace or else that of r; 0 is the most
+// urgent.
 func (c Caller) RankOn(r *Route) int {
 	if c.Rank != nil {
 		return *c.Rank
@@ -33,16 +35,16 @@
 	URI    string // path with query, as in the request line
 	Header http.Header
 	Body   []byte
-	// Arrived is when its header had been read.
+	// Arrived is when the header of the request had been read.
 	Arrived time.Time
 	// Deadline is when the caller stops waiting; zero if it did not set one.
 	Deadline time.Time
-	// Credential is what the caller sent to identify its workspace. Header contains neither the credential
-	// nor the name of a workspace.
+	// Credential is what the caller sent to identify its workspace. Header contains neither the
+	// credential nor the name of a workspace.
 	Credential workspace.Credential
 	// Caller is the sender of the request.
 	Caller Caller
-	// ResumeAfter is the id of the last event that the caller has received; empty to start from the
-	// beginning.
+	// ResumeAfter is the id of the last event of a stream that the caller has received; empty to start the
+	// stream from the beginning.
 	ResumeAfter string
 }
