--- a/core/fleet/timing.go
+++ b/core/fleet/timing.go
@@ -37,8 +37,8 @@
 	*mean += time.Duration(meanWeight * float64(d-*mean))
 }
 
-// FirstEvent records how long a stream of a service took from its request to its first event. It is called only
-// for requests that did not wait for a slot.
+// FirstEvent records how long a stream of a service took from its request to its first event. It is called
+// only for requests that did not wait for a slot.
 func (f *Fleet) FirstEvent(service string, elapsed time.Duration) {
 	timing := f.timings[service]
 	updateMean(&timing.firstEvent, elapsed)
