--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -86,7 +86,7 @@
 
 // Demand describes the batch items that a gateway has ready to start.
 type Demand struct {
-	Items int   // batch items that wait for a slot
+	Items int // batch items that wait for a slot
 	// Due is the start key of the first of them; the gateway with the lowest one starts first. It is when the
 	// item is due, in milliseconds since 1970, plus a fixed time for each rank and for items that would be
 	// late.
