--- a/core/quota/compare_test.go
+++ b/core/quota/compare_test.go
@@ -8,25 +8,27 @@
 )
 
 var (
-	simSeeds   = flag.Int("quota.seeds", 25, "simulated fleets per kind of fault")
-	simCompare = flag.Bool("quota.compare", false, "compare with alternative strategies")
+	simSeeds   = flag.Int("quota.seeds", 25, "number of simulated fleets for each kind of fault")
+	simCompare = flag.Bool("quota.compare", false, "compare this package with alternative strategies")
 )
 
 const (
-	simDuration = 20 * time.Second
-	// Upper bounds of the share of entitled requests that are rejected, without faults and with faults.
+	simDuration = 20 * time.Second // in virtual time
+	// Upper bounds of the share of requests within the limit that are rejected, without and with faults.
 	maxRejectedWithoutFaults = 0.002
 	maxRejectedWithFaults    = 0.02
-	simWorkers               = 8
+	simWorkers               = 8 // simulations that run at once
 )
 
-// runTotals sums the results of many runs.
+// runTotals sums the results of many simulations. overBound is the number of simulations that admitted more
+// than the bound, excess the largest of all, and worstSeed the seed of that simulation.
 type runTotals struct {
 	entitled, rejected, messages, overBound int
 	excess                                  float64
 	worstSeed                               uint64
 }
 
+// add adds the result of the simulation with a seed.
 func (t *runTotals) add(seed uint64, r simResult) {
 	t.entitled += r.entitled
 	t.rejected += r.rejected
@@ -39,21 +41,22 @@
 	}
 }
 
+// rejectedShare is the share of the requests within the limit that were rejected, 0 to 1.
 func (t *runTotals) rejectedShare() float64 { return float64(t.rejected) / float64(t.entitled) }
 
-// runSeeds runs the seeds from 1 on, several at a time.
+// runSeeds runs a simulation for each seed from 1 to seeds, several at a time, and sums the results.
 func runSeeds(seeds int, kind faultKind, build func(*simulation) strategy) runTotals {
 	results := make([]simResult, seeds)
 	var wg sync.WaitGroup
-	next := sync.Mutex{}
+	mu := sync.Mutex{}
 	started := 0
 	for range simWorkers {
 		wg.Go(func() {
 			for {
-				next.Lock()
+				mu.Lock()
 				i := started
 				started++
-				next.Unlock()
+				mu.Unlock()
 				if i >= seeds {
 					return
 				}
@@ -62,29 +65,29 @@
 		})
 	}
 	wg.Wait()
-	var t runTotals
+	var totals runTotals
 	for i, r := range results {
-		t.add(uint64(i+1), r)
+		totals.add(uint64(i+1), r)
 	}
-	return t
+	return totals
 }
 
-// Guards against over-admission: under uneven load and bursts, a fleet whose gateways are isolated, killed
-// and restarted stays within the bound, and callers within their quota are served.
+// Guards against over-admission and against requests that are rejected though within the quota. In
+// simulations the load is uneven and has bursts, and gateways are isolated, killed and restarted.
 func TestQuotasHoldAcrossGateways(t *testing.T) {
 	var withFaults runTotals
 	for _, kind := range allFaultKinds() {
-		sum := runSeeds(*simSeeds, kind, newReportedCounts)
-		t.Logf("%-14s rejected %.4f of the requests within the limit, most in a window %+.0f beyond the bound (seed %d), %d runs over it", kind, sum.rejectedShare(), sum.excess, sum.worstSeed, sum.overBound)
-		if sum.overBound > 0 {
-			t.Errorf("%s: %d runs over the bound, the worst by %.0f with seed %d", kind, sum.overBound, sum.excess, sum.worstSeed)
+		totals := runSeeds(*simSeeds, kind, newReportedCounts)
+		t.Logf("%-14s rejected %.4f of the requests within the limit; worst window %+.0f requests beyond the bound (seed %d); %d simulations over the bound", kind, totals.rejectedShare(), totals.excess, totals.worstSeed, totals.overBound)
+		if totals.overBound > 0 {
+			t.Errorf("%s: %d simulations admitted more than the bound, want none; the worst by %.0f requests with seed %d", kind, totals.overBound, totals.excess, totals.worstSeed)
 		}
-		if kind == noFault && sum.rejectedShare() > maxRejectedWithoutFaults {
-			t.Errorf("%s: %.4f of the requests within the limit are rejected, want at most %.3f", kind, sum.rejectedShare(), maxRejectedWithoutFaults)
+		if kind == noFault && totals.rejectedShare() > maxRejectedWithoutFaults {
+			t.Errorf("%s: %.4f of the requests within the limit are rejected, want at most %.3f", kind, totals.rejectedShare(), maxRejectedWithoutFaults)
 		}
 		if kind != noFault {
-			withFaults.entitled += sum.entitled
-			withFaults.rejected += sum.rejected
+			withFaults.entitled += totals.entitled
+			withFaults.rejected += totals.rejected
 		}
 	}
 	if withFaults.rejectedShare() > maxRejectedWithFaults {
@@ -92,10 +95,11 @@
 	}
 }
 
-// Compares the product with alternative strategies: go test -run Compare -quota.compare -v.
+// Logs a comparison of the strategy of this package with alternatives. The command is:
+// go test -run Compare -quota.compare -v.
 func TestCompareStrategies(t *testing.T) {
 	if !*simCompare {
-		t.Skip("only with -quota.compare")
+		t.Skip("runs only with -quota.compare")
 	}
 	strategies := []struct {
 		name  string
@@ -103,9 +107,9 @@
 	}{{"reported counts", newReportedCounts}, {"without a smaller share", newFullShare}, {"fixed share", newFixedShare}, {"lending owner", newLendingOwner}}
 	for _, variant := range strategies {
 		for _, kind := range allFaultKinds() {
-			sum := runSeeds(*simSeeds, kind, variant.build)
-			t.Logf("%-24s %-14s rejected %.4f, worst window %+5.0f, %d of %d runs over the bound, %d messages per run",
-				variant.name, kind, sum.rejectedShare(), sum.excess, sum.overBound, *simSeeds, sum.messages / *simSeeds)
+			totals := runSeeds(*simSeeds, kind, variant.build)
+			t.Logf("%-24s %-14s rejected %.4f of the requests within the limit; worst window %+5.0f requests beyond the bound; %d of %d simulations over the bound; %d messages per simulation",
+				variant.name, kind, totals.rejectedShare(), totals.excess, totals.overBound, *simSeeds, totals.messages / *simSeeds)
 		}
 	}
 }
--- a/core/quota/peers.go
+++ b/core/quota/peers.go
@@ -5,40 +5,41 @@
 // Peer is the address of another gateway.
 type Peer string
 
-// Count is how many requests of a workspace a gateway has admitted since its start.
+// Count is how many requests of a workspace a gateway has admitted since its start, less refunds.
 type Count struct {
 	Workspace string
 	Total     int64
 }
 
-// Report is the message that a gateway sends its peers: the counts that have changed recently.
+// Report is the message in which a gateway sends its peers the counts that have changed recently.
 type Report struct {
-	Start string // identifies the start of the process; counts begin at 0 with each
-	// IsFirst reports that this is among the first reports after that start, so that its peers have seen its
+	Start string // identifies the start of the sending process; its counts begin at 0
+	// IsFirst is set in the first reports after that start: a peer that receives one of them has received the
 	// counts from 0 on.
 	IsFirst bool
 	Counts  []Count
-	// Delay is how much longer than usual the next report of the peer may take, because other gateways
-	// forward it.
+	// Delay is how much longer than usual the next report of the sender may take, because other gateways
+	// forward it; 0 if it is sent directly.
 	Delay time.Duration
 }
 
-// peer is the known state of another gateway.
+// peer is what this gateway has recorded about another gateway.
 type peer struct {
 	startID            string
-	lastSeen           time.Time
-	isTrackedFromStart bool // its reports have been received since its start
-	totals             map[string]int64
-	hasReported        bool // it has sent a report; otherwise only its address is known
+	lastSeen           time.Time        // when its last report was received
+	isTrackedFromStart bool             // its reports have been received since its start
+	totals             map[string]int64 // last reported counts, by workspace
+	hasReported        bool             // it has sent a report; otherwise only its address is known
 	forwardDelay       time.Duration
 }
 
-// isSilent reports whether a report of the peer is overdue.
+// isSilent reports whether the next report of the peer is overdue.
 func (p *peer) isSilent(now time.Time) bool {
 	return now.Sub(p.lastSeen) > peerSilenceLimit+p.forwardDelay
 }
 
-// AddPeer adds a peer by its address, before its first report.
+// AddPeer adds a peer by its address. Until its first report it counts as one that may admit requests but
+// sends no reports. It has no effect on a peer that is already known.
 func (l *Ledger) AddPeer(now time.Time, name Peer) {
 	if _, ok := l.peers[name]; !ok {
 		l.peers[name] = &peer{lastSeen: now, totals: make(map[string]int64)}
@@ -46,14 +47,14 @@
 	}
 }
 
-// Forget drops a peer that is known to have stopped. The other gateways take over its share of the buckets.
+// Forget drops a peer that has stopped. Its share of the buckets passes to the other gateways.
 func (l *Ledger) Forget(now time.Time, name Peer) {
 	l.clearReserves()
 	delete(l.peers, name)
 	l.nextExpiry = now
 }
 
-// debit takes n admissions of a peer out of a bucket.
+// debit takes n tokens, for admissions of a peer, from the bucket of the workspace called name.
 func (l *Ledger) debit(now time.Time, name string, n int64) {
 	if b, ok := l.buckets[name]; ok {
 		b.refill(now, l.share)
@@ -61,7 +62,7 @@
 	}
 }
 
-// Apply applies a report of a peer.
+// Apply applies a report of a peer: it debits what the peer has admitted since its last report.
 func (l *Ledger) Apply(now time.Time, name Peer, r Report) {
 	p, ok := l.peers[name]
 	if !ok || !p.hasReported || p.startID != r.Start {
@@ -81,12 +82,13 @@
 	}
 }
 
-// joinWindow is how long after its own start a gateway takes a peer that has been running for longer as proof
-// that others were admitting requests before.
+// joinWindow is how long after its own start a gateway concludes from the report of a longer running peer
+// that others were admitting requests before that start.
 const joinWindow = time.Second
 
-// capInitialTokens limits each bucket to one token, once, because others were admitting requests before this
-// process started. What is left in the buckets is unknown here, and the others may use all of it.
+// capInitialTokens limits each bucket to one token; only the first call has an effect. Other gateways were
+// admitting requests before this process started. How many tokens they have left is unknown, and they may use
+// all of them.
 func (l *Ledger) capInitialTokens() {
 	if l.hasRunningPeers {
 		return
@@ -97,8 +99,8 @@
 	}
 }
 
-// maxLossSilence is how long a peer can be silent because its reports were lost. A peer that is silent for
-// longer was cut off, and has used the share reserved for it.
+// maxLossSilence is the longest silence of a peer that counts as a loss of its reports. A peer that is silent
+// for longer was cut off, and may have used the share reserved for it.
 const maxLossSilence = time.Second
 
 // resumePeer handles the first report of a peer after a silence.
@@ -111,8 +113,9 @@
 	l.nextExpiry = now
 }
 
-// newAdmissions is how many requests a peer has admitted since its last report. It is one if the time of the
-// other admissions is unknown.
+// newAdmissions is how many requests of a workspace a peer has admitted since its last report. It is one if
+// no earlier count is known and the peer's reports were not received from its start: when its other
+// admissions took place is unknown then.
 func (p *peer) newAdmissions(c Count) int64 {
 	last, ok := p.totals[c.Workspace]
 	p.totals[c.Workspace] = c.Total
@@ -122,11 +125,12 @@
 	return c.Total - last
 }
 
-// maxCountsPerReport bounds the counts in a report, which must fit into a datagram. The rest follows in the
-// next reports.
+// maxCountsPerReport bounds the number of counts in a report, which must fit into a datagram. Further counts
+// follow in the next reports.
 const maxCountsPerReport = 200
 
-// Counts returns the counts for this gateway's next report.
+// Counts returns the counts for this gateway's next report, at most maxCountsPerReport: those that have been
+// in fewer than reportRepeats reports since their last change.
 func (l *Ledger) Counts() []Count {
 	var list []Count
 	for name, b := range l.buckets {
@@ -141,9 +145,10 @@
 	return list
 }
 
-// updateShare computes the share of the buckets that this gateway may use: the number of gateways that
-// receive each other's reports, divided by the number of all that may admit requests. A smaller share takes
-// effect immediately.
+// updateShare computes the share of the buckets that this gateway may use: the number of gateways whose
+// reports it receives, itself included, divided by the number of all gateways that may admit requests. Peers
+// whose last report is older than Options.ClaimTTL are dropped. A smaller share takes effect immediately.
+// Nothing is computed before nextExpiry, when the next peer may become silent.
 func (l *Ledger) updateShare(now time.Time) {
 	if now.Before(l.nextExpiry) {
 		return
@@ -159,8 +164,8 @@
 		total++
 		if p.hasReported && !p.isSilent(now) {
 			reachable++
-			if at := p.lastSeen.Add(peerSilenceLimit + p.forwardDelay); at.Before(next) {
-				next = at
+			if silentFrom := p.lastSeen.Add(peerSilenceLimit + p.forwardDelay); silentFrom.Before(next) {
+				next = silentFrom
 			}
 		}
 	}
@@ -168,13 +173,14 @@
 	l.setShare(now, float64(reachable)/float64(total))
 }
 
-// clearReserves drops the reserves, because silent peers may have used them.
+// clearReserves drops the tokens that are set aside for silent peers, because these may have used them.
 func (l *Ledger) clearReserves() {
 	for _, b := range l.buckets {
 		b.reserve = 0
 	}
 }
 
+// setShare changes the share of the buckets that this gateway may use.
 func (l *Ledger) setShare(now time.Time, share float64) {
 	if share == l.share {
 		return
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -1,14 +1,14 @@
-// Package quota limits the requests of workspaces across all gateways. It does no I/O; callers lock it and
-// pass the time in.
+// Package quota limits the rate of each workspace's online requests across all gateways. Each gateway uses it
+// to admit or reject requests. It does no I/O; callers lock it and pass the time in.
 //
-// Each gateway keeps a whole token bucket for every workspace. It takes out of it what it admits itself and
-// what its peers report to have admitted. No request waits for another process. The report of an admission
-// arrives some milliseconds late; what peers admit in the meantime is a debt of the bucket, which is repaid
-// before anything else is admitted.
+// Each gateway keeps a whole token bucket for every workspace with a quota. It takes a token from it for each
+// request that it admits itself and for each one that its peers report to have admitted. No request waits for
+// another process. The report of an admission arrives some milliseconds late; what peers admit in the
+// meantime becomes a debt of the bucket, which is repaid before any further request is admitted.
 //
 // A gateway that receives no reports from some of its peers has no count of what they admit. It then uses
 // only the share of each bucket that belongs to itself and to the peers whose reports it receives, so that
-// all sides of a partition together stay within one bucket.
+// all sides of a network partition together stay within one bucket.
 package quota
 
 import (
@@ -18,31 +18,33 @@
 )
 
 const (
-	// headroomShare is the share of the tolerated excess that buckets hold in addition to the burst. Buckets
-	// of gateways and the clock of a caller never agree exactly, and that must not cause a request within the
-	// limit to be rejected. The rest of the excess is left for admissions that peers have not received yet.
+	// headroomShare is the share of the tolerated excess that buckets hold in addition to the burst. The
+	// buckets of different gateways and the clock of a caller never agree exactly, and that must not cause a
+	// request within the limit to be rejected. The rest of the excess is left for admissions that have not
+	// been reported to all gateways yet.
 	headroomShare = 0.08
-	// initialShare is how full a bucket is while earlier admissions are unknown: after the start of this
-	// process, or when a workspace gets its first limit.
+	// initialShare is how full a bucket is at first, 0 to 1, because earlier admissions are unknown: after
+	// the start of this process, or when a workspace gets its first quota.
 	initialShare = 0.6
 	// peerSilenceLimit is how long after its last report a peer counts as silent. Peers report at least five
-	// times a second. A peer whose report was lost counts as silent for a moment, and its share of the
-	// buckets is unavailable for as long.
+	// times a second. A peer whose report was lost counts as silent until the next one arrives, and its share
+	// of the buckets is unavailable for as long.
 	peerSilenceLimit = 230 * time.Millisecond
-	// reportRepeats is how many consecutive reports carry a changed count, because datagrams can be lost.
+	// reportRepeats is how many consecutive reports contain a changed count, because datagrams can be lost.
 	reportRepeats = 3
 )
 
-// Options are the limits of the decisions.
+// Options are the settings of a Ledger.
 type Options struct {
-	// Window is the time over which an excess is tolerated.
+	// Window is the length of the period for which Excess and Slack bound the requests beyond the quota.
 	Window time.Duration
-	// Excess is the tolerated excess as a share of what the quota allows in a window, 0 to 1.
+	// Excess is how many requests beyond the quota are tolerated in a window, as a share of what the quota
+	// allows in it, 0 to 1.
 	Excess float64
-	// Slack is the tolerated excess in requests, in addition to Excess.
+	// Slack is how many more requests beyond the quota are tolerated in a window, in addition to Excess.
 	Slack float64
-	// ClaimTTL is how long a silent peer keeps its share of the buckets. After that it has stopped, or may
-	// not admit requests any more.
+	// ClaimTTL is how long after its last report a peer keeps its share of the buckets. After that it has
+	// stopped, or may not admit requests any more.
 	ClaimTTL time.Duration
 }
 
@@ -52,41 +54,43 @@
 	return headroomShare * (o.Excess*allowed + o.Slack)
 }
 
-// Ledger holds the buckets of one gateway. It is not safe for concurrent use.
+// Ledger limits the requests of workspaces at one gateway. It holds a bucket for each workspace with a quota,
+// and is not safe for concurrent use.
 type Ledger struct {
 	opts    Options
-	buckets map[string]*bucket
+	buckets map[string]*bucket // by name of the workspace
 	peers   map[Peer]*peer
-	// share is the share of each bucket that this gateway may use; see updateShare.
+	// share is the share of each bucket that this gateway may use, 0 to 1; see updateShare.
 	share      float64
-	nextExpiry time.Time // before it no peer can become silent
+	nextExpiry time.Time // no peer becomes silent or expires before it
 	startedAt  time.Time
-	// hasRunningPeers reports that peers were admitting requests before this process started.
+	// hasRunningPeers is set if peers were admitting requests before this process started.
 	hasRunningPeers bool
-	// hasQuotas reports that SetQuotas has been called before.
+	// hasQuotas is set if SetQuotas has been called.
 	hasQuotas bool
 }
 
-// New returns a ledger without workspaces for a gateway that starts now.
+// New returns a Ledger without workspaces for a gateway that starts now.
 func New(now time.Time, o Options) *Ledger {
 	return &Ledger{opts: o, startedAt: now, buckets: make(map[string]*bucket), peers: make(map[Peer]*peer), share: 1}
 }
 
-// bucket is the state of one workspace.
+// bucket is the token bucket of one workspace at this gateway.
 type bucket struct {
 	quota       workspace.Quota
-	headroom    float64
-	tokens      float64 // negative while more has been admitted than was allowed
-	reserve     float64 // set aside for silent peers
+	headroom    float64 // tokens that the bucket can hold beyond the burst
+	tokens      float64 // negative while peers have admitted more than it held
+	reserve     float64 // tokens set aside for silent peers
 	refilledAt  time.Time
 	admitted    int64 // by this gateway since its start, less refunds
-	reportsLeft int   // number of reports that must still carry admitted
+	reportsLeft int   // number of reports that must still contain admitted
 }
 
-// SetQuotas applies the quotas of a configuration. Debts remain; earlier admissions count under a new quota.
-func (l *Ledger) SetQuotas(now time.Time, list []workspace.Workspace) {
-	limited := make(map[string]bool, len(list))
-	for _, w := range list {
+// SetQuotas applies the quotas of a configuration. A bucket with a changed quota keeps its tokens, or its
+// debt, up to its new capacity. Buckets of workspaces without a quota are dropped.
+func (l *Ledger) SetQuotas(now time.Time, workspaces []workspace.Workspace) {
+	limited := make(map[string]bool, len(workspaces))
+	for _, w := range workspaces {
 		if _, ok := limited[w.Name]; ok {
 			continue // listed twice: the first entry is used
 		}
@@ -103,6 +107,7 @@
 	}
 }
 
+// setQuota applies the quota of the workspace called name.
 func (l *Ledger) setQuota(now time.Time, name string, q workspace.Quota) {
 	b, ok := l.buckets[name]
 	if !ok {
@@ -122,12 +127,13 @@
 	b.reserve = min(b.reserve, (1-l.share)*(q.Burst+b.headroom))
 }
 
-// capacity is how many tokens the bucket holds at a share. It is at least one: otherwise a workspace with a
-// small quota would get nothing at a gateway that receives no reports.
+// capacity is how many tokens the bucket can hold for a gateway that may use share of it. It is at least one:
+// otherwise a workspace with a small quota would get nothing at a gateway that receives no reports.
 func (b *bucket) capacity(share float64) float64 {
 	return max(1, share*(b.quota.Burst+b.headroom))
 }
 
+// refill adds the tokens earned since the last refill: share of them to tokens, the rest to reserve.
 func (b *bucket) refill(now time.Time, share float64) {
 	elapsed := now.Sub(b.refilledAt).Seconds()
 	if elapsed <= 0 {
@@ -139,39 +145,40 @@
 	b.refilledAt = now
 }
 
-// rebalance moves tokens between this gateway's part and the reserve when its share changes.
-func (b *bucket) rebalance(from, to float64) {
+// rebalance moves tokens between tokens and reserve when this gateway's share changes.
+func (b *bucket) rebalance(oldShare, newShare float64) {
 	switch {
-	case to < from && b.tokens > 0:
-		reserved := b.tokens * (1 - to/from)
+	case newShare < oldShare && b.tokens > 0:
+		reserved := b.tokens * (1 - newShare/oldShare)
 		b.tokens -= reserved
 		b.reserve += reserved
-	case to > from:
-		returned := b.reserve * (to - from) / (1 - from)
+	case newShare > oldShare:
+		returned := b.reserve * (newShare - oldShare) / (1 - oldShare)
 		b.reserve -= returned
 		b.tokens += returned
 	}
-	b.tokens = min(b.tokens, b.capacity(to))
+	b.tokens = min(b.tokens, b.capacity(newShare))
 }
 
-// Decision is the outcome for one request.
+// Decision is the decision on one request, with the state of the bucket that it is based on.
 type Decision struct {
 	IsAdmitted bool
-	// RetryAfter is when a request that is not admitted would be allowed.
+	// RetryAfter is how long until a request that is not admitted now can be admitted; 0 if it is admitted.
 	RetryAfter time.Duration
-	// Tokens is what the bucket held before the request; 0 without a limit.
+	// Tokens is how many tokens the bucket held before the request; 0 without a quota.
 	Tokens float64
-	// Share is the share of the bucket that this gateway may use.
+	// Share is the share of the bucket that this gateway may use, 0 to 1.
 	Share float64
-	// IsNearLimit reports that few tokens were left: the workspace's request rate is above its quota in the
-	// long run.
+	// IsNearLimit is set if few tokens were left: the workspace's request rate is above its quota in the long
+	// run.
 	IsNearLimit bool
 }
 
-// nearLimitShare is how full the bucket of a workspace near its limit is at most.
+// nearLimitShare is how full a bucket is at most for its workspace to count as near its limit, 0 to 1.
 const nearLimitShare = 0.25
 
-// Admit takes a token for one request of a workspace. Workspaces without a limit are always admitted.
+// Admit decides on one request of the workspace called name, and takes a token if it is admitted. Requests of
+// workspaces without a quota are always admitted.
 func (l *Ledger) Admit(now time.Time, name string) Decision {
 	b, ok := l.buckets[name]
 	if !ok {
@@ -188,7 +195,7 @@
 	return d
 }
 
-// Refund returns the token of a request that no target has run.
+// Refund returns the token of an admitted request that no target has run.
 func (l *Ledger) Refund(now time.Time, name string) {
 	if b, ok := l.buckets[name]; ok {
 		b.refill(now, l.share)
@@ -204,14 +211,14 @@
 	b.reportsLeft = reportRepeats
 }
 
-// Usage is the state of one workspace's bucket, for gauges and commands.
+// Usage is the state of one workspace's bucket, as shown in metrics and by commands.
 type Usage struct {
 	Quota    workspace.Quota
-	Tokens   float64
-	Admitted int64 // by this gateway since its start
+	Tokens   float64 // negative for a debt
+	Admitted int64   // requests admitted by this gateway since its start, less refunds
 }
 
-// Usage returns the state of a bucket; ok is false without a limit.
+// Usage returns the state of the bucket of the workspace called name; ok is false without a quota.
 func (l *Ledger) Usage(now time.Time, name string) (u Usage, ok bool) {
 	b, ok := l.buckets[name]
 	if !ok {
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -9,24 +9,26 @@
 
 var start = time.Unix(1000, 0)
 
-const perSecond, burst = 10, 20
+const perSecond, burst = 10, 20 // requests per second and requests
 
+// options returns the settings of the tests.
 func options() Options {
 	return Options{Window: 5 * time.Second, Excess: 0.1, Slack: 20, ClaimTTL: 6 * time.Second}
 }
 
-func limited(name string) []workspace.Workspace {
+// workspacesWithQuota returns a workspace with a quota of perSecond and burst.
+func workspacesWithQuota(name string) []workspace.Workspace {
 	return []workspace.Workspace{{Name: name, Quota: workspace.Quota{PerSecond: perSecond, Burst: burst}}}
 }
 
-// newLedger returns a ledger, and a time at which its bucket of workspace w is full.
-func newLedger() (*Ledger, time.Time) {
+// newLimiter returns a limiter with a quota for workspace w, and a time at which its bucket is full.
+func newLimiter() (*Ledger, time.Time) {
 	l := New(start, options())
-	l.SetQuotas(start, limited("w"))
+	l.SetQuotas(start, workspacesWithQuota("w"))
 	return l, start.Add(time.Minute)
 }
 
-// admitAll admits requests until one is rejected.
+// admitAll admits requests of workspace w until one is rejected, and returns the decision on that one.
 func admitAll(l *Ledger, now time.Time) (admitted int, d Decision) {
 	for d = l.Admit(now, "w"); d.IsAdmitted; d = l.Admit(now, "w") {
 		admitted++
@@ -35,208 +37,209 @@
 }
 
 func TestBucketHoldsItsBurstAndRefills(t *testing.T) {
-	l, now := newLedger()
+	l, now := newLimiter()
 	n, d := admitAll(l, now)
 	if headroom := headroomShare * (0.1*(perSecond*5+burst) + 20); n != burst+int(headroom) {
-		t.Errorf("%d requests admitted in a burst", n)
+		t.Errorf("%d requests admitted in a burst, want the burst of 20 and the headroom", n)
 	}
 	if d.RetryAfter <= 0 || d.RetryAfter > time.Second/perSecond {
-		t.Errorf("retry after %v", d.RetryAfter)
+		t.Errorf("a rejected request gets a retry time of %v, want more than 0 and at most 100ms", d.RetryAfter)
 	}
 	if d := l.Admit(now.Add(d.RetryAfter+time.Millisecond), "w"); !d.IsAdmitted {
-		t.Errorf("rejected after the retry time: %+v", d)
+		t.Errorf("decision %+v after the retry time, want the request to be admitted", d)
 	}
 }
 
-func TestAllAdmittedWithoutQuota(t *testing.T) {
-	l, now := newLedger()
+func TestRequestsWithoutQuotaAreAdmitted(t *testing.T) {
+	l, now := newLimiter()
 	for range 1000 {
 		if !l.Admit(now, "other").IsAdmitted {
-			t.Fatal("rejected without a quota")
+			t.Fatal("a request of a workspace without a quota was rejected")
 		}
 	}
 	if len(l.Counts()) != 0 {
-		t.Error("admissions without a quota are reported")
+		t.Error("admissions of a workspace without a quota are reported")
 	}
 }
 
 func TestRefundedRequestIsNotCounted(t *testing.T) {
-	l, now := newLedger()
-	n, _ := admitAll(l, now)
+	l, now := newLimiter()
+	admitted, _ := admitAll(l, now)
 	l.Refund(now, "w")
-	if again, _ := admitAll(l, now); again != 1 {
-		t.Errorf("%d admitted after a refund of one of %d", again, n)
+	if admittedAfterRefund, _ := admitAll(l, now); admittedAfterRefund != 1 {
+		t.Errorf("%d requests admitted after the refund of one of %d, want 1", admittedAfterRefund, admitted)
 	}
-	if c := l.Counts(); len(c) != 1 || c[0].Total != int64(n) {
-		t.Errorf("reports %v", c)
+	if c := l.Counts(); len(c) != 1 || c[0].Total != int64(admitted) {
+		t.Errorf("counts to report are %v, want one for w that leaves out the refunded request", c)
 	}
 }
 
-// Guards against lost datagrams: several consecutive reports carry a changed count, and the total makes up
-// for lost ones.
+// Guards against admissions that are never reported because datagrams are lost: several consecutive reports
+// contain a changed count, and a count is a total, so that the next report makes up for a lost one.
 func TestCountsAreReportedRepeatedly(t *testing.T) {
-	a, now := newLedger()
-	b, _ := newLedger()
-	b.Apply(now, "a", Report{Start: "1", IsFirst: true})
-	a.Admit(now, "w")
-	a.Counts() // lost
-	a.Admit(now, "w")
+	sender, now := newLimiter()
+	receiver, _ := newLimiter()
+	receiver.Apply(now, "a", Report{Start: "1", IsFirst: true})
+	sender.Admit(now, "w")
+	sender.Counts() // this report is lost
+	sender.Admit(now, "w")
 	for range reportRepeats {
-		b.Apply(now, "a", Report{Start: "1", Counts: a.Counts()})
+		receiver.Apply(now, "a", Report{Start: "1", Counts: sender.Counts()})
 	}
-	if len(a.Counts()) != 0 {
-		t.Error("a count is reported too often")
+	if len(sender.Counts()) != 0 {
+		t.Error("a count is in more than reportRepeats reports after its last change")
 	}
-	remaining, _ := admitAll(b, now)
-	if full, _ := admitAll(fullLedger(now), now); remaining != full-2 {
-		t.Errorf("%d of %d left after two admissions of a peer", remaining, full)
+	remaining, _ := admitAll(receiver, now)
+	if full, _ := admitAll(fullLimiter(now), now); remaining != full-2 {
+		t.Errorf("%d of %d requests are left after two admissions of a peer, want 2 fewer", remaining, full)
 	}
 }
 
-// fullLedger returns a ledger with a full bucket at that time.
-func fullLedger(now time.Time) *Ledger {
+// fullLimiter returns a limiter whose bucket of workspace w is full at now.
+func fullLimiter(now time.Time) *Ledger {
 	l := New(start, options())
-	l.SetQuotas(start, limited("w"))
+	l.SetQuotas(start, workspacesWithQuota("w"))
 	l.Share(now)
 	return l
 }
 
-// Guards against over-admission in a partition: a gateway leaves silent peers their share, immediately and
-// until it receives their reports again.
+// Guards against over-admission in a network partition: a gateway does not use the share of silent peers,
+// from the moment they become silent until it receives their reports again.
 func TestSilentPeersKeepTheirShare(t *testing.T) {
-	l, now := newLedger()
+	l, now := newLimiter()
 	for _, p := range []Peer{"a", "b", "c"} {
 		l.Apply(now, p, Report{Start: "1", IsFirst: true})
 	}
 	if s := l.Share(now); s != 1 {
-		t.Fatalf("share %v while no peer is silent", s)
+		t.Fatalf("share %v while no peer is silent, want 1", s)
 	}
 	now = now.Add(peerSilenceLimit + time.Millisecond)
 	l.Apply(now, "a", Report{Start: "1"})
 	now = now.Add(time.Millisecond)
 	if s := l.Share(now); s != 0.5 {
-		t.Errorf("share %v while two of four are silent", s)
+		t.Errorf("share %v while two of four gateways are silent, want 0.5", s)
 	}
 	n, _ := admitAll(l, now)
 	if n > (burst+4)/2 {
-		t.Errorf("%d admitted with half of the bucket", n)
+		t.Errorf("%d requests admitted with a share of a half, want at most 12", n)
 	}
 	l.Forget(now, "b")
 	if s := l.Share(now); s != 2.0/3 {
-		t.Errorf("share %v after one of them is known to have stopped", s)
+		t.Errorf("share %v after one of the silent gateways has stopped, want 2/3", s)
 	}
 	l.Apply(now, "c", Report{Start: "1"})
 	if s := l.Share(now); s != 1 {
-		t.Errorf("share %v after a report of the other one", s)
+		t.Errorf("share %v after a report of the other silent gateway, want 1", s)
 	}
 }
 
 func TestSilentPeerLosesItsShareAfterTTL(t *testing.T) {
-	l, now := newLedger()
+	l, now := newLimiter()
 	l.Apply(now, "a", Report{Start: "1"})
 	if s := l.Share(now.Add(5 * time.Second)); s != 0.5 {
-		t.Errorf("share %v while the peer may still admit", s)
+		t.Errorf("share %v while the silent peer may still admit requests, want 0.5", s)
 	}
 	if s := l.Share(now.Add(7 * time.Second)); s != 1 {
-		t.Errorf("share %v when the peer can't admit any more", s)
+		t.Errorf("share %v after the time to live of the silent peer, want 1", s)
 	}
 }
 
-// Guards against a double debit: what a peer admitted while it was silent came out of its own share, and is
-// not debited when it reports again.
+// Guards against a double debit. What a peer admits while it is silent uses up its own share, which is set
+// aside; it must not be debited again when the peer reports it.
 func TestReturningPeerIsNotDebitedTwice(t *testing.T) {
-	l, now := newLedger()
+	l, now := newLimiter()
 	l.Apply(now, "a", Report{Start: "1", IsFirst: true, Counts: []Count{{"w", 1}}})
 	now = now.Add(2 * time.Second)
 	l.Share(now)
-	before, _ := l.Usage(now, "w")
+	usageBefore, _ := l.Usage(now, "w")
 	l.Apply(now, "a", Report{Start: "1", Counts: []Count{{"w", 500}}})
-	if after, _ := l.Usage(now, "w"); before.Tokens-after.Tokens > 1 {
-		t.Errorf("debited %v", before.Tokens-after.Tokens)
+	if usageAfter, _ := l.Usage(now, "w"); usageBefore.Tokens-usageAfter.Tokens > 1 {
+		t.Errorf("%v tokens debited for a peer that reports again after two seconds, want at most 1", usageBefore.Tokens-usageAfter.Tokens)
 	}
 }
 
-// Guards against a cost of lost reports: the share of a peer that is silent for a moment is restored with its
-// next report.
+// Guards against requests rejected because a report was lost: the share of a peer that is silent for a moment
+// is available again after its next report.
 func TestShortSilenceRestoresTheFullShare(t *testing.T) {
-	l, now := newLedger()
+	l, now := newLimiter()
 	l.Apply(now, "a", Report{Start: "1", IsFirst: true})
 	l.Apply(now, "b", Report{Start: "1", IsFirst: true})
-	before, _ := l.Usage(now, "w")
+	usageBefore, _ := l.Usage(now, "w")
 	now = now.Add(peerSilenceLimit + 10*time.Millisecond)
 	l.Apply(now, "a", Report{Start: "1"})
 	if s := l.Share(now.Add(time.Millisecond)); s == 1 {
-		t.Fatal("the silent peer does not lower the share")
+		t.Fatal("the share is 1 while a peer is silent, want less")
 	}
 	l.Apply(now.Add(2*time.Millisecond), "b", Report{Start: "1", Counts: []Count{{"w", 3}}})
 	l.Share(now.Add(3 * time.Millisecond))
-	if after, _ := l.Usage(now.Add(3*time.Millisecond), "w"); before.Tokens-after.Tokens > 3.1 {
-		t.Errorf("%v tokens before, %v after the three of the peer", before.Tokens, after.Tokens)
+	if usageAfter, _ := l.Usage(now.Add(3*time.Millisecond), "w"); usageBefore.Tokens-usageAfter.Tokens > 3.1 {
+		t.Errorf("%v tokens before and %v after three admissions of a peer, want at most 3.1 fewer", usageBefore.Tokens, usageAfter.Tokens)
 	}
 }
 
-// Guards against a restarted process that spends again what its peers have spent: it starts with at most
-// one token per bucket if its peers were running before.
+// Guards against over-admission by a restarted process, which has no count of what its peers have admitted:
+// it starts with at most one token per bucket if its peers were running before.
 func TestJoiningGatewayStartsWithoutBurst(t *testing.T) {
 	joining := New(start, options())
 	joining.Apply(start, "a", Report{Start: "1"})
-	joining.SetQuotas(start, limited("w"))
+	joining.SetQuotas(start, workspacesWithQuota("w"))
 	if n, _ := admitAll(joining, start); n > 1 {
-		t.Errorf("%d admitted while joining running peers", n)
+		t.Errorf("%d requests admitted while joining running peers, want at most 1", n)
 	}
 	simultaneous := New(start, options())
 	simultaneous.Apply(start, "a", Report{Start: "1", IsFirst: true})
-	simultaneous.SetQuotas(start, limited("w"))
+	simultaneous.SetQuotas(start, workspacesWithQuota("w"))
 	if n, _ := admitAll(simultaneous, start); n < burst/2 {
-		t.Errorf("%d admitted after all gateways started together", n)
+		t.Errorf("%d requests admitted after all gateways started together, want at least 10", n)
 	}
 }
 
 func TestLowerQuotaAppliesImmediatelyAndKeepsDebt(t *testing.T) {
-	l, now := newLedger()
+	l, now := newLimiter()
 	l.SetQuotas(now, []workspace.Workspace{{Name: "w", Quota: workspace.Quota{PerSecond: 1, Burst: 2}}})
 	if n, _ := admitAll(l, now); n > 6 {
-		t.Errorf("%d admitted under a quota of 1/s with a burst of 2", n)
+		t.Errorf("%d requests admitted under a quota of 1/s with a burst of 2, want at most 6", n)
 	}
 	l.Apply(now, "a", Report{Start: "1", IsFirst: true, Counts: []Count{{"w", 10}}})
-	l.SetQuotas(now, limited("w"))
+	l.SetQuotas(now, workspacesWithQuota("w"))
 	if u, _ := l.Usage(now, "w"); u.Tokens > -9 {
-		t.Errorf("%v tokens after a debt of 10", u.Tokens)
+		t.Errorf("%v tokens after a debt of 10 and a higher quota, want at most -9", u.Tokens)
 	}
 	l.SetQuotas(now, nil)
 	if !l.Admit(now, "w").IsAdmitted {
-		t.Error("rejected after the quota was removed")
+		t.Error("a request was rejected after the quota was removed")
 	}
 }
 
-// A report must fit into a datagram regardless of the number of workspaces.
+// A report must fit into a datagram however many workspaces there are, and each count must be reported in the
+// end.
 func TestReportsAreBounded(t *testing.T) {
 	l := New(start, options())
-	var list []workspace.Workspace
+	var workspaces []workspace.Workspace
 	for i := range 5 * maxCountsPerReport {
-		list = append(list, workspace.Workspace{Name: time.Duration(i).String(), Quota: workspace.Quota{PerSecond: 1, Burst: 5}})
+		workspaces = append(workspaces, workspace.Workspace{Name: time.Duration(i).String(), Quota: workspace.Quota{PerSecond: 1, Burst: 5}})
 	}
-	l.SetQuotas(start, list)
-	for _, w := range list {
+	l.SetQuotas(start, workspaces)
+	for _, w := range workspaces {
 		l.Admit(start, w.Name)
 	}
 	reported := make(map[string]bool)
 	for range 10 * reportRepeats {
 		counts := l.Counts()
 		if len(counts) > maxCountsPerReport {
-			t.Fatalf("%d counts in a report", len(counts))
+			t.Fatalf("%d counts in a report, want at most 200", len(counts))
 		}
 		for _, c := range counts {
 			reported[c.Workspace] = true
 		}
 	}
-	if len(reported) != len(list) || len(l.Counts()) != 0 {
-		t.Errorf("%d of %d reported", len(reported), len(list))
+	if len(reported) != len(workspaces) || len(l.Counts()) != 0 {
+		t.Errorf("%d of %d workspaces were reported, want all, and none again after the repeats", len(reported), len(workspaces))
 	}
 }
 
-// Guards against gateways that give up a share of the quotas whenever a peer's report is forwarded by other
-// gateways, which takes longer.
+// Guards against rejected requests while no peer is silent. That happens when a peer's reports take longer
+// because other gateways forward them, and the peer counts as silent between two of them.
 func TestForwardedReportsMayArriveLater(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := New(now, Options{ClaimTTL: time.Minute})
@@ -245,11 +248,11 @@
 	now = now.Add(peerSilenceLimit + 100*time.Millisecond)
 	l.Apply(now, "direct", Report{Start: "a"})
 	if share := l.Share(now); share != 1 {
-		t.Errorf("share %v while no peer is silent", share)
+		t.Errorf("share %v while no peer is silent, want 1", share)
 	}
 	now = now.Add(peerSilenceLimit)
 	l.Apply(now, "direct", Report{Start: "a"})
 	if share := l.Share(now); share > 0.7 {
-		t.Errorf("share %v while one of two is silent", share)
+		t.Errorf("share %v while one of two peers is silent, want at most 0.7", share)
 	}
 }
--- a/core/quota/sim_test.go
+++ b/core/quota/sim_test.go
@@ -9,16 +9,17 @@
 	"arbutusramp/core/workspace"
 )
 
-// simulation is a fleet of gateways in virtual time that admit requests of some workspaces by a strategy.
+// simulation simulates gateways in virtual time that admit requests of some workspaces by a strategy, under
+// faults.
 type simulation struct {
 	rng           *rand.Rand
 	now           time.Time
 	events        eventQueue
-	eventCount    int // scheduled so far, to keep the order of simultaneous events
+	eventCount    int // events scheduled so far; numbers them to keep the order of simultaneous ones
 	options       Options
 	gateways      []*simGateway
 	loads         []simLoad
-	partitionSide []int // side of a partition that each gateway is on; all 0 without one
+	partitionSide []int // by gateway, the side of the network partition that it is on; all 0 without one
 	strategy      strategy
 	result        simResult
 }
@@ -28,16 +29,16 @@
 	name        string
 	quota       workspace.Quota
 	offered     float64   // requests per second
-	weights     []float64 // share of each gateway
+	weights     []float64 // by gateway, its share of the requests
 	burstFrom   time.Time // offered is multiplied by burstFactor from then until burstTo
 	burstTo     time.Time
 	burstFactor float64
 	ideal       idealBucket
-	entitled    []time.Time // admitted by the ideal bucket
-	admitted    []time.Time
+	entitled    []time.Time // arrivals that are within the limit: admitted by ideal, at a gateway entitled to serve
+	admitted    []time.Time // arrivals that the strategy admitted
 }
 
-// idealBucket is a bucket that sees every request when it arrives.
+// idealBucket is a token bucket that counts the requests at all gateways without delay.
 type idealBucket struct {
 	tokens     float64
 	refilledAt time.Time
@@ -53,48 +54,53 @@
 	return true
 }
 
+// simGateway is the state of one gateway.
 type simGateway struct {
 	isDown         bool
 	startCount     int
 	storeLostSince time.Time // zero while it reaches the store
 }
 
-// revokeWithin is how long a gateway that has lost the store may accept API keys.
+// revokeWithin is how long a gateway that cannot reach the store may accept API keys.
 const revokeWithin = 5 * time.Second
 
-// isEntitled reports whether callers of the gateway are entitled to service. They are not once the store has
-// been unreachable for most of revokeWithin.
+// isEntitled reports whether requests at the gateway count as within the limit. They do not once the store
+// has been unreachable for most of revokeWithin.
 func (g *simGateway) isEntitled(now time.Time) bool {
-	const share = 0.6
-	return g.storeLostSince.IsZero() || now.Sub(g.storeLostSince).Seconds() < share*revokeWithin.Seconds()
+	const entitledShare = 0.6
+	return g.storeLostSince.IsZero() || now.Sub(g.storeLostSince).Seconds() < entitledShare*revokeWithin.Seconds()
 }
 
-// hasKeys reports whether the gateway may admit any request.
+// hasKeys reports whether the gateway accepts API keys; otherwise it admits no request.
 func (g *simGateway) hasKeys(now time.Time) bool {
 	return g.storeLostSince.IsZero() || now.Sub(g.storeLostSince) < revokeWithin
 }
 
-// simResult is the outcome of a run.
+// simResult is the outcome of one simulation.
 type simResult struct {
 	entitled int     // requests within the limit
-	rejected int     // of these, not admitted
-	excess   float64 // most admitted in any window beyond the bound, in requests; negative below it
-	messages int
+	rejected int     // of these, rejected by the strategy; see shortfall
+	excess   float64 // requests beyond the bound in the window with most of them; negative if all are below it
+	messages int     // sent between gateways
 }
 
-// strategy decides on requests; it sends messages through the simulation.
+// strategy is a way of limiting requests across gateways. It decides on each request and sends messages
+// between gateways through the simulation.
 type strategy interface {
 	admit(s *simulation, gateway int, load *simLoad) bool
 	gatewayStarted(s *simulation, gateway int)
 	gatewayStopped(s *simulation, gateway int)
 }
 
+// event is a function that the simulation calls at a time. order is the number of the event; of simultaneous
+// ones the lower comes first.
 type event struct {
 	at    time.Time
 	order int
 	run   func()
 }
 
+// eventQueue is a heap of events, the next one first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -112,17 +118,19 @@
 	return last
 }
 
-func (s *simulation) after(d time.Duration, run func()) {
+// schedule schedules a call of run after delay.
+func (s *simulation) schedule(delay time.Duration, run func()) {
 	s.eventCount++
-	heap.Push(&s.events, event{s.now.Add(d), s.eventCount, run})
+	heap.Push(&s.events, event{s.now.Add(delay), s.eventCount, run})
 }
 
 const (
-	simNetworkDelay = 2 * time.Millisecond // from one gateway to another
-	simLossRate     = 0.01                 // of datagrams
+	simNetworkDelay = 2 * time.Millisecond // shortest delay of a message between gateways
+	simLossRate     = 0.01                 // share of messages that are lost
 )
 
-// send delivers a message unless it is lost or cut off, or its receiver is down or has restarted in the
+// send sends a message between two gateways: it calls deliver after the network delay, unless the message is
+// lost, the gateways are on different sides of a partition, or the receiver is down or has restarted in the
 // meantime.
 func (s *simulation) send(from, to int, deliver func()) {
 	s.result.messages++
@@ -130,7 +138,7 @@
 		return
 	}
 	startCount := s.gateways[to].startCount
-	s.after(simNetworkDelay+time.Duration(s.rng.IntN(2))*time.Millisecond, func() {
+	s.schedule(simNetworkDelay+time.Duration(s.rng.IntN(2))*time.Millisecond, func() {
 		if g := s.gateways[to]; !g.isDown && g.startCount == startCount && s.partitionSide[from] == s.partitionSide[to] {
 			deliver()
 		}
@@ -143,12 +151,13 @@
 	if !s.now.Before(l.burstFrom) && s.now.Before(l.burstTo) {
 		rate *= l.burstFactor
 	}
-	s.after(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), func() {
+	s.schedule(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), func() {
 		s.arrive(l)
 		s.scheduleArrival(l)
 	})
 }
 
+// arrive handles a request of a workspace that has just arrived.
 func (s *simulation) arrive(l *simLoad) {
 	gateway := s.pickGateway(l.weights)
 	if gateway < 0 || !s.gateways[gateway].hasKeys(s.now) {
@@ -162,11 +171,11 @@
 	}
 }
 
-// pickGateway returns the gateway of the next request; callers of one that is down go to others.
+// pickGateway draws the gateway that gets a request, and another one if that is down; -1 if it finds none.
 func (s *simulation) pickGateway(weights []float64) int {
-	x := s.rng.Float64()
+	r := s.rng.Float64()
 	for i, w := range weights {
-		if x -= w; x < 0 {
+		if r -= w; r < 0 {
 			if !s.gateways[i].isDown {
 				return i
 			}
@@ -181,9 +190,9 @@
 	return -1
 }
 
-// run runs the simulation for a time and computes the largest excess.
-func (s *simulation) run(length time.Duration) simResult {
-	end := s.now.Add(length)
+// run runs the simulation for a virtual time and returns its result.
+func (s *simulation) run(duration time.Duration) simResult {
+	end := s.now.Add(duration)
 	for len(s.events) > 0 && s.events[0].at.Before(end) {
 		e := heap.Pop(&s.events).(event)
 		s.now = e.at
@@ -199,41 +208,42 @@
 	return s.result
 }
 
-// shortfall is how many fewer requests were admitted than by the ideal bucket, second by second. While a
-// workspace is over its limit, it does not matter which of its requests are admitted. More than the ideal
-// bucket admits in one second makes up for less in the next.
+// shortfall is by how many requests the strategy admitted fewer than are within the limit, summed over the
+// seconds. Requests are counted by second because it does not matter which requests of a workspace over its
+// limit are admitted. Requests that are admitted beyond the limit in one second count in favour of the next
+// one.
 func (l *simLoad) shortfall() int {
 	bySecond := make(map[int64]int)
-	for _, at := range l.entitled {
-		bySecond[at.Unix()]++
+	for _, arrival := range l.entitled {
+		bySecond[arrival.Unix()]++
 	}
-	for _, at := range l.admitted {
-		bySecond[at.Unix()]--
+	for _, arrival := range l.admitted {
+		bySecond[arrival.Unix()]--
 	}
 	sum := 0
 	for second, missing := range bySecond {
-		if before := bySecond[second-1]; before < 0 {
-			missing += before
+		if previous := bySecond[second-1]; previous < 0 {
+			missing += previous
 		}
 		sum += max(0, missing)
 	}
 	return sum
 }
 
-// excess is the largest number of requests admitted in any window beyond what is allowed in it.
+// excess is the largest number of requests admitted in any window, less what is allowed in a window.
 func (l *simLoad) excess(o Options) float64 {
 	allowed := (l.quota.PerSecond*o.Window.Seconds()+l.quota.Burst)*(1+o.Excess) + o.Slack
-	largest, from := 0, 0
-	for i, at := range l.admitted {
-		for at.Sub(l.admitted[from]) > o.Window {
-			from++
+	largest, first := 0, 0
+	for i, arrival := range l.admitted {
+		for arrival.Sub(l.admitted[first]) > o.Window {
+			first++
 		}
-		largest = max(largest, i-from+1)
+		largest = max(largest, i-first+1)
 	}
 	return float64(largest) - allowed
 }
 
-// faultKind is the kind of fault injected into the gateways of a run.
+// faultKind is the kind of faults injected into a simulation.
 type faultKind string
 
 const (
@@ -244,12 +254,13 @@
 	killAll     faultKind = "all killed"
 )
 
+// allFaultKinds returns all kinds of faults, starting with noFault.
 func allFaultKinds() []faultKind {
 	return []faultKind{noFault, isolateSome, splitInHalf, killSome, killAll}
 }
 
-// newSimulation draws a fleet and its load from a seed. In most runs one workspace has a burst.
-func newSimulation(seed uint64, t faultKind, build func(*simulation) strategy) *simulation {
+// newSimulation returns a simulation whose gateways, load and fault times are drawn from a seed.
+func newSimulation(seed uint64, kind faultKind, build func(*simulation) strategy) *simulation {
 	s := &simulation{
 		rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0),
 		options: Options{Window: 5 * time.Second, Excess: 0.1, Slack: 20, ClaimTTL: 6 * time.Second},
@@ -272,10 +283,11 @@
 	for i := range s.loads {
 		s.scheduleArrival(&s.loads[i])
 	}
-	s.scheduleFaults(t)
+	s.scheduleFaults(kind)
 	return s
 }
 
+// newLoad draws the load of workspace i. With a probability of two thirds it has a burst.
 func (s *simulation) newLoad(i, gateways int) simLoad {
 	baseRate := []float64{1, 4, 20, 60}[i]
 	l := simLoad{
@@ -291,51 +303,53 @@
 	return l
 }
 
-// weights draws the share of each gateway: even, uneven, or all load on one gateway.
+// weights draws the share of a workspace's requests that each gateway gets: even, uneven, or all at the
+// first.
 func (s *simulation) weights(gateways int) []float64 {
-	w := make([]float64, gateways)
+	weights := make([]float64, gateways)
 	sum := 0.0
-	kind := s.rng.IntN(3)
-	for i := range w {
-		w[i] = 1
-		if kind == 1 {
-			w[i] = s.rng.ExpFloat64()
+	distribution := s.rng.IntN(3)
+	for i := range weights {
+		weights[i] = 1
+		if distribution == 1 {
+			weights[i] = s.rng.ExpFloat64()
 		}
-		if kind == 2 && i > 0 {
-			w[i] = 0
+		if distribution == 2 && i > 0 {
+			weights[i] = 0
 		}
-		sum += w[i]
+		sum += weights[i]
 	}
-	for i := range w {
-		w[i] /= sum
+	for i := range weights {
+		weights[i] /= sum
 	}
-	return w
+	return weights
 }
 
-// scheduleFaults draws the times of two faults.
-func (s *simulation) scheduleFaults(t faultKind) {
+// scheduleFaults schedules two faults at random times and of random lengths.
+func (s *simulation) scheduleFaults(kind faultKind) {
 	for range 2 {
-		at := time.Duration(2000+s.rng.IntN(12_000)) * time.Millisecond
+		delay := time.Duration(2000+s.rng.IntN(12_000)) * time.Millisecond
 		length := time.Duration(500+s.rng.IntN(5000)) * time.Millisecond
-		s.after(at, func() { s.injectFault(t, length) })
+		s.schedule(delay, func() { s.injectFault(kind, length) })
 	}
 }
 
-func (s *simulation) injectFault(t faultKind, length time.Duration) {
+// injectFault injects a fault of a kind into the gateways that it draws. It ends after length.
+func (s *simulation) injectFault(kind faultKind, length time.Duration) {
 	for i := range s.gateways {
 		switch {
-		case t == isolateSome && s.rng.IntN(3) == 0:
+		case kind == isolateSome && s.rng.IntN(3) == 0:
 			s.isolate(i, i+1)
-		case t == splitInHalf && i%2 == 0:
+		case kind == splitInHalf && i%2 == 0:
 			s.isolate(i, 1)
-		case t == killAll, t == killSome && s.rng.IntN(2) == 0:
+		case kind == killAll, kind == killSome && s.rng.IntN(2) == 0:
 			s.kill(i, min(length, 2*time.Second))
 		}
 	}
-	s.after(length, s.healPartition)
+	s.schedule(length, s.healPartition)
 }
 
-// isolate moves a gateway to a partition side that has lost the store.
+// isolate moves gateway i to a side of a partition that cannot reach the store.
 func (s *simulation) isolate(i, side int) {
 	if s.gateways[i].storeLostSince.IsZero() {
 		s.gateways[i].storeLostSince = s.now
@@ -347,9 +361,10 @@
 // store again.
 const storeReconnectDelay = 500 * time.Millisecond
 
+// healPartition ends a partition.
 func (s *simulation) healPartition() {
 	clear(s.partitionSide)
-	s.after(storeReconnectDelay, func() {
+	s.schedule(storeReconnectDelay, func() {
 		for i, g := range s.gateways {
 			if s.partitionSide[i] == 0 {
 				g.storeLostSince = time.Time{}
@@ -358,6 +373,7 @@
 	})
 }
 
+// kill stops gateway i and restarts it after downtime; it has no effect on a gateway that is down.
 func (s *simulation) kill(i int, downtime time.Duration) {
 	g := s.gateways[i]
 	if g.isDown {
@@ -366,7 +382,7 @@
 	g.isDown = true
 	g.startCount++
 	s.strategy.gatewayStopped(s, i)
-	s.after(downtime, func() {
+	s.schedule(downtime, func() {
 		g.isDown = false
 		s.strategy.gatewayStarted(s, i)
 	})
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -7,22 +7,22 @@
 	"arbutusramp/core/workspace"
 )
 
-// reportedCounts is the product's strategy: each gateway keeps whole buckets and receives reports of what the
-// others admit.
-type reportedCounts struct{ ledgers []*Ledger }
+// reportedCounts is the strategy of this package: each gateway keeps whole buckets and receives reports of
+// what the others admit.
+type reportedCounts struct{ limiters []*Ledger }
 
 func newReportedCounts(s *simulation) strategy {
-	return &reportedCounts{ledgers: make([]*Ledger, len(s.gateways))}
+	return &reportedCounts{limiters: make([]*Ledger, len(s.gateways))}
 }
 
-// stopDetectionDelay is how long the gateways on the same side take to detect that a process has stopped:
-// once it is silent they try to connect to it.
+// stopDetectionDelay is how long the gateways on the same side of a partition take to detect that a process
+// has stopped: once it is silent they try to connect to it.
 const stopDetectionDelay = peerSilenceLimit + 2*simNetworkDelay
 
 func (r *reportedCounts) gatewayStopped(s *simulation, gateway int) {
 	startCount := s.gateways[gateway].startCount
-	s.after(stopDetectionDelay, func() {
-		for i, l := range r.ledgers {
+	s.schedule(stopDetectionDelay, func() {
+		for i, l := range r.limiters {
 			if s.gateways[gateway].isDown && s.gateways[gateway].startCount == startCount && s.partitionSide[i] == s.partitionSide[gateway] {
 				l.Forget(s.now, simPeer(gateway))
 			}
@@ -31,52 +31,55 @@
 }
 
 func (r *reportedCounts) admit(s *simulation, gateway int, l *simLoad) bool {
-	return r.ledgers[gateway].Admit(s.now, l.name).IsAdmitted
+	return r.limiters[gateway].Admit(s.now, l.name).IsAdmitted
 }
 
 func (r *reportedCounts) gatewayStarted(s *simulation, gateway int) {
 	l := New(s.now, s.options)
-	var list []workspace.Workspace
+	var workspaces []workspace.Workspace
 	for i := range s.loads {
-		list = append(list, workspace.Workspace{Name: s.loads[i].name, Quota: s.loads[i].quota})
+		workspaces = append(workspaces, workspace.Workspace{Name: s.loads[i].name, Quota: s.loads[i].quota})
 	}
-	l.SetQuotas(s.now, list)
+	l.SetQuotas(s.now, workspaces)
 	for i := range s.gateways {
 		if i != gateway {
 			l.AddPeer(s.now, simPeer(i))
 		}
 	}
-	r.ledgers[gateway] = l
+	r.limiters[gateway] = l
 	r.report(s, gateway, s.gateways[gateway].startCount, 0)
 }
 
+// simPeer returns the address of gateway i.
 func simPeer(i int) Peer { return Peer(fmt.Sprint(i)) }
 
-// Times of reports: a changed count is reported after the interval, and a report is sent at least every
-// refresh interval.
+// Intervals of reports. A changed count is reported within simReportInterval, and a report is sent at least
+// every simRefreshInterval.
 const (
 	simReportInterval  = 15 * time.Millisecond
 	simRefreshInterval = 200 * time.Millisecond
-	simFirstReports    = 20 // number of reports after a start with IsFirst set
+	simFirstReports    = 20 // number of reports with IsFirst after a start
 )
 
+// report sends report number n since the start of gateway from to all others, and schedules the next one.
 func (r *reportedCounts) report(s *simulation, from, startCount, n int) {
 	if s.gateways[from].startCount != startCount {
 		return // the gateway has restarted since
 	}
-	report := Report{Start: fmt.Sprint(startCount), IsFirst: n < simFirstReports, Counts: r.ledgers[from].Counts()}
+	report := Report{Start: fmt.Sprint(startCount), IsFirst: n < simFirstReports, Counts: r.limiters[from].Counts()}
 	for to := range s.gateways {
 		if to != from {
-			s.send(from, to, func() { r.ledgers[to].Apply(s.now, simPeer(from), report) })
+			s.send(from, to, func() { r.limiters[to].Apply(s.now, simPeer(from), report) })
 		}
 	}
 	r.awaitChange(s, from, startCount, n+1, simRefreshInterval)
 }
 
-// awaitChange sends the next report as soon as a count has changed, or when the remaining time has passed.
+// awaitChange sends report number n of gateway from at the next simReportInterval after a count has changed,
+// or when the remaining time has passed.
 func (r *reportedCounts) awaitChange(s *simulation, from, startCount, n int, remaining time.Duration) {
-	s.after(simReportInterval, func() {
-		for _, b := range r.ledgers[from].buckets {
+	s.schedule(simReportInterval, func() {
+		for _, b := range r.limiters[from].buckets {
 			if b.reportsLeft > 0 {
 				remaining = 0
 			}
@@ -89,21 +92,22 @@
 	})
 }
 
-// fullShare is the product's strategy without the smaller share while peers are silent.
+// fullShare is reportedCounts without the smaller share while peers are silent: each gateway always uses
+// whole buckets.
 type fullShare struct{ reportedCounts }
 
 func newFullShare(s *simulation) strategy {
-	return &fullShare{reportedCounts{ledgers: make([]*Ledger, len(s.gateways))}}
+	return &fullShare{reportedCounts{limiters: make([]*Ledger, len(s.gateways))}}
 }
 
-func (t *fullShare) admit(s *simulation, gateway int, l *simLoad) bool {
-	ledger := t.ledgers[gateway]
-	ledger.nextExpiry = s.now.Add(time.Hour)
-	ledger.share = 1
-	return ledger.Admit(s.now, l.name).IsAdmitted
+func (f *fullShare) admit(s *simulation, gateway int, l *simLoad) bool {
+	limiter := f.limiters[gateway]
+	limiter.nextExpiry = s.now.Add(time.Hour)
+	limiter.share = 1
+	return limiter.Admit(s.now, l.name).IsAdmitted
 }
 
-// fixedShare gives each gateway an equal share of each bucket.
+// fixedShare is a strategy without messages: each gateway has an equal, constant share of each bucket.
 type fixedShare struct{ buckets []map[string]*bucket }
 
 func newFixedShare(s *simulation) strategy {
@@ -133,18 +137,18 @@
 	return true
 }
 
-// lendingOwner keeps the bucket of each workspace at one gateway. The others request tokens from it ahead of
-// demand.
+// lendingOwner is a strategy that keeps the bucket of each workspace at one gateway, its owner. The others
+// request tokens from the owner when they have few left.
 type lendingOwner struct {
-	buckets     []map[string]*bucket // by gateway
-	borrowed    []map[string]float64
-	lastRequest []map[string]time.Time
+	buckets     []map[string]*bucket   // by owner and workspace
+	borrowed    []map[string]float64   // tokens left, by gateway and workspace
+	lastRequest []map[string]time.Time // time of the last request for tokens, by gateway and workspace
 }
 
 const (
-	lendTokens      = 5
-	lowTokens       = 3 // below it more is requested
-	requestInterval = 20 * time.Millisecond
+	lendTokens      = 5                     // tokens lent at once, at most
+	lowTokens       = 3                     // tokens below which more are requested
+	requestInterval = 20 * time.Millisecond // shortest time between two requests for tokens
 )
 
 func newLendingOwner(s *simulation) strategy {
@@ -183,6 +187,7 @@
 	return true
 }
 
+// requestTokens requests tokens for a workspace from its owner, if gateway has few left.
 func (l *lendingOwner) requestTokens(s *simulation, gateway, owner int, name string) {
 	if gateway == owner {
 		l.borrowed[gateway][name] += l.lend(s, owner, name)
@@ -198,6 +203,7 @@
 	})
 }
 
+// lend takes up to lendTokens tokens from the bucket of a workspace and returns their number.
 func (l *lendingOwner) lend(s *simulation, owner int, name string) float64 {
 	b := l.buckets[owner][name]
 	b.refill(s.now, 1)
