--- a/core/workspace/credential.go
+++ b/core/workspace/credential.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	bearerScheme = "Bearer"
-	// maxKeyBytes bounds the size of a key that a caller sends.
+	bearerScheme = "Bearer" // scheme of the Authorization header; its case is ignored
+	// maxKeyBytes is the largest size of a key that a caller may send.
 	maxKeyBytes = 4096
 )
 
-// Credential is what a caller sends to identify its workspace: the digest of a key, or the reason why there
-// is none.
+// Credential is what a caller sends to identify its workspace: the digest of an API key, nothing, or a header
+// that cannot be used.
 type Credential struct {
-	Key   Digest
-	IsSet bool
-	// Err is why the header cannot be used; nil if it can, or if there is none.
+	Key   Digest // zero unless IsSet
+	IsSet bool   // the caller sent a key
+	// Err is why the Authorization header cannot be used; nil if it can, or if there is none. It is an
+	// errs.Unauthenticated error.
 	Err error
 }
 
@@ -26,8 +27,8 @@
 	return errs.New(errs.Unauthenticated, "no API key was sent; send Authorization: Bearer KEY")
 }
 
-// ParseAuthorization parses the values of a request's Authorization headers. More than one header is an
-// error, because proxies might each use a different one.
+// ParseAuthorization returns the credential in the values of a request's Authorization headers. More than one
+// header is an error, because proxies might each use a different one.
 func ParseAuthorization(values []string) Credential {
 	switch len(values) {
 	case 0:
@@ -38,6 +39,7 @@
 	return Credential{Err: errs.Newf(errs.Unauthenticated, "the request has %d Authorization headers", len(values))}
 }
 
+// parseBearer returns the credential in the value of an Authorization header.
 func parseBearer(value string) Credential {
 	scheme, key, _ := strings.Cut(strings.Trim(value, " \t"), " ")
 	key = strings.TrimLeft(key, " ")
@@ -48,12 +50,12 @@
 		return Credential{Err: errs.New(errs.Unauthenticated, "the Authorization header contains no key")}
 	case len(key) > maxKeyBytes:
 		return Credential{Err: errs.Newf(errs.Unauthenticated, "the key has %d bytes, at most %d are allowed", len(key), maxKeyBytes)}
-	case strings.ContainsFunc(key, isInvalidKeyByte):
+	case strings.ContainsFunc(key, isInvalidKeyRune):
 		return Credential{Err: errs.New(errs.Unauthenticated, "the key contains invalid characters")}
 	}
 	return Credential{Key: DigestOf(key), IsSet: true}
 }
 
-// isInvalidKeyByte reports whether a key cannot contain r: keys are visible ASCII without the comma, which
-// separates lists.
-func isInvalidKeyByte(r rune) bool { return r <= ' ' || r > '~' || r == ',' }
+// isInvalidKeyRune reports whether r is not allowed in a key: keys consist of visible ASCII characters
+// without the comma, which separates the elements of a header list.
+func isInvalidKeyRune(r rune) bool { return r <= ' ' || r > '~' || r == ',' }
--- a/core/workspace/workspace_test.go
+++ b/core/workspace/workspace_test.go
@@ -7,51 +7,51 @@
 	"arbutusramp/core/errs"
 )
 
-func TestByKey(t *testing.T) {
-	x, problems := NewIndex([]Workspace{
+func TestByKeyFindsWorkspaceOfKey(t *testing.T) {
+	index, problems := NewIndex([]Workspace{
 		{Name: "a", Keys: []Digest{DigestOf("k1"), DigestOf("k2")}},
 		{Name: "b", Keys: []Digest{DigestOf("k3")}},
 	})
-	if len(problems) != 0 || x.Len() != 2 {
-		t.Fatalf("%d workspaces, problems %v", x.Len(), problems)
+	if len(problems) != 0 || index.Len() != 2 {
+		t.Fatalf("%d workspaces with problems %v, want 2 without problems", index.Len(), problems)
 	}
 	for key, want := range map[string]string{"k1": "a", "k2": "a", "k3": "b"} {
-		if w, ok := x.ByKey(DigestOf(key)); !ok || w.Name != want {
-			t.Errorf("%s belongs to %+v, want %s", key, w, want)
+		if w, ok := index.ByKey(DigestOf(key)); !ok || w.Name != want {
+			t.Errorf("key %s belongs to workspace %+v, want %s", key, w, want)
 		}
 	}
-	if _, ok := x.ByKey(DigestOf("k4")); ok {
-		t.Error("an unknown key has a workspace")
+	if _, ok := index.ByKey(DigestOf("k4")); ok {
+		t.Error("an unknown key belongs to a workspace, want none")
 	}
 }
 
-// A key of two workspaces is rejected for both, and their other keys stay valid.
+// A key that more than one workspace has is rejected, and their other keys stay valid.
 func TestSharedKeyIsRejected(t *testing.T) {
-	x, problems := NewIndex([]Workspace{
+	index, problems := NewIndex([]Workspace{
 		{Name: "a", Keys: []Digest{DigestOf("shared"), DigestOf("k1"), DigestOf("k1")}},
 		{Name: "b", Keys: []Digest{DigestOf("shared"), DigestOf("k2")}},
 		{Name: "c", Keys: []Digest{DigestOf("shared")}},
 	})
 	if len(problems) != 2 || !errs.Is(problems[0], errs.BadRequest) {
-		t.Errorf("problems %v", problems)
+		t.Errorf("problems %v, want two of type bad_request for the shared key", problems)
 	}
-	if _, ok := x.ByKey(DigestOf("shared")); ok {
-		t.Error("the shared key has a workspace")
+	if _, ok := index.ByKey(DigestOf("shared")); ok {
+		t.Error("the shared key belongs to a workspace, want none")
 	}
 	for key, want := range map[string]string{"k1": "a", "k2": "b"} {
-		if w, ok := x.ByKey(DigestOf(key)); !ok || w.Name != want {
-			t.Errorf("%s belongs to %+v, want %s", key, w, want)
+		if w, ok := index.ByKey(DigestOf(key)); !ok || w.Name != want {
+			t.Errorf("key %s belongs to workspace %+v, want %s", key, w, want)
 		}
 	}
-	for _, p := range problems {
-		if strings.Contains(p.Error(), "shared") {
-			t.Errorf("a problem names a key: %v", p)
+	for _, problem := range problems {
+		if strings.Contains(problem.Error(), "shared") {
+			t.Errorf("a problem contains a key: %v", problem)
 		}
 	}
 }
 
 func TestUnusableWorkspacesAreLeftOut(t *testing.T) {
-	x, problems := NewIndex([]Workspace{
+	index, problems := NewIndex([]Workspace{
 		{Name: "", Keys: []Digest{DigestOf("k1")}},
 		{Name: "line\nfeed", Keys: []Digest{DigestOf("k2")}},
 		{Name: " space", Keys: []Digest{DigestOf("k3")}},
@@ -59,16 +59,16 @@
 		{Name: "good", Keys: []Digest{DigestOf("k5")}},
 		{Name: "good", Keys: []Digest{DigestOf("k6")}},
 	})
-	if len(problems) != 5 || x.Len() != 1 {
-		t.Fatalf("%d workspaces, problems %v", x.Len(), problems)
+	if len(problems) != 5 || index.Len() != 1 {
+		t.Fatalf("%d workspaces with problems %v, want 1 with 5 problems", index.Len(), problems)
 	}
 	for _, key := range []string{"k1", "k2", "k3", "k4", "k6"} {
-		if w, ok := x.ByKey(DigestOf(key)); ok {
-			t.Errorf("%s belongs to %+v", key, w)
+		if w, ok := index.ByKey(DigestOf(key)); ok {
+			t.Errorf("key %s belongs to workspace %+v, want none", key, w)
 		}
 	}
-	if w, ok := x.ByKey(DigestOf("k5")); !ok || w.Name != "good" {
-		t.Errorf("k5 belongs to %+v", w)
+	if w, ok := index.ByKey(DigestOf("k5")); !ok || w.Name != "good" {
+		t.Errorf("key k5 belongs to workspace %+v, want good", w)
 	}
 }
 
@@ -79,15 +79,15 @@
 		key       string // empty for none
 		isInvalid bool
 	}{
-		{name: "none"},
+		{name: "no header"},
 		{name: "a key", values: []string{"Bearer abc"}, key: "abc"},
 		{name: "scheme in another case", values: []string{"bEARER abc"}, key: "abc"},
 		{name: "additional white space", values: []string{" Bearer   abc\t"}, key: "abc"},
 		{name: "token characters", values: []string{"Bearer a-._~+/=9"}, key: "a-._~+/=9"},
 		{name: "two headers", values: []string{"Bearer abc", "Bearer abc"}, isInvalid: true},
 		{name: "two keys", values: []string{"Bearer abc, Bearer def"}, isInvalid: true},
-		{name: "two words", values: []string{"Bearer abc def"}, isInvalid: true},
-		{name: "empty", values: []string{""}, isInvalid: true},
+		{name: "a space in the key", values: []string{"Bearer abc def"}, isInvalid: true},
+		{name: "an empty header", values: []string{""}, isInvalid: true},
 		{name: "scheme only", values: []string{"Bearer"}, isInvalid: true},
 		{name: "scheme and space", values: []string{"Bearer  "}, isInvalid: true},
 		{name: "other scheme", values: []string{"Basic abc"}, isInvalid: true},
@@ -99,15 +99,16 @@
 	for _, c := range cases {
 		got := ParseAuthorization(c.values)
 		if (got.Err != nil) != c.isInvalid || got.IsSet != (c.key != "") || c.key != "" && got.Key != DigestOf(c.key) {
-			t.Errorf("%s: %+v", c.name, got)
+			t.Errorf("%s: credential %+v is not the wanted key or error", c.name, got)
 		}
 		if c.isInvalid && !errs.Is(got.Err, errs.Unauthenticated) {
-			t.Errorf("%s: error %v", c.name, got.Err)
+			t.Errorf("%s: error %v, want type unauthenticated", c.name, got.Err)
 		}
 	}
 }
 
-// Any header value gives one key, none, or a typed error that does not repeat the value.
+// Each header value gives either a key or an error. The error does not contain the value, which may be a
+// secret.
 func FuzzParseAuthorization(f *testing.F) {
 	for _, value := range []string{"", "Bearer abc", "bearer  abc ", "Bearer", "Basic dTpw", "Bearer a,b", "Bearer a b", "\tBearer\tabc", "Bearer \x7f", "Bearer äöü"} {
 		f.Add(value)
@@ -115,13 +116,13 @@
 	f.Fuzz(func(t *testing.T, value string) {
 		c := ParseAuthorization([]string{value})
 		if c.IsSet == (c.Err != nil) {
-			t.Fatalf("%q: %+v", value, c)
+			t.Fatalf("%q: credential %+v has both a key and an error or neither, want one of them", value, c)
 		}
 		if c.Err != nil && len(value) > 40 && strings.Contains(c.Err.Error(), value) {
-			t.Errorf("the error repeats %q: %v", value, c.Err)
+			t.Errorf("the error contains the header value %q: %v", value, c.Err)
 		}
 		if c.IsSet && ParseAuthorization([]string{value, value}).IsSet {
-			t.Errorf("%q sent twice gives a key", value)
+			t.Errorf("two headers with the value %q give a key, want an error", value)
 		}
 	})
 }
