--- a/core/freshness/model_test.go
+++ b/core/freshness/model_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// The model has one gateway, the store, one key and discrete time. It explores every sequence of a few
-// events. A request that is sent later than the bound after the confirmation of the revocation must not run.
+// The model has one gateway, the store, one API key and discrete time. The tests explore every sequence of up
+// to modelDepth events. Once the store has confirmed the revocation of the key, a request with it must not
+// run if it is sent later than the bound after that.
 
 const (
-	modelBound = 3 // steps
-	modelDepth = 7 // events in a sequence
+	modelBound = 3 // bound of the proof, in steps
+	modelDepth = 7 // largest number of events in a sequence
 	step       = time.Second
 )
 
@@ -33,106 +34,110 @@
 	return [...]string{"tick", "suspend", "revoke", "read", "answer", "restart", "peer tells", "hear"}[a]
 }
 
-// modelState is a state of the model.
+// modelState is the state of the gateway, the store and the messages between them.
 type modelState struct {
-	now                 int // steps since the host's start, including suspension
-	revoked             int // when the revocation was confirmed; -1 before it
-	proof               Proof
-	isRevocationApplied bool // the configuration in force does not contain the key
-
-	isReading       bool
-	readStart       int
-	hasKeyInAnswer  bool // whether the store's answer contains the key
-	isAnswered      bool
+	now                 int   // steps since the host's start, including suspension
+	revoked             int   // when the revocation was confirmed; -1 before it
+	proof               Proof // of the gateway
+	isRevocationApplied bool  // the gateway's configuration does not contain the key
+
+	isReading       bool // the gateway has sent a read and not received the answer
+	readStart       int  // step in which it sent the read
+	hasKeyInAnswer  bool // the store's answer contains the key
+	isAnswered      bool // the store has answered
 	hasMessage      bool // a peer's message is in the socket buffer
-	hasKeyInMessage bool // it is from a configuration that contains the key
-	messageAge      int  // the age that it states
-	isPeerTrusted   bool // the rejected alternative: messages of peers count as proof
+	hasKeyInMessage bool // it is about a configuration that contains the key
+	messageAge      int  // age of the peer's proof that it states, in steps
+	isPeerTrusted   bool // messages of peers count as proof: an alternative that the package rejects
 }
 
-func (w *modelState) apply(a action) bool {
+// apply changes the state by an event and reports whether the event is possible in the state.
+func (m *modelState) apply(a action) bool {
 	switch a {
 	case tick:
-		w.now++
-		w.answerRead()
-		w.receiveMessage() // a running process empties its socket buffer
+		m.now++
+		m.answerRead()
+		m.receiveMessage() // a running process empties its socket buffer
 	case suspend:
-		w.now++
+		m.now++
 	case revoke:
-		if w.revoked >= 0 {
+		if m.revoked >= 0 {
 			return false
 		}
-		w.revoked = w.now
+		m.revoked = m.now
 	case readBegin:
-		if w.isReading {
+		if m.isReading {
 			return false
 		}
-		w.isReading, w.readStart, w.isAnswered = true, w.now, false
+		m.isReading, m.readStart, m.isAnswered = true, m.now, false
 	case readEnd:
-		return w.finishRead()
+		return m.finishRead()
 	case restart:
-		w.proof, w.isRevocationApplied, w.isReading, w.hasMessage = New(modelBound*step), false, false, false
+		m.proof, m.isRevocationApplied, m.isReading, m.hasMessage = New(modelBound*step), false, false, false
 	case peerSend:
-		w.hasMessage, w.hasKeyInMessage, w.messageAge = true, w.revoked < 0, 0
+		m.hasMessage, m.hasKeyInMessage, m.messageAge = true, m.revoked < 0, 0
 	case peerReceive:
-		return w.receiveMessage()
+		return m.receiveMessage()
 	}
 	return true
 }
 
 // answerRead answers a read in progress. The store may answer at any time between request and answer; the
 // model uses the earliest.
-func (w *modelState) answerRead() {
-	if w.isReading && !w.isAnswered {
-		w.isAnswered, w.hasKeyInAnswer = true, w.revoked < 0
+func (m *modelState) answerRead() {
+	if m.isReading && !m.isAnswered {
+		m.isAnswered, m.hasKeyInAnswer = true, m.revoked < 0
 	}
 }
 
-func (w *modelState) finishRead() bool {
-	if !w.isReading {
+// finishRead ends a read in progress and reports whether there is one.
+func (m *modelState) finishRead() bool {
+	if !m.isReading {
 		return false
 	}
-	w.answerRead()
-	w.isReading = false
-	w.isRevocationApplied = w.isRevocationApplied || !w.hasKeyInAnswer
-	w.proof.Confirm(time.Duration(w.readStart) * step)
+	m.answerRead()
+	m.isReading = false
+	m.isRevocationApplied = m.isRevocationApplied || !m.hasKeyInAnswer
+	m.proof.Confirm(time.Duration(m.readStart) * step)
 	return true
 }
 
-// receiveMessage handles a peer's message with the age that it states. The gateway's clock does not show how
-// long the message was in the socket buffer.
-func (w *modelState) receiveMessage() bool {
-	if !w.hasMessage || !w.isPeerTrusted {
+// receiveMessage makes the gateway use a peer's message as proof of the age that it states, and reports
+// whether it has done so. How long the message was in the socket buffer is unknown to the gateway.
+func (m *modelState) receiveMessage() bool {
+	if !m.hasMessage || !m.isPeerTrusted {
 		return false
 	}
-	w.hasMessage = false
-	if w.hasKeyInMessage {
-		w.proof.Confirm(time.Duration(w.now-w.messageAge) * step)
+	m.hasMessage = false
+	if m.hasKeyInMessage {
+		m.proof.Confirm(time.Duration(m.now-m.messageAge) * step)
 	}
 	return true
 }
 
-// isViolated reports whether a request that is sent now would run although it must not.
-func (w *modelState) isViolated() bool {
-	isLate := w.revoked >= 0 && w.now-w.revoked > modelBound
-	return isLate && w.proof.Holds(time.Duration(w.now)*step) && !w.isRevocationApplied
+// isViolated reports whether the gateway would now run a request with the key later than the bound after the
+// revocation.
+func (m *modelState) isViolated() bool {
+	isLate := m.revoked >= 0 && m.now-m.revoked > modelBound
+	return isLate && m.proof.Holds(time.Duration(m.now)*step) && !m.isRevocationApplied
 }
 
-// explore explores all sequences and returns the first one that violates the rule.
-func explore(w modelState, depth int, sequence []action) []action {
-	if w.isViolated() {
+// explore applies all sequences of up to depth events to a state. It returns sequence, which led to that
+// state, with the first of them that leads to a violation; nil if none does.
+func explore(m modelState, depth int, sequence []action) []action {
+	if m.isViolated() {
 		return sequence
 	}
 	if depth == 0 {
 		return nil
 	}
 	for a := range actionCount {
-		next := w
+		next := m
 		if !next.apply(a) {
 			continue
 		}
-		if found := explore(next, depth-1, append(sequence[:len(sequence):len(sequence)], a)); found != nil {
-			return found
+		if violation := explore(next, depth-1, append(sequence[:len(sequence):len(sequence)], a)); violation != nil {
+			return violation
 		}
 	}
 	return nil
@@ -140,29 +145,30 @@
 
 // initialState is a gateway that has just read a configuration with the key.
 func initialState(isPeerTrusted bool) modelState {
-	w := modelState{revoked: -1, proof: New(modelBound * step), isPeerTrusted: isPeerTrusted}
-	w.proof.Confirm(0)
-	return w
+	m := modelState{revoked: -1, proof: New(modelBound * step), isPeerTrusted: isPeerTrusted}
+	m.proof.Confirm(0)
+	return m
 }
 
-// Guards against use of a revoked key: no sequence of events admits a request with it later than the bound.
+// Guards against use of a revoked key later than the bound after its revocation. That would happen if a
+// confirmation counted as more recent than the start of the read that it comes from.
 func TestNoSequenceAdmitsARevokedKeyAfterTheBound(t *testing.T) {
-	w := initialState(false)
+	m := initialState(false)
 	for range modelBound {
-		if found := explore(w, modelDepth, nil); found != nil {
-			t.Fatalf("after %d steps: %v", w.now, found)
+		if violation := explore(m, modelDepth, nil); violation != nil {
+			t.Fatalf("from %d steps after the last confirmation on, the events %v let a request with the revoked key run, want none to", m.now, violation)
 		}
-		w.now++
+		m.now++
 	}
 }
 
 // Guards against use of a revoked key: if messages of peers counted as proof, one that stays in the socket
-// buffer while the host is suspended would count as recent.
+// buffer while the host is suspended would count as recent. The model must find such a sequence.
 func TestPeerMessagesAreUnsafeAsProof(t *testing.T) {
-	w := initialState(true)
-	found := explore(w, modelDepth, nil)
-	if found == nil {
-		t.Fatal("the model does not detect that messages of peers are unsafe as proof")
+	m := initialState(true)
+	violation := explore(m, modelDepth, nil)
+	if violation == nil {
+		t.Fatal("no sequence violates the bound when messages of peers count as proof, want one")
 	}
-	t.Log(found)
+	t.Log(violation)
 }
