--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -1,5 +1,6 @@
-// Package policy names the mechanisms by which gateways decide. Each can be disabled separately, so that its
-// effect can be measured. The table of these measurements is in docs/POLICIES.md.
+// Package policy names the optional mechanisms of gateways: admission control, batch scheduling, choice of
+// targets, failure detection, reports between gateways and quarantine. Operators can disable each of them in
+// the settings, so that its effect can be measured. The table of these measurements is in docs/POLICIES.md.
 package policy
 
 import (
@@ -9,52 +10,59 @@
 	"arbutusramp/core/errs"
 )
 
-// Name is the name of one mechanism.
+// Name identifies a mechanism in the settings.
 type Name string
 
-// The mechanisms. Each comment says what happens while the mechanism is off.
+// The mechanisms. Each comment says what the mechanism does and, after "off", what happens while it is
+// disabled.
 const (
-	// ComeBack rejects first attempts that would be late, with a time to retry after; off, they are sent to a
-	// target.
+	// ComeBack rejects the first attempt of a request that would miss its latency goal, with a time to retry
+	// after; off, the request is sent to a target.
 	ComeBack Name = "come-back"
-	// Hold queues second attempts until there is capacity; off, they are sent to a target.
+	// Hold queues the second attempt of a request that would miss its latency goal at the gateway until a
+	// target has capacity; off, the request is sent to a target.
 	Hold Name = "hold"
-	// GiveWay preempts batch items whose slots online requests need; off, online requests wait for these
-	// slots.
+	// GiveWay preempts batch items whose slots at a target online requests need; off, online requests wait
+	// until the items have finished.
 	GiveWay Name = "give-way"
-	// Turns makes gateways start batch items in turns; off, all start one in the same free slot.
+	// Turns makes gateways start batch items one after the other in a free slot of a target; off, several
+	// gateways may start one in the same slot.
 	Turns Name = "turns"
-	// InTimeFirst starts items that can meet their due time before those that cannot; off, the order is rank
-	// and due time.
+	// InTimeFirst starts batch items that can meet their due time before those that cannot; off, they are
+	// started in the order of rank and due time.
 	InTimeFirst Name = "in-time-first"
-	// OwnDomain prefers targets of the gateway's own failure domain; off, all domains are equal.
+	// OwnDomain prefers targets in the gateway's own failure domain; off, the domain of a target has no
+	// influence.
 	OwnDomain Name = "own-domain"
-	// PeerLoads counts the loads of other gateways at targets; off, each gateway counts only its own
-	// requests.
+	// PeerLoads counts the requests that other gateways report to have at a target; off, each gateway counts
+	// only its own requests.
 	PeerLoads Name = "peer-loads"
-	// PeerWord suspects targets that have failed other gateways; off, each gateway detects failures itself.
+	// PeerWord suspects targets that other gateways report as suspect; off, each gateway suspects a target
+	// only after a failure of its own request.
 	PeerWord Name = "peer-word"
-	// Silence suspects targets that send nothing; off, only failed connections and answers count.
+	// Silence suspects targets that send nothing for too long while requests wait for them; off, targets are
+	// suspected only after other failures, for instance of a connection.
 	Silence Name = "silence"
-	// LearnedSilence derives the silence limit from the event times of a service; off, one limit applies to
-	// all services.
+	// LearnedSilence derives how long a target may send nothing from the times between events of its service;
+	// off, the same limit applies to all services.
 	LearnedSilence Name = "learned-silence"
-	// Checkpoints records the progress of running items regularly; off, only owners that stop record it.
+	// Checkpoints stores the progress of running batch items regularly; off, a gateway stores it only when a
+	// run fails or when it hands its items over to another gateway.
 	Checkpoints Name = "checkpoints"
-	// StorePeers reaches an unreachable store through other gateways; off, a gateway waits until it reaches
-	// the store itself.
+	// StorePeers sends requests to the platform's store through other gateways while a gateway cannot reach
+	// it; off, the gateway waits until it reaches the store itself.
 	StorePeers Name = "store-peers"
-	// Relays makes one gateway of each domain forward reports; off, each gateway sends its reports to every
-	// other one.
+	// Relays makes one gateway of each failure domain forward the load reports of others; off, each gateway
+	// sends its reports to every other gateway.
 	Relays Name = "relays"
-	// Quarantine sends a request that has crashed targets to no further ones; off, it is still sent.
+	// Quarantine rejects requests whose content has crashed targets; off, they are sent to further targets.
 	Quarantine Name = "quarantine"
-	// QuarantineScopes also quarantines the scopes that such requests share with others; off, each content
-	// counts by itself.
+	// QuarantineScopes also quarantines the resource, job or route of requests that crash targets; off, only
+	// requests with identical content are quarantined.
 	QuarantineScopes Name = "quarantine-scopes"
 )
 
-// All returns the names of all mechanisms.
+// All returns all mechanisms, in the order of their constants.
 func All() []Name {
 	return []Name{
 		ComeBack, Hold, GiveWay, Turns, InTimeFirst, OwnDomain, PeerLoads, PeerWord, Silence, LearnedSilence,
@@ -65,26 +73,26 @@
 // Off is the set of disabled mechanisms. In the zero value all are enabled.
 type Off map[Name]bool
 
-// Parse parses names of mechanisms. Error: errs.BadSettings.
+// Parse returns the set of the mechanisms with the given names. Error: errs.BadSettings for an unknown name.
 func Parse(names []string) (Off, error) {
-	off := make(Off, len(names))
-	for _, n := range names {
-		if !slices.Contains(All(), Name(n)) {
-			return nil, errs.Newf(errs.BadSettings, "%q is not a mechanism; the mechanisms are %s", n, Names())
+	disabled := make(Off, len(names))
+	for _, name := range names {
+		if !slices.Contains(All(), Name(name)) {
+			return nil, errs.Newf(errs.BadSettings, "%q is not a mechanism; the mechanisms are %s", name, Names())
 		}
-		off[Name(n)] = true
+		disabled[Name(name)] = true
 	}
-	return off, nil
+	return disabled, nil
 }
 
-// Names returns the names of all mechanisms, for a message.
+// Names returns the names of all mechanisms, separated by commas.
 func Names() string {
-	var list []string
-	for _, n := range All() {
-		list = append(list, string(n))
+	var names []string
+	for _, m := range All() {
+		names = append(names, string(m))
 	}
-	return strings.Join(list, ", ")
+	return strings.Join(names, ", ")
 }
 
-// Allows reports whether a mechanism is enabled.
-func (o Off) Allows(n Name) bool { return !o[n] }
+// Allows reports whether a mechanism is enabled: it is not in the set.
+func (d Off) Allows(m Name) bool { return !d[m] }
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -6,17 +6,17 @@
 	"arbutusramp/core/errs"
 )
 
-func TestParse(t *testing.T) {
-	off, err := Parse([]string{"hold", "turns"})
-	if err != nil || off.Allows(Hold) || off.Allows(Turns) || !off.Allows(ComeBack) {
-		t.Errorf("%v, %v", off, err)
+func TestParseDisablesNamedMechanisms(t *testing.T) {
+	disabled, err := Parse([]string{"hold", "turns"})
+	if err != nil || disabled.Allows(Hold) || disabled.Allows(Turns) || !disabled.Allows(ComeBack) {
+		t.Errorf("disabled mechanisms %v and error %v, want hold and turns and no error", disabled, err)
 	}
 	if _, err := Parse([]string{"hold", "holt"}); !errs.Is(err, errs.BadSettings) {
-		t.Errorf("an unknown name: %v", err)
+		t.Errorf("error %v for the unknown name holt, want type bad_settings", err)
 	}
-	for _, n := range All() {
-		if !Off(nil).Allows(n) {
-			t.Errorf("%s is off by default", n)
+	for _, m := range All() {
+		if !Off(nil).Allows(m) {
+			t.Errorf("%s is disabled in the zero value, want enabled", m)
 		}
 	}
 }
