--- a/core/fleet/batch.go
+++ b/core/fleet/batch.go
@@ -15,10 +15,10 @@
 const staggerInterval = 12 * time.Millisecond
 
 // PickBatch chooses the target for a batch item: one with free slots beyond Options.StartSpare, and none of
-// those in tried. ok is false if there is none. Gateways stagger their starts in the order of
-// their Demand.Due: the n-th gateway may take the n-th free slot of a target immediately, and an earlier slot
-// only after it has stayed free for a multiple of staggerInterval. Otherwise all gateways would start an item
-// in the same slot, and all but one would preempt it again.
+// those in tried. ok is false if there is none. Gateways stagger their starts in the order of their
+// Demand.Due: the n-th gateway may take the n-th free slot of a target immediately, and an earlier slot only
+// after it has stayed free for a multiple of staggerInterval. Otherwise all gateways would start an item in
+// the same slot, and all but one would preempt it again.
 func (f *Fleet) PickBatch(now time.Time, service string, tried []string) (c Choice, ok bool) {
 	list := f.candidates(now, service, tried, func(ts *targetState) bool { return ts.health.canTakeBatch(now) })
 	ahead := f.gatewaysAhead()
@@ -49,8 +49,8 @@
 	return 0
 }
 
-// canStart reports whether this gateway may start a batch item at a target while ahead other gateways start
-// theirs before it.
+// canStart reports whether this gateway may start a batch item at a target now. ahead is the number of
+// gateways that start theirs before it.
 func (f *Fleet) canStart(now time.Time, c candidate, ahead int) bool {
 	batchSlots := c.freeSlots() - f.opts.StartSpare
 	if batchSlots <= 0 {
@@ -90,8 +90,8 @@
 			continue
 		}
 		excess := f.opts.KeepSpare - ts.freeSlots()
-		if k := f.ownPreemptions(ts, excess); k > 0 {
-			preempted[id] = k
+		if n := f.ownPreemptions(ts, excess); n > 0 {
+			preempted[id] = n
 		}
 	}
 	return preempted
@@ -103,8 +103,8 @@
 	items int
 }
 
-// ownPreemptions is how many of excess batch items at a target this gateway must preempt. Each item is taken
-// from the gateway that has the most items left there.
+// ownPreemptions is how many batch items this gateway must preempt at a target where all gateways together
+// must preempt excess items. Each item is taken from the gateway that has the most items left there.
 func (f *Fleet) ownPreemptions(ts *targetState, excess int) int {
 	if excess <= 0 {
 		return 0
--- a/core/fleet/bench_test.go
+++ b/core/fleet/bench_test.go
@@ -30,7 +30,7 @@
 			f, now := benchFleet(targets), time.Now()
 			for b.Loop() {
 				if _, ok := f.PickOnline(now, "llm", nil); !ok {
-					b.Fatal("no target")
+					b.Fatal("no target was picked")
 				}
 			}
 		})
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -82,7 +82,7 @@
 		})
 	}
 	if _, ok := testFleet("self", 1).PickOnline(start, "other", nil); ok {
-		t.Error("a target of another service was picked")
+		t.Error("a target was picked for a service without targets, want none")
 	}
 }
 
@@ -159,7 +159,7 @@
 func TestActivityEndsSuspicion(t *testing.T) {
 	f := testFleet("self", 1)
 	if !f.Failed(start, "t0") || f.Failed(start, "t0") {
-		t.Error("the first failure must make the target suspect, and a second failure while it is suspect must not count")
+		t.Error("the first failure did not make the target suspect, or a second one while it was suspect counted as a new suspicion")
 	}
 	if _, ok := f.PickBatch(start, "llm", nil); ok {
 		t.Error("a batch item was sent to a suspect target")
@@ -206,7 +206,7 @@
 	f.End(start, "t0", structs.ClassOnline)
 	f.Begin(start, "t0", structs.ClassOnline)
 	if got := f.OwnAt("t0"); got != (Load{Online: 1}) {
-		t.Errorf("after one end and one begin the load is %+v, want 1 online request", got)
+		t.Errorf("after the end of an uncounted request and the start of another the load is %+v, want 1 online request", got)
 	}
 	f.Remove("t0")
 	f.End(start, "t0", structs.ClassOnline)
--- a/core/fleet/peers_test.go
+++ b/core/fleet/peers_test.go
@@ -79,7 +79,7 @@
 
 // Guards against peers that expire although other gateways receive their reports and forward signs of life,
 // and against loads that still count after their peer has become idle.
-func TestForwardedSignsOfLife(t *testing.T) {
+func TestForwardedSignsOfLifeKeepPeersLive(t *testing.T) {
 	const ttl = time.Second
 	f := New(Options{Self: "self", PeerTTL: ttl})
 	f.Put(serving.Target{ID: "t", Service: "s", Slots: 1})
--- a/core/freshness/freshness_test.go
+++ b/core/freshness/freshness_test.go
@@ -10,14 +10,14 @@
 func TestProofIsFreshForTheBound(t *testing.T) {
 	p := New(bound)
 	if p.Holds(0) || !p.IsFailing(0) {
-		t.Error("before the first confirmation the proof must not be fresh and must be expiring")
+		t.Error("before the first confirmation the proof is fresh or not expiring, want expiring and not fresh")
 	}
 	p.Confirm(10 * time.Second)
 	if !p.Holds(10*time.Second) || !p.Holds(14900*time.Millisecond) || p.Holds(15*time.Second) {
-		t.Error("the proof must be fresh until just before the bound of 5s and not from then on")
+		t.Error("the proof is not fresh for 4.9s after its confirmation, or still fresh after 5s")
 	}
 	if p.IsFailing(12*time.Second) || !p.IsFailing(12500*time.Millisecond) {
-		t.Error("the proof must be expiring from half of the bound on and not before")
+		t.Error("the proof is expiring 2s after its confirmation, or not yet after 2.5s")
 	}
 	p.Confirm(9 * time.Second) // a read that began earlier and ends later
 	if age, ok := p.Age(11 * time.Second); !ok || age != time.Second {
@@ -28,10 +28,10 @@
 func TestProofIsFreshForeverWithoutBound(t *testing.T) {
 	p := New(0)
 	if p.Holds(time.Hour) {
-		t.Error("before the first confirmation the proof must not be fresh")
+		t.Error("before the first confirmation the proof is fresh, want not fresh")
 	}
 	p.Confirm(0)
 	if !p.Holds(1000*time.Hour) || p.IsFailing(1000*time.Hour) {
-		t.Error("without a bound the proof must stay fresh and never be expiring")
+		t.Error("without a bound the proof is not fresh or is expiring 1000 hours after its confirmation")
 	}
 }
--- a/core/shed/fairness_test.go
+++ b/core/shed/fairness_test.go
@@ -49,11 +49,13 @@
 	isNearLimit  bool
 }
 
+// queuedCall is a call that waits in the queue of the controller.
 type queuedCall struct {
 	call
-	request *QueuedRequest
+	queued *QueuedRequest
 }
 
+// newFairnessSim returns a simulation with free slots. Without a quota all requests are admitted.
 func newFairnessSim(seed uint64, hasQuota, isNearLimitLast bool) *fairnessSim {
 	s := &fairnessSim{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), isNearLimitLast: isNearLimitLast, slotFreeAt: make([]time.Time, slotCount)}
 	if hasQuota {
@@ -74,6 +76,7 @@
 	return max(0, slices.MinFunc(s.slotFreeAt, time.Time.Compare).Sub(s.now))
 }
 
+// request returns the input of the controller for a call.
 func (s *fairnessSim) request(c call) Request {
 	r := Request{
 		Wait: s.expectedWait(), Hold: holdTime, Pace: slotCount / holdTime.Seconds(), Goal: latencyGoal,
@@ -151,11 +154,11 @@
 		s.pendingRetries = s.pendingRetries[1:]
 		s.arrive(c)
 	}
-	queued := s.queuedCalls
+	queuedCalls := s.queuedCalls
 	s.queuedCalls = nil
-	for _, q := range queued {
-		if s.controller.Recheck(s.now, q.request, s.request(q.call)) == Send {
-			s.controller.Dequeue(s.now, q.request, true)
+	for _, q := range queuedCalls {
+		if s.controller.Recheck(s.now, q.queued, s.request(q.call)) == Send {
+			s.controller.Dequeue(s.now, q.queued, true)
 			s.send(q.call)
 			continue
 		}
