--- a/core/quota/sim_test.go
+++ b/core/quota/sim_test.go
@@ -306,23 +306,23 @@
 // weights draws the share of a workspace's requests that each gateway gets: even, uneven, or all at the
 // first.
 func (s *simulation) weights(gateways int) []float64 {
-	weights := make([]float64, gateways)
+	shares := make([]float64, gateways)
 	sum := 0.0
 	distribution := s.rng.IntN(3)
-	for i := range weights {
-		weights[i] = 1
+	for i := range shares {
+		shares[i] = 1
 		if distribution == 1 {
-			weights[i] = s.rng.ExpFloat64()
+			shares[i] = s.rng.ExpFloat64()
 		}
 		if distribution == 2 && i > 0 {
-			weights[i] = 0
+			shares[i] = 0
 		}
-		sum += weights[i]
+		sum += shares[i]
 	}
-	for i := range weights {
-		weights[i] /= sum
+	for i := range shares {
+		shares[i] /= sum
 	}
-	return weights
+	return shares
 }
 
 // scheduleFaults schedules two faults at random times and of random lengths.
--- a/core/shed/fairness_test.go
+++ b/core/shed/fairness_test.go
@@ -154,9 +154,9 @@
 		s.pendingRetries = s.pendingRetries[1:]
 		s.arrive(c)
 	}
-	queuedCalls := s.queuedCalls
+	waitingCalls := s.queuedCalls
 	s.queuedCalls = nil
-	for _, q := range queuedCalls {
+	for _, q := range waitingCalls {
 		if s.controller.Recheck(s.now, q.queued, s.request(q.call)) == Send {
 			s.controller.Dequeue(s.now, q.queued, true)
 			s.send(q.call)
