--- a/core/fanout/fanout_test.go
+++ b/core/fanout/fanout_test.go
@@ -6,70 +6,75 @@
 	"time"
 )
 
+// testAddr returns an address that differs for each i below 65536.
 func testAddr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
 }
 
+// testMembers returns n members of domain 1. isLive reports whether the i-th of them was seen recently.
 func testMembers(n int, isLive func(i int) bool) []Member {
-	var list []Member
+	var members []Member
 	for i := range n {
-		list = append(list, Member{Addr: testAddr(i), Domain: 1, IsHeard: isLive(i)})
+		members = append(members, Member{Addr: testAddr(i), Domain: 1, IsHeard: isLive(i)})
 	}
-	return list
+	return members
 }
 
-// Guards against gateways that report to hubs which other gateways do not take for hubs.
+// Guards against gateways that select different hubs from the same members: they would report to gateways that
+// do not act as hubs.
 func TestAllGatewaysSelectSameHubs(t *testing.T) {
-	all := testMembers(111, func(int) bool { return true })
-	hubs, listed := Hubs(all)
+	members := testMembers(111, func(int) bool { return true })
+	hubs, listed := Hubs(members)
 	if len(hubs) != hubsPerDomain || len(listed) != 0 {
-		t.Fatalf("%d hubs, %d listed members", len(hubs), len(listed))
+		t.Fatalf("%d hubs and %d listed members, want 2 hubs and no listed member", len(hubs), len(listed))
 	}
 	var reversed []Member
-	for i := range all {
-		reversed = append(reversed, all[len(all)-1-i])
+	for i := range members {
+		reversed = append(reversed, members[len(members)-1-i])
 	}
-	if other, _ := Hubs(reversed); other[0] != hubs[0] || other[1] != hubs[1] {
-		t.Errorf("hubs %v, and %v for the reversed list", hubs, other)
+	if reversedHubs, _ := Hubs(reversed); reversedHubs[0] != hubs[0] || reversedHubs[1] != hubs[1] {
+		t.Errorf("hubs %v, but %v for the same members in reverse order, want the same", hubs, reversedHubs)
 	}
 	withoutFirst := testMembers(111, func(i int) bool { return testAddr(i) != hubs[0] })
 	next, listed := Hubs(withoutFirst)
 	if next[0] != hubs[1] || len(listed) != 1 || listed[0] != hubs[0] {
-		t.Errorf("with a silent first hub the hubs are %v, the listed members %v", next, listed)
+		t.Errorf("with a silent first hub: hubs %v, listed members %v, want the second hub first and only the silent one listed", next, listed)
 	}
 }
 
-// Guards against assigning all tasks to the gateways with the least processor time.
+// Guards against an order in which gateways with little processor time come first and are assigned the work of
+// hubs and other tasks.
 func TestGatewaysWithMoreCapacityRankFirst(t *testing.T) {
-	all := testMembers(60, func(int) bool { return true })
-	for i := range all {
-		all[i].Capacity = CapacityOf(0.144)
+	members := testMembers(60, func(int) bool { return true })
+	for i := range members {
+		members[i].Capacity = CapacityOf(0.144)
 		if i%3 == 0 {
-			all[i].Capacity = CapacityOf(0.8)
+			members[i].Capacity = CapacityOf(0.8)
 		}
 	}
-	hubs, _ := Hubs(all)
+	hubs, _ := Hubs(members)
 	ranks := make(map[int]bool)
-	for i, m := range all {
-		others := append(append([]Member(nil), all[:i]...), all[i+1:]...)
+	for i, m := range members {
+		others := append(append([]Member(nil), members[:i]...), members[i+1:]...)
 		rank := Rank(m, others)
 		ranks[rank] = true
 		if isLarge := i%3 == 0; isLarge != (rank < 20) {
-			t.Errorf("a gateway with %d tenths of a core has rank %d", m.Capacity, rank)
+			t.Errorf("a gateway with %d tenths of a core has rank %d, want ranks below 20 for 8 tenths and from 20 for 1 tenth", m.Capacity, rank)
 		}
 		if m.Addr == hubs[0] && i%3 != 0 {
-			t.Error("a gateway with less processor time is the first hub")
+			t.Error("the first hub has 1 tenth of a core, want one with 8 tenths")
 		}
 	}
-	if len(ranks) != len(all) {
-		t.Errorf("%d ranks for %d gateways", len(ranks), len(all))
+	if len(ranks) != len(members) {
+		t.Errorf("%d different ranks for %d gateways, want one for each gateway", len(ranks), len(members))
 	}
 	if CapacityOf(1000) != 255 || CapacityOf(-1) != 0 {
-		t.Error("CapacityOf does not limit its result")
+		t.Error("the capacities of 1000 and -1 cores are not limited to 255 and 0")
 	}
 }
 
-// Each receiver gets a batch once, and no gateway sends to more than about the square root of all receivers.
+// Guards against branches that leave a receiver out or contain it twice, and against a gateway that sends to
+// more than about the square root of the number of receivers.
 func TestBranchesReachEachReceiverOnce(t *testing.T) {
 	for _, n := range []int{0, 1, maxFlatReceivers, maxFlatReceivers + 1, 110, 400} {
 		var receivers []netip.AddrPort
@@ -84,26 +89,28 @@
 				reached[r]++
 			}
 			if len(b.Rest) > 20 {
-				t.Errorf("%d receivers: one forwards to %d", n, len(b.Rest))
+				t.Errorf("%d receivers: one gateway forwards to %d others, want at most 20", n, len(b.Rest))
 			}
 		}
 		if len(reached) != n || len(branches) > max(maxFlatReceivers, 20) {
-			t.Errorf("%d receivers: %d reached, by %d branches", n, len(reached), len(branches))
+			t.Errorf("%d receivers: %d reached through %d branches, want all reached through at most 20", n, len(reached), len(branches))
 		}
 		for r, times := range reached {
 			if times != 1 {
-				t.Errorf("%v is reached %d times", r, times)
+				t.Errorf("receiver %v is reached %d times, want once", r, times)
 			}
 		}
 	}
 }
 
-// newCountTable returns a table of reports that hold a number. A number that was not forwarded is added to
-// the next one.
+// newCountTable returns a table whose reports are numbers. Numbers of one gateway that are not forwarded yet
+// are added up.
 func newCountTable() *Table[int] {
 	return NewTable(time.Second, func(undelivered, next int) int { return undelivered + next })
 }
 
+// Guards against a hub that forwards reports which are old, or idle like the one before, and against one that
+// drops a report which a newer one replaces before the next batch.
 func TestTableReturnsOnlyNewReports(t *testing.T) {
 	now := time.Unix(0, 0)
 	report := func(seq uint64, isIdle bool, n int) Origin[int] {
@@ -111,10 +118,10 @@
 	}
 	table := newCountTable()
 	for _, step := range []struct {
-		name        string
-		put         Origin[int]
-		isForwarded bool
-		want        []int
+		name         string
+		put          Origin[int]
+		isForwardDue bool
+		want         []int
 	}{
 		{"a first idle report is not forwarded", report(1, true, 0), true, nil},
 		{"a report with content", report(2, false, 5), true, []int{5}},
@@ -124,47 +131,47 @@
 		{"idle again", report(4, true, 0), true, []int{0}},
 		{"still idle", report(5, true, 0), true, nil},
 	} {
-		table.Put(step.put, step.isForwarded)
+		table.Put(step.put, step.isForwardDue)
 		var got []int
-		for _, o := range table.Changes() {
-			got = append(got, o.Report)
+		for _, e := range table.Changes() {
+			got = append(got, e.Report)
 		}
 		if len(got) != len(step.want) || len(got) > 0 && got[0] != step.want[0] {
-			t.Errorf("%s: forwards %v, want %v", step.name, got, step.want)
+			t.Errorf("%s: the reports to forward are %v, want %v", step.name, got, step.want)
 		}
 	}
 	table.Put(report(6, false, 1), true)
 	table.Put(report(7, false, 2), false)
-	if list := table.Changes(); len(list) != 1 || list[0].Report != 3 || list[0].Seq != 7 {
-		t.Errorf("two reports before the next batch are forwarded as %+v", list)
+	if entries := table.Changes(); len(entries) != 1 || entries[0].Report != 3 || entries[0].Seq != 7 {
+		t.Errorf("two reports before the next batch are forwarded as %+v, want one entry with sequence number 7 and report 3", entries)
 	}
 }
 
-// Guards against gateways that stay in the table after they have stopped, and against heartbeats that bring
-// back a report that is no longer in effect.
+// Guards against gateways that stay in the table after they have stopped, and against heartbeats that keep a
+// report in effect after its gateway has become idle, or clear a newer one.
 func TestTableDropsSilentGateways(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := newCountTable()
 	table.Put(Origin[int]{ID: 1, Seq: 3, Heard: now, Report: 4}, true)
 	table.Vouch(Origin[int]{ID: 1, Seq: 2, Heard: now.Add(500 * time.Millisecond), IsIdle: true})
 	table.Vouch(Origin[int]{ID: 2, Heard: now, HasStopped: true})
-	if list := table.Vouched(); len(list) != 2 || len(table.Vouched()) != 0 {
-		t.Errorf("heartbeats of %+v", list)
+	if entries := table.Vouched(); len(entries) != 2 || len(table.Vouched()) != 0 {
+		t.Errorf("the first call returns the heartbeats %+v, want 2; the second call must return none", entries)
 	}
 	now = now.Add(1200 * time.Millisecond)
-	list := table.Refresh(now, 0)
-	if len(list) != 1 || list[0].ID != 1 || list[0].IsIdle || list[0].Report != 4 {
-		t.Errorf("live %+v, want the report of the first gateway", list)
+	entries := table.Refresh(now, 0)
+	if len(entries) != 1 || entries[0].ID != 1 || entries[0].IsIdle || entries[0].Report != 4 {
+		t.Errorf("live entries %+v, want only gateway 1, not idle, with report 4", entries)
 	}
 	table.Stop(1)
-	if list := table.Refresh(now, 0); !list[0].HasStopped {
-		t.Error("a stopped gateway is returned as live")
+	if entries := table.Refresh(now, 0); !entries[0].HasStopped {
+		t.Error("HasStopped is false for a gateway that was marked as stopped, want true")
 	}
 	table.Vouch(Origin[int]{ID: 1, Seq: 4, Heard: now, IsIdle: true})
-	if list := table.Refresh(now, 0); !list[0].IsIdle || list[0].Report != 0 || list[0].HasStopped {
-		t.Errorf("live %+v, want an idle gateway", list)
+	if entries := table.Refresh(now, 0); !entries[0].IsIdle || entries[0].Report != 0 || entries[0].HasStopped {
+		t.Errorf("live entries %+v, want gateway 1 idle, not stopped and with report 0", entries)
 	}
-	if list := table.Refresh(now.Add(time.Minute), 0); len(list) != 0 || table.Len() != 0 {
-		t.Errorf("%d gateways are left after a minute", len(list))
+	if entries := table.Refresh(now.Add(time.Minute), 0); len(entries) != 0 || table.Len() != 0 {
+		t.Errorf("%d gateways are live after a minute of silence, want none, and an empty table", len(entries))
 	}
 }
--- a/core/fanout/overlay.go
+++ b/core/fanout/overlay.go
@@ -1,11 +1,11 @@
-// Package fanout spreads small reports among the gateways of a large fleet. Each gateway reports to two hubs
-// of its failure domain. A hub collects the reports that arrive within a few milliseconds and sends them as
-// one batch to all gateways of its domain, along a tree, and to the hubs of the other domains. The number of
-// datagrams that a gateway sends and receives a second then does not depend on the size of the fleet; the
-// size of a batch does.
+// Package fanout decides how the small reports of each gateway reach all other gateways of a large fleet. Each
+// gateway reports to two hubs, which are gateways of its failure domain. A hub collects the reports that arrive
+// within a few milliseconds and sends them as one batch to all gateways of its domain, along a tree, and to the
+// hubs of the other domains. The number of datagrams that a gateway sends and receives a second then does not
+// depend on the size of the fleet; the size of a batch does.
 //
-// The package decides which gateway sends to which. It does no I/O and reads no clock: callers provide the
-// locking and pass the time in.
+// Package internal/loadshare uses it for load reports. This package does no I/O and reads no clock: callers
+// provide the locking and pass the time in.
 package fanout
 
 import (
@@ -18,9 +18,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// hubsPerDomain is how many gateways of a domain receive each report. Each of them forwards half of the
-// reports at once and repeats the state of all gateways with each refresh: the loss of one hub delays half of
-// the reports until it is detected.
+// hubsPerDomain is the number of hubs of a domain. All of them receive each report of its gateways. Each hub
+// forwards half of the reports at once and sends the state of all gateways again at regular intervals: the loss
+// of one hub delays half of the reports until it is detected.
 const hubsPerDomain = 2
 
 // maxFlatReceivers is the largest number of receivers to which a hub sends directly. With more of them it
@@ -30,7 +30,7 @@
 // Domain is the numeric identifier of a failure domain.
 type Domain uint32
 
-// Capacity is the processor time available to a gateway, in tenths of a core.
+// Capacity is the processor time available to a gateway, in tenths of a core; 0 if unknown.
 type Capacity uint8
 
 // CapacityOf converts a number of cores into a Capacity. The result is rounded and limited to the range of
@@ -44,13 +44,13 @@
 	Addr     netip.AddrPort
 	Domain   Domain
 	Capacity Capacity
-	// IsHeard is set if the gateway was seen recently, directly or through a hub. Other members are only
-	// listed and may have stopped.
+	// IsHeard is set if the gateway was seen recently, directly or through a hub. Other members have
+	// not reported yet or are silent, and may have stopped.
 	IsHeard bool
 }
 
-// hashAddr returns the hash by which gateways are ordered. It is the same at all gateways; each salt gives
-// another order.
+// hashAddr returns the hash of an address by which gateways are ordered. All gateways compute the same hash;
+// each salt gives another order.
 func hashAddr(addr netip.AddrPort, salt uint64) uint64 {
 	ip := addr.Addr().As16()
 	var key [26]byte
@@ -60,22 +60,22 @@
 	return xxhash.Sum64(key[:])
 }
 
-// Hubs selects the hubs among the members of one domain: those with the most processor time first. It also
-// returns the listed members that would be hubs if they had been seen recently: they may act as hubs and not have the
-// calling gateway in their view yet.
+// Hubs selects the hubs among the members of one domain: at most hubsPerDomain of those that were seen recently,
+// with the most processor time first. It also returns the members without a recent sign of life that rank before
+// the last hub: they may act as hubs and not have the calling gateway in their view yet.
 func Hubs(members []Member) (hubs, listed []netip.AddrPort) {
 	type hashedMember struct {
 		Member
 		hash uint64
 	}
-	list := make([]hashedMember, 0, len(members))
+	ordered := make([]hashedMember, 0, len(members))
 	for _, m := range members {
-		list = append(list, hashedMember{m, hashAddr(m.Addr, 0)})
+		ordered = append(ordered, hashedMember{m, hashAddr(m.Addr, 0)})
 	}
-	slices.SortFunc(list, func(a, b hashedMember) int {
+	slices.SortFunc(ordered, func(a, b hashedMember) int {
 		return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(b.hash, a.hash), a.Addr.Compare(b.Addr))
 	})
-	for _, m := range list {
+	for _, m := range ordered {
 		switch {
 		case len(hubs) == hubsPerDomain:
 			return hubs, listed
@@ -88,7 +88,7 @@
 	return hubs, listed
 }
 
-// Rank returns how many of the others come before a gateway when only some gateways are assigned a task.
+// Rank returns how many of the others come before self when only some gateways are assigned a task.
 // Gateways with more processor time come first.
 func Rank(self Member, others []Member) int {
 	const salt = 2 // gives another order than that of the hubs
@@ -102,15 +102,15 @@
 	return rank
 }
 
-// Branch is a receiver and the gateways to which it forwards.
+// Branch is a receiver to which a hub sends a batch, and the gateways to which this receiver forwards it.
 type Branch struct {
 	First netip.AddrPort
 	Rest  []netip.AddrPort
 }
 
-// Branches divides the receivers of a hub so that no gateway sends to more than about the square root of
-// their number. Each hub divides them differently: a gateway that one hub misses because its forwarder was
-// lost still receives the batch of the other hub.
+// Branches divides the receivers of a hub into branches so that no gateway sends to more than about the square
+// root of their number. Each hub divides them differently: a gateway that a batch of one hub does not reach
+// because the forwarding gateway was lost still receives the batch of the other hub.
 func Branches(hub netip.AddrPort, receivers []netip.AddrPort) []Branch {
 	n := len(receivers)
 	if n <= maxFlatReceivers {
@@ -121,7 +121,7 @@
 		return branches
 	}
 	salt := hashAddr(hub, 1)
-	// Each address is hashed once: hubs divide their receivers with every batch.
+	// Each address is hashed once, not in each comparison: hubs divide their receivers for every batch.
 	type hashedAddr struct {
 		addr netip.AddrPort
 		hash uint64
@@ -135,10 +135,10 @@
 	for _, h := range ordered {
 		addrs = append(addrs, h.addr)
 	}
-	size := int(math.Ceil(math.Sqrt(float64(n))))
+	branchSize := int(math.Ceil(math.Sqrt(float64(n))))
 	var branches []Branch
-	for part := range slices.Chunk(addrs, size) {
-		branches = append(branches, Branch{First: part[0], Rest: part[1:]})
+	for chunk := range slices.Chunk(addrs, branchSize) {
+		branches = append(branches, Branch{First: chunk[0], Rest: chunk[1:]})
 	}
 	return branches
 }
--- a/core/fanout/sim_test.go
+++ b/core/fanout/sim_test.go
@@ -12,37 +12,39 @@
 
 var simAllSizes = flag.Bool("fanout.sizes", false, "simulate all fleet sizes that the tables of the documentation list")
 
-// Parameters of the simulation. They match those of the product.
+// Parameters of the simulation. The intervals and the expiry time match those of internal/loadshare.
 const (
-	simRefreshInterval     = 200 * time.Millisecond // between reports without a change, and between refreshes of a hub
-	simMinHubInterval      = 5 * time.Millisecond   // between two batches of a hub
-	simTTL                 = 700 * time.Millisecond
-	simSendIntervalPerPeer = 500 * time.Microsecond // pause of a gateway without hubs, for each receiver
-	simDomainLatency       = 100 * time.Microsecond // one way
-	simCrossDomainLatency  = 1400 * time.Microsecond
-	simDomains             = 5
-	simChangesPerSecond    = 1.7 // of the loads of one gateway
-	simLossRate            = 0.005
+	simRefreshInterval     = 200 * time.Millisecond  // between reports without a load change, and between refreshes of a hub
+	simMinHubInterval      = 5 * time.Millisecond    // shortest time between two batches of a hub
+	simTTL                 = 700 * time.Millisecond  // silence after which a gateway counts as expired
+	simSendIntervalPerPeer = 500 * time.Microsecond  // pause after a report, for each of its receivers
+	simDomainLatency       = 100 * time.Microsecond  // of a datagram within a domain
+	simCrossDomainLatency  = 1400 * time.Microsecond // of a datagram between domains
+	simDomainCount         = 5
+	simChangesPerSecond    = 1.7   // mean rate of load changes at one gateway
+	simLossRate            = 0.005 // share of the datagrams that are lost
 	simDuration            = 3 * time.Second
-	simWarmUp              = time.Second
-	simSampleInterval      = 37 * time.Millisecond
-	simObservers           = 8 // gateways whose views are measured
+	simWarmUp              = time.Second           // start of the simulation, without measurement
+	simSampleInterval      = 37 * time.Millisecond // between two samples of the observers' views
+	simObserverCount       = 8                     // number of gateways whose views are measured
 )
 
+// simEvent is a call of run at a simulated time. Events at the same time run in the order of seq.
 type simEvent struct {
 	at  time.Duration
 	seq int
 	run func()
 }
 
+// simQueue is a heap of the pending events, ordered by time. It implements heap.Interface.
 type simQueue []simEvent
 
 func (q simQueue) Len() int { return len(q) }
 func (q simQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q simQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *simQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
+func (q simQueue) Swap(i, j int)   { q[i], q[j] = q[j], q[i] }
+func (q *simQueue) Push(event any) { *q = append(*q, event.(simEvent)) }
 func (q *simQueue) Pop() any {
 	last := len(*q) - 1
 	e := (*q)[last]
@@ -52,53 +54,56 @@
 
 // simFleet is a simulated fleet of gateways that exchange their loads.
 type simFleet struct {
-	hasHubs      bool
+	hasHubs      bool // reports go through hubs, otherwise directly to all gateways and relays
 	rng          *rand.Rand
-	now          time.Duration
+	now          time.Duration // simulated time since the start
 	queue        simQueue
-	events       int
-	all          []*simGateway
+	scheduled    int           // number of events so far, the source of simEvent.seq
+	gateways     []*simGateway // by ID
 	byAddr       map[netip.AddrPort]*simGateway
 	changeDelays []time.Duration // from a load change to its arrival at an observer
-	// falselyExpired is in how many of the samples a live gateway counted as expired.
+	// samples is the number of pairs of an observer and a gateway that were checked, falselyExpired in how many
+	// of them a live gateway counted as expired.
 	falselyExpired, samples int
 }
 
-// simReport is a report. It holds only the time of the sender's last load change.
+// simReport is the content of a simulated report: the time of the sender's last load change.
 type simReport struct{ changedAt time.Duration }
 
+// simGateway is a simulated gateway.
 type simGateway struct {
 	fleet     *simFleet
 	id        ID
 	member    Member
-	isDead    bool
-	seq       uint64
-	changedAt time.Duration // time of the last load change
-	table     *Table[simReport]
-	isPaused,
+	isDead    bool              // the gateway sends and receives nothing
+	seq       uint64            // sequence number of its newest report
+	changedAt time.Duration     // time of the last load change
+	table     *Table[simReport] // state as a hub
+	isPaused, // the pause after a report is not over
 	isSendDue bool // a report is to be sent once isPaused is reset
-	isFlushDue     bool
-	sent, received int
-	isObserver     bool
+	isFlushDue     bool            // a batch is scheduled
+	sent, received int             // datagrams
+	isObserver     bool            // the view of this gateway is measured
 	lastFlush      time.Duration   // when the last batch was sent
 	knownSeq       []uint64        // newest sequence number of each gateway
 	knownChangedAt []time.Duration // time of the last load change received from each gateway
 	lastSeen       []time.Duration // when each gateway was last seen
 }
 
+// newSimFleet returns a fleet of n gateways with their first reports and refreshes scheduled at random times.
 func newSimFleet(n int, hasHubs bool, seed uint64) *simFleet {
 	f := &simFleet{hasHubs: hasHubs, rng: rand.New(rand.NewPCG(seed, 1)), byAddr: make(map[netip.AddrPort]*simGateway)}
 	for i := range n {
-		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i % simDomains), byte(i >> 8), byte(i)}), 7000)
+		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i % simDomainCount), byte(i >> 8), byte(i)}), 7000)
 		g := &simGateway{
-			fleet: f, id: ID(i), member: Member{Addr: addr, Domain: Domain(i % simDomains), IsHeard: true}, isObserver: i%(n/simObservers) == 1,
+			fleet: f, id: ID(i), member: Member{Addr: addr, Domain: Domain(i % simDomainCount), IsHeard: true}, isObserver: i%(n/simObserverCount) == 1,
 			knownSeq: make([]uint64, n), knownChangedAt: make([]time.Duration, n), lastSeen: make([]time.Duration, n),
 			table: NewTable(simTTL, func(_, next simReport) simReport { return next }),
 		}
-		f.all = append(f.all, g)
+		f.gateways = append(f.gateways, g)
 		f.byAddr[addr] = g
 	}
-	for _, g := range f.all {
+	for _, g := range f.gateways {
 		f.schedule(time.Duration(f.rng.Float64()*float64(simRefreshInterval)), g.refreshReport)
 		f.schedule(time.Duration(f.rng.Float64()*float64(simRefreshInterval)), g.refreshHub)
 		f.schedule(f.drawChangeDelay(), g.changeLoads)
@@ -106,15 +111,18 @@
 	return f
 }
 
+// drawChangeDelay returns a random time until the next load change of a gateway.
 func (f *simFleet) drawChangeDelay() time.Duration {
 	return time.Duration(f.rng.ExpFloat64() / simChangesPerSecond * float64(time.Second))
 }
 
-func (f *simFleet) schedule(d time.Duration, run func()) {
-	f.events++
-	heap.Push(&f.queue, simEvent{f.now + d, f.events, run})
+// schedule adds an event that calls run after delay.
+func (f *simFleet) schedule(delay time.Duration, run func()) {
+	f.scheduled++
+	heap.Push(&f.queue, simEvent{f.now + delay, f.scheduled, run})
 }
 
+// run runs all events up to a simulated time.
 func (f *simFleet) run(until time.Duration) {
 	for len(f.queue) > 0 && f.queue[0].at <= until {
 		e := heap.Pop(&f.queue).(simEvent)
@@ -124,7 +132,7 @@
 	f.now = until
 }
 
-// send delivers a datagram unless it is lost.
+// send sends a datagram: deliver runs after the latency, unless the datagram is lost or its receiver is dead.
 func (g *simGateway) send(to *simGateway, deliver func()) {
 	g.sent++
 	delay := simDomainLatency
@@ -142,6 +150,7 @@
 	})
 }
 
+// changeLoads changes the loads of the gateway, reports the change and schedules the next one.
 func (g *simGateway) changeLoads() {
 	if g.isDead {
 		return
@@ -151,6 +160,7 @@
 	g.sendReport()
 }
 
+// refreshReport sends a report without a load change, and schedules the next one.
 func (g *simGateway) refreshReport() {
 	if g.isDead {
 		return
@@ -166,14 +176,14 @@
 		return
 	}
 	g.seq++
-	n := 0
+	receiverCount := 0
 	if g.fleet.hasHubs {
-		n = g.sendToHubs()
+		receiverCount = g.sendToHubs()
 	} else {
-		n = g.sendDirect()
+		receiverCount = g.sendDirect()
 	}
 	g.isPaused = true
-	g.fleet.schedule(max(3*time.Millisecond, time.Duration(n)*simSendIntervalPerPeer), func() {
+	g.fleet.schedule(max(3*time.Millisecond, time.Duration(receiverCount)*simSendIntervalPerPeer), func() {
 		g.isPaused = false
 		if g.isSendDue && !g.isDead {
 			g.isSendDue = false
@@ -185,80 +195,84 @@
 // sendDirect sends a report to all gateways of the own domain and to one relay in each other domain. It
 // returns the number of receivers.
 func (g *simGateway) sendDirect() int {
-	n := 0
-	relays := make([][]*simGateway, simDomains)
-	for _, to := range g.fleet.all {
+	receiverCount := 0
+	relays := make([][]*simGateway, simDomainCount)
+	for _, to := range g.fleet.gateways {
 		switch {
 		case to == g || g.isExpired(to):
 		case to.member.Domain == g.member.Domain:
-			n++
+			receiverCount++
 			seq, changedAt := g.seq, g.changedAt
 			g.send(to, func() { to.applyReport(g.id, seq, changedAt, to.fleet.now) })
 		default:
 			relays[to.member.Domain] = append(relays[to.member.Domain], to)
 		}
 	}
-	for _, list := range relays {
-		if len(list) == 0 {
+	for _, candidates := range relays {
+		if len(candidates) == 0 {
 			continue
 		}
-		n++
-		to := list[(int(g.id)+int(g.seq%2))%len(list)]
+		receiverCount++
+		to := candidates[(int(g.id)+int(g.seq%2))%len(candidates)]
 		seq, changedAt := g.seq, g.changedAt
 		g.send(to, func() { to.relayReport(g.id, seq, changedAt) })
 	}
-	return n
+	return receiverCount
 }
 
+// relayReport applies a report of a gateway of another domain and forwards it to all gateways of the own domain.
 func (g *simGateway) relayReport(id ID, seq uint64, changedAt time.Duration) {
 	g.applyReport(id, seq, changedAt, g.fleet.now)
-	for _, to := range g.fleet.all {
+	for _, to := range g.fleet.gateways {
 		if to != g && to.member.Domain == g.member.Domain && !g.isExpired(to) {
 			g.send(to, func() { to.applyReport(id, seq, changedAt, to.fleet.now) })
 		}
 	}
 }
 
-func (g *simGateway) isExpired(to *simGateway) bool {
-	return g.fleet.now > simTTL && g.fleet.now-g.lastSeen[to.id] > simTTL
+// isExpired reports whether g has not received a report or heartbeat of another gateway for longer than simTTL.
+func (g *simGateway) isExpired(other *simGateway) bool {
+	return g.fleet.now > simTTL && g.fleet.now-g.lastSeen[other.id] > simTTL
 }
 
 // members returns the gateways of a domain as seen by g.
 func (g *simGateway) members(d Domain) []Member {
-	var list []Member
-	for _, m := range g.fleet.all {
-		if m.member.Domain == d {
-			list = append(list, Member{Addr: m.member.Addr, Domain: d, IsHeard: m == g || !g.isExpired(m)})
+	var members []Member
+	for _, other := range g.fleet.gateways {
+		if other.member.Domain == d {
+			members = append(members, Member{Addr: other.member.Addr, Domain: d, IsHeard: other == g || !g.isExpired(other)})
 		}
 	}
-	return list
+	return members
 }
 
+// sendToHubs sends a report to the hubs of the own domain. It returns the number of hubs.
 func (g *simGateway) sendToHubs() int {
 	hubs, _ := Hubs(g.members(g.member.Domain))
 	for i, addr := range hubs {
 		to := g.fleet.byAddr[addr]
-		o := Origin[simReport]{ID: g.id, Domain: g.member.Domain, Seq: g.seq, Heard: simTime(g.fleet.now), Report: simReport{g.changedAt}}
-		isForwarded := g.seq%uint64(len(hubs)) == uint64(i)
+		e := Origin[simReport]{ID: g.id, Domain: g.member.Domain, Seq: g.seq, Heard: simTime(g.fleet.now), Report: simReport{g.changedAt}}
+		isForwardDue := g.seq%uint64(len(hubs)) == uint64(i)
 		if to == g {
-			g.putReport(o, isForwarded)
+			g.putReport(e, isForwardDue)
 			continue
 		}
 		g.send(to, func() {
-			o.Heard = simTime(to.fleet.now)
-			to.applyReport(o.ID, o.Seq, o.Report.changedAt, to.fleet.now)
-			to.putReport(o, isForwarded)
+			e.Heard = simTime(to.fleet.now)
+			to.applyReport(e.ID, e.Seq, e.Report.changedAt, to.fleet.now)
+			to.putReport(e, isForwardDue)
 		})
 	}
 	return len(hubs)
 }
 
-func simTime(d time.Duration) time.Time { return time.Unix(0, 0).Add(d) }
+// simTime converts a simulated time since the start to the time that a Table uses.
+func simTime(sinceStart time.Duration) time.Time { return time.Unix(0, 0).Add(sinceStart) }
 
-// putReport stores a report in the hub's table.
-func (g *simGateway) putReport(o Origin[simReport], isForwarded bool) {
-	g.table.Put(o, isForwarded)
-	if isForwarded {
+// putReport stores a report in the table of g as a hub, and schedules a batch if the report is to be forwarded.
+func (g *simGateway) putReport(e Origin[simReport], isForwardDue bool) {
+	g.table.Put(e, isForwardDue)
+	if isForwardDue {
 		g.scheduleFlush()
 	}
 }
@@ -278,26 +292,28 @@
 	})
 }
 
+// refreshHub sends the state of all live gateways of the own domain, and schedules the next refresh.
 func (g *simGateway) refreshHub() {
 	if g.isDead {
 		return
 	}
 	g.fleet.schedule(simRefreshInterval, g.refreshHub)
-	if list := g.table.Refresh(simTime(g.fleet.now), g.member.Domain); len(list) > 0 {
-		g.sendBatch(nil, list)
+	if heartbeats := g.table.Refresh(simTime(g.fleet.now), g.member.Domain); len(heartbeats) > 0 {
+		g.sendBatch(nil, heartbeats)
 	}
 }
 
-// sendBatch sends a batch to the own domain, and its entries of the own domain to a hub of each other domain.
+// sendBatch sends a batch to all gateways of the own domain, and the entries of the own domain in it to a hub of
+// each other domain.
 func (g *simGateway) sendBatch(changes, heartbeats []Origin[simReport]) {
 	if len(changes) == 0 && len(heartbeats) == 0 {
 		return
 	}
-	isOther := func(o Origin[simReport]) bool { return o.Domain != g.member.Domain }
+	isOther := func(e Origin[simReport]) bool { return e.Domain != g.member.Domain }
 	ownChanges := slices.DeleteFunc(slices.Clone(changes), isOther)
 	ownHeartbeats := slices.DeleteFunc(slices.Clone(heartbeats), isOther)
 	rank := slices.IndexFunc(hubsOf(Hubs(g.members(g.member.Domain))), func(a netip.AddrPort) bool { return a == g.member.Addr })
-	for d := range Domain(simDomains) {
+	for d := range Domain(simDomainCount) {
 		hubs := hubsOf(Hubs(g.members(d)))
 		if d == g.member.Domain || len(hubs) == 0 || len(ownChanges) == 0 && len(ownHeartbeats) == 0 {
 			continue
@@ -323,32 +339,35 @@
 	}
 }
 
+// hubsOf returns the first result of Hubs, to pass both results of a call on.
 func hubsOf(hubs, _ []netip.AddrPort) []netip.AddrPort { return hubs }
 
-func (g *simGateway) applyBatch(changes, heartbeats []Origin[simReport], isHub bool) {
-	for _, o := range changes {
-		g.applyReport(o.ID, o.Seq, o.Report.changedAt, o.Heard.Sub(simTime(0)))
-		if isHub {
-			g.putReport(o, true)
+// applyBatch applies a received batch. isFromOtherDomain is set for a batch that a hub of another domain has sent
+// to g, which distributes it in the own domain.
+func (g *simGateway) applyBatch(changes, heartbeats []Origin[simReport], isFromOtherDomain bool) {
+	for _, e := range changes {
+		g.applyReport(e.ID, e.Seq, e.Report.changedAt, e.Heard.Sub(simTime(0)))
+		if isFromOtherDomain {
+			g.putReport(e, true)
 		}
 	}
-	for _, o := range heartbeats {
-		g.applyReport(o.ID, o.Seq, o.Report.changedAt, o.Heard.Sub(simTime(0)))
-		if isHub {
-			g.table.Vouch(o)
+	for _, e := range heartbeats {
+		g.applyReport(e.ID, e.Seq, e.Report.changedAt, e.Heard.Sub(simTime(0)))
+		if isFromOtherDomain {
+			g.table.Vouch(e)
 			g.scheduleFlush()
 		}
 	}
 }
 
-// sampleViews counts the live gateways that count as expired at an observer.
+// sampleViews counts how many live gateways count as expired at each observer, and schedules the next sample.
 func (f *simFleet) sampleViews() {
 	f.schedule(simSampleInterval, f.sampleViews)
-	for _, g := range f.all {
+	for _, g := range f.gateways {
 		if !g.isObserver || g.isDead {
 			continue
 		}
-		for _, other := range f.all {
+		for _, other := range f.gateways {
 			f.samples++
 			if other != g && !other.isDead && g.isExpired(other) {
 				f.falselyExpired++
@@ -357,7 +376,8 @@
 	}
 }
 
-// applyReport applies the report of a gateway that was last seen at the given time.
+// applyReport applies a report of another gateway. changedAt is the time of that gateway's last load change,
+// seenAt the time at which it was last seen.
 func (g *simGateway) applyReport(id ID, seq uint64, changedAt, seenAt time.Duration) {
 	g.lastSeen[id] = max(g.lastSeen[id], seenAt)
 	if seq <= g.knownSeq[id] || id == g.id {
@@ -370,61 +390,63 @@
 	g.knownChangedAt[id] = max(g.knownChangedAt[id], changedAt)
 }
 
-// simResult holds the traffic and the delays of a simulation.
+// simResult holds the traffic and the delays of a simulation: sent and received are means over all gateways,
+// maxSent and maxReceived the values of the gateway with the most traffic.
 type simResult struct {
-	sent, received, maxSent, maxReceived float64 // datagrams per second and gateway
-	meanDelay, p99Delay                  time.Duration
-	falselyExpiredShare                  float64 // share of the samples in which a live gateway counts as expired
+	sent, received, maxSent, maxReceived float64       // datagrams per second and gateway
+	meanDelay, p99Delay                  time.Duration // from a load change to its arrival at an observer
+	falselyExpiredShare                  float64       // share of the samples in which a live gateway counts as expired
 }
 
+// simulate runs a fleet of n gateways for simDuration and measures it after simWarmUp.
 func simulate(n int, hasHubs bool) simResult {
 	f := newSimFleet(n, hasHubs, uint64(n))
 	f.run(simWarmUp)
 	f.sampleViews()
-	for _, g := range f.all {
+	for _, g := range f.gateways {
 		g.sent, g.received = 0, 0
 	}
 	f.run(simDuration)
 	seconds := (simDuration - simWarmUp).Seconds()
-	var r simResult
-	for _, g := range f.all {
+	var result simResult
+	for _, g := range f.gateways {
 		sent, received := float64(g.sent)/seconds, float64(g.received)/seconds
-		r.sent += sent / float64(n)
-		r.received += received / float64(n)
-		r.maxSent, r.maxReceived = max(r.maxSent, sent), max(r.maxReceived, received)
+		result.sent += sent / float64(n)
+		result.received += received / float64(n)
+		result.maxSent, result.maxReceived = max(result.maxSent, sent), max(result.maxReceived, received)
 	}
 	slices.Sort(f.changeDelays)
 	var sum time.Duration
 	for _, d := range f.changeDelays {
 		sum += d
 	}
-	r.falselyExpiredShare = float64(f.falselyExpired) / float64(f.samples)
-	r.meanDelay, r.p99Delay = sum/time.Duration(len(f.changeDelays)), f.changeDelays[len(f.changeDelays)*99/100]
-	return r
+	result.falselyExpiredShare = float64(f.falselyExpired) / float64(f.samples)
+	result.meanDelay, result.p99Delay = sum/time.Duration(len(f.changeDelays)), f.changeDelays[len(f.changeDelays)*99/100]
+	return result
 }
 
-// Guards against a number of datagrams per gateway that grows with the fleet, and against hubs that make
-// reports so late that live gateways expire.
+// Guards against a number of datagrams per gateway that grows with the fleet, and against hubs that delay
+// reports so much that live gateways expire.
 func TestReportsPerGatewayDoNotGrowWithFleet(t *testing.T) {
 	sizes := []int{88, 294}
 	if *simAllSizes {
 		sizes = []int{28, 88, 294, 556, 1112}
 	}
-	// 88 gateways are below the size from which the product uses hubs.
-	small := simulate(88, false)
+	// A fleet of 88 gateways is too small for hubs: internal/loadshare sends directly to all receivers then.
+	smallFleet := simulate(88, false)
 	for _, n := range sizes {
-		direct, hubs := simResult{}, simulate(n, true)
+		withoutHubs, withHubs := simResult{}, simulate(n, true)
 		if n <= 600 && *simAllSizes {
-			direct = simulate(n, false)
+			withoutHubs = simulate(n, false)
 		}
 		t.Logf("%5d gateways: with hubs: sent/s %5.0f, max %5.0f, received/s %5.0f, max %5.0f, falsely expired %.5f, delay mean %v, p99 %v; without hubs: sent/s %5.0f, received/s %5.0f, delay mean %v, p99 %v",
-			n, hubs.sent, hubs.maxSent, hubs.received, hubs.maxReceived, hubs.falselyExpiredShare, hubs.meanDelay.Round(100*time.Microsecond), hubs.p99Delay.Round(100*time.Microsecond),
-			direct.sent, direct.received, direct.meanDelay.Round(100*time.Microsecond), direct.p99Delay.Round(100*time.Microsecond))
-		if hubs.falselyExpiredShare > 0.0001 {
-			t.Errorf("%d gateways: %.5f of the samples show a live gateway as expired", n, hubs.falselyExpiredShare)
+			n, withHubs.sent, withHubs.maxSent, withHubs.received, withHubs.maxReceived, withHubs.falselyExpiredShare, withHubs.meanDelay.Round(100*time.Microsecond), withHubs.p99Delay.Round(100*time.Microsecond),
+			withoutHubs.sent, withoutHubs.received, withoutHubs.meanDelay.Round(100*time.Microsecond), withoutHubs.p99Delay.Round(100*time.Microsecond))
+		if withHubs.falselyExpiredShare > 0.0001 {
+			t.Errorf("%d gateways: a share of %.5f of the samples shows a live gateway as expired, want at most 0.0001", n, withHubs.falselyExpiredShare)
 		}
-		if n > 88 && hubs.received > 1.3*small.received {
-			t.Errorf("%d gateways receive %.0f datagrams a second each, 88 receive %.0f", n, hubs.received, small.received)
+		if n > 88 && withHubs.received > 1.3*smallFleet.received {
+			t.Errorf("%d gateways with hubs receive %.0f datagrams a second each, want at most 1.3 times the %.0f of 88 gateways without hubs", n, withHubs.received, smallFleet.received)
 		}
 	}
 }
@@ -436,18 +458,18 @@
 	f := newSimFleet(gateways, true, 3)
 	f.run(lostAt)
 	lost := make(map[ID]bool)
-	for d := range Domain(simDomains) {
-		hubs, _ := Hubs(f.all[0].members(d))
+	for d := range Domain(simDomainCount) {
+		hubs, _ := Hubs(f.gateways[0].members(d))
 		g := f.byAddr[hubs[0]]
 		g.isDead = true
 		lost[g.id] = true
 	}
-	countErrors := func() (expired, live int) {
-		for _, g := range f.all {
+	countWrongViews := func() (expired, live int) {
+		for _, g := range f.gateways {
 			if !g.isObserver || g.isDead {
 				continue
 			}
-			for _, other := range f.all {
+			for _, other := range f.gateways {
 				switch {
 				case other == g:
 				case lost[other.id] && !g.isExpired(other):
@@ -460,14 +482,14 @@
 		return expired, live
 	}
 	var maxExpired int
-	for after := simSampleInterval; after < 2*simTTL; after += simSampleInterval {
-		f.run(lostAt + after)
-		expired, _ := countErrors()
+	for sinceLoss := simSampleInterval; sinceLoss < 2*simTTL; sinceLoss += simSampleInterval {
+		f.run(lostAt + sinceLoss)
+		expired, _ := countWrongViews()
 		maxExpired = max(maxExpired, expired)
 	}
-	expired, live := countErrors()
-	t.Logf("at most %d of %d views showed a live gateway as expired", maxExpired, simObservers*gateways)
+	expired, live := countWrongViews()
+	t.Logf("at most %d of %d views showed a live gateway as expired", maxExpired, simObserverCount*gateways)
 	if expired > 0 || live > 0 {
-		t.Errorf("%v after the loss %d live gateways count as expired, %d lost ones as live", 2*simTTL, expired, live)
+		t.Errorf("%v after the loss of the hubs %d live gateways count as expired and %d lost ones as live, want 0 of both", 2*simTTL, expired, live)
 	}
 }
