--- a/core/fanout/bench_test.go
+++ b/core/fanout/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkBranches measures how long a hub takes to divide the 110 other gateways of its domain into branches.
-// A hub does so for every batch.
+// BenchmarkBranches measures how long a hub takes to divide the 110 other gateways of its domain into
+// branches. A hub does so for every batch.
 func BenchmarkBranches(b *testing.B) {
 	var receivers []netip.AddrPort
 	for i := range 110 {
--- a/core/fanout/fanout_test.go
+++ b/core/fanout/fanout_test.go
@@ -20,8 +20,8 @@
 	return members
 }
 
-// Guards against gateways that select different hubs from the same members: they would report to gateways that
-// do not act as hubs.
+// Guards against gateways that select different hubs from the same members: they would report to gateways
+// that do not act as hubs.
 func TestAllGatewaysSelectSameHubs(t *testing.T) {
 	members := testMembers(111, func(int) bool { return true })
 	hubs, listed := Hubs(members)
@@ -42,8 +42,8 @@
 	}
 }
 
-// Guards against an order in which gateways with little processor time come first and are assigned the work of
-// hubs and other tasks.
+// Guards against an order in which gateways with little processor time come first and are assigned the work
+// of hubs and other tasks.
 func TestGatewaysWithMoreCapacityRankFirst(t *testing.T) {
 	members := testMembers(60, func(int) bool { return true })
 	for i := range members {
--- a/core/fanout/overlay.go
+++ b/core/fanout/overlay.go
@@ -1,8 +1,8 @@
-// Package fanout decides how the small reports of each gateway reach all other gateways of a large fleet. Each
-// gateway reports to two hubs, which are gateways of its failure domain. A hub collects the reports that arrive
-// within a few milliseconds and sends them as one batch to all gateways of its domain, along a tree, and to the
-// hubs of the other domains. The number of datagrams that a gateway sends and receives a second then does not
-// depend on the size of the fleet; the size of a batch does.
+// Package fanout decides how the small reports of each gateway reach all other gateways of a large fleet.
+// Each gateway reports to two hubs, which are gateways of its failure domain. A hub collects the reports that
+// arrive within a few milliseconds and sends them as one batch to all gateways of its domain, along a tree,
+// and to the hubs of the other domains. The number of datagrams that a gateway sends and receives a second
+// then does not depend on the size of the fleet; the size of a batch does.
 //
 // Package internal/loadshare uses it for load reports. This package does no I/O and reads no clock: callers
 // provide the locking and pass the time in.
@@ -19,8 +19,8 @@
 )
 
 // hubsPerDomain is the number of hubs of a domain. All of them receive each report of its gateways. Each hub
-// forwards half of the reports at once and sends the state of all gateways again at regular intervals: the loss
-// of one hub delays half of the reports until it is detected.
+// forwards half of the reports at once and sends the state of all gateways again at regular intervals: the
+// loss of one hub delays half of the reports until it is detected.
 const hubsPerDomain = 2
 
 // maxFlatReceivers is the largest number of receivers to which a hub sends directly. With more of them it
@@ -60,9 +60,9 @@
 	return xxhash.Sum64(key[:])
 }
 
-// Hubs selects the hubs among the members of one domain: at most hubsPerDomain of those that were seen recently,
-// with the most processor time first. It also returns the members without a recent sign of life that rank before
-// the last hub: they may act as hubs and not have the calling gateway in their view yet.
+// Hubs selects the hubs among the members of one domain: at most hubsPerDomain of those that were seen
+// recently, with the most processor time first. It also returns the members without a recent sign of life
+// that rank before the last hub: they may act as hubs and not have the calling gateway in their view yet.
 func Hubs(members []Member) (hubs, listed []netip.AddrPort) {
 	type hashedMember struct {
 		Member
@@ -108,9 +108,9 @@
 	Rest  []netip.AddrPort
 }
 
-// Branches divides the receivers of a hub into branches so that no gateway sends to more than about the square
-// root of their number. Each hub divides them differently: a gateway that a batch of one hub does not reach
-// because the forwarding gateway was lost still receives the batch of the other hub.
+// Branches divides the receivers of a hub into branches so that no gateway sends to more than about the
+// square root of their number. Each hub divides them differently: a gateway that a batch of one hub does not
+// reach because the forwarding gateway was lost still receives the batch of the other hub.
 func Branches(hub netip.AddrPort, receivers []netip.AddrPort) []Branch {
 	n := len(receivers)
 	if n <= maxFlatReceivers {
--- a/core/fanout/sim_test.go
+++ b/core/fanout/sim_test.go
@@ -21,10 +21,10 @@
 	simDomainLatency       = 100 * time.Microsecond  // of a datagram within a domain
 	simCrossDomainLatency  = 1400 * time.Microsecond // of a datagram between domains
 	simDomainCount         = 5
-	simChangesPerSecond    = 1.7   // mean rate of load changes at one gateway
-	simLossRate            = 0.005 // share of the datagrams that are lost
-	simDuration            = 3 * time.Second
-	simWarmUp              = time.Second           // start of the simulation, without measurement
+	simChangesPerSecond    = 1.7                   // mean rate of load changes at one gateway
+	simLossRate            = 0.005                 // share of the datagrams that are lost
+	simDuration            = 3 * time.Second       // including simWarmUp
+	simWarmUp              = time.Second           // start of the simulation, which is not measured
 	simSampleInterval      = 37 * time.Millisecond // between two samples of the observers' views
 	simObserverCount       = 8                     // number of gateways whose views are measured
 )
@@ -58,12 +58,12 @@
 	rng          *rand.Rand
 	now          time.Duration // simulated time since the start
 	queue        simQueue
-	scheduled    int           // number of events so far, the source of simEvent.seq
+	eventCount   int           // number of events so far, the source of simEvent.seq
 	gateways     []*simGateway // by ID
 	byAddr       map[netip.AddrPort]*simGateway
 	changeDelays []time.Duration // from a load change to its arrival at an observer
-	// samples is the number of pairs of an observer and a gateway that were checked, falselyExpired in how many
-	// of them a live gateway counted as expired.
+	// samples is the number of pairs of an observer and a gateway that were checked, falselyExpired in how
+	// many of them a live gateway counted as expired.
 	falselyExpired, samples int
 }
 
@@ -118,8 +118,8 @@
 
 // schedule adds an event that calls run after delay.
 func (f *simFleet) schedule(delay time.Duration, run func()) {
-	f.scheduled++
-	heap.Push(&f.queue, simEvent{f.now + delay, f.scheduled, run})
+	f.eventCount++
+	heap.Push(&f.queue, simEvent{f.now + delay, f.eventCount, run})
 }
 
 // run runs all events up to a simulated time.
@@ -220,7 +220,8 @@
 	return receiverCount
 }
 
-// relayReport applies a report of a gateway of another domain and forwards it to all gateways of the own domain.
+// relayReport applies a report of a gateway of another domain and forwards it to all gateways of the own
+// domain.
 func (g *simGateway) relayReport(id ID, seq uint64, changedAt time.Duration) {
 	g.applyReport(id, seq, changedAt, g.fleet.now)
 	for _, to := range g.fleet.gateways {
@@ -230,7 +231,8 @@
 	}
 }
 
-// isExpired reports whether g has not received a report or heartbeat of another gateway for longer than simTTL.
+// isExpired reports whether g has not received a report or heartbeat of another gateway for longer than
+// simTTL.
 func (g *simGateway) isExpired(other *simGateway) bool {
 	return g.fleet.now > simTTL && g.fleet.now-g.lastSeen[other.id] > simTTL
 }
@@ -269,7 +271,8 @@
 // simTime converts a simulated time since the start to the time that a Table uses.
 func simTime(sinceStart time.Duration) time.Time { return time.Unix(0, 0).Add(sinceStart) }
 
-// putReport stores a report in the table of g as a hub, and schedules a batch if the report is to be forwarded.
+// putReport stores a report in the table of g as a hub, and schedules a batch if the report is to be
+// forwarded.
 func (g *simGateway) putReport(e Origin[simReport], isForwardDue bool) {
 	g.table.Put(e, isForwardDue)
 	if isForwardDue {
@@ -303,8 +306,8 @@
 	}
 }
 
-// sendBatch sends a batch to all gateways of the own domain, and the entries of the own domain in it to a hub of
-// each other domain.
+// sendBatch sends a batch to all gateways of the own domain, and the entries of the own domain in it to a hub
+// of each other domain.
 func (g *simGateway) sendBatch(changes, heartbeats []Origin[simReport]) {
 	if len(changes) == 0 && len(heartbeats) == 0 {
 		return
@@ -342,8 +345,8 @@
 // hubsOf returns the first result of Hubs, to pass both results of a call on.
 func hubsOf(hubs, _ []netip.AddrPort) []netip.AddrPort { return hubs }
 
-// applyBatch applies a received batch. isFromOtherDomain is set for a batch that a hub of another domain has sent
-// to g, which distributes it in the own domain.
+// applyBatch applies a received batch. isFromOtherDomain is set for a batch that a hub of another domain has
+// sent to g, which distributes it in the own domain.
 func (g *simGateway) applyBatch(changes, heartbeats []Origin[simReport], isFromOtherDomain bool) {
 	for _, e := range changes {
 		g.applyReport(e.ID, e.Seq, e.Report.changedAt, e.Heard.Sub(simTime(0)))
@@ -454,8 +457,8 @@
 // Guards against live gateways that stay expired, or lost ones that stay live, after the first hub of each
 // domain is lost at the same time.
 func TestViewsRecoverAfterHubLoss(t *testing.T) {
-	const gateways, lostAt = 294, simWarmUp
-	f := newSimFleet(gateways, true, 3)
+	const gatewayCount, lostAt = 294, simWarmUp
+	f := newSimFleet(gatewayCount, true, 3)
 	f.run(lostAt)
 	lost := make(map[ID]bool)
 	for d := range Domain(simDomainCount) {
@@ -488,7 +491,7 @@
 		maxExpired = max(maxExpired, expired)
 	}
 	expired, live := countWrongViews()
-	t.Logf("at most %d of %d views showed a live gateway as expired", maxExpired, simObserverCount*gateways)
+	t.Logf("at most %d of %d views showed a live gateway as expired", maxExpired, simObserverCount*gatewayCount)
 	if expired > 0 || live > 0 {
 		t.Errorf("%v after the loss of the hubs %d live gateways count as expired and %d lost ones as live, want 0 of both", 2*simTTL, expired, live)
 	}
--- a/core/fanout/table.go
+++ b/core/fanout/table.go
@@ -48,8 +48,9 @@
 	return &Table[R]{ttl: ttl, merge: merge, rows: make(map[ID]*row[R])}
 }
 
-// Put stores a report. One that is not newer than the stored report only counts as a heartbeat. If isForwardDue
-// is set, the next call of Changes returns the report, unless it only repeats that its gateway is idle.
+// Put stores a report. One that is not newer than the stored report only counts as a heartbeat. If
+// isForwardDue is set, the next call of Changes returns the report, unless it only repeats that its gateway
+// is idle.
 func (t *Table[R]) Put(e Origin[R], isForwardDue bool) {
 	r := t.ensureRow(e)
 	r.recordLiveness(e)
@@ -67,8 +68,8 @@
 	}
 }
 
-// Vouch records a heartbeat of a gateway that a hub of another domain has sent. A heartbeat that says that the
-// gateway is idle clears its stored report, unless the report is newer.
+// Vouch records a heartbeat of a gateway that a hub of another domain has sent. A heartbeat that says that
+// the gateway is idle clears its stored report, unless the report is newer.
 func (t *Table[R]) Vouch(e Origin[R]) {
 	r := t.ensureRow(e)
 	r.recordLiveness(e)
@@ -93,15 +94,16 @@
 	return r
 }
 
-// recordLiveness copies from e when the gateway was last seen, whether its process has stopped, and the state of
-// its connection to the store, unless e is older than the row.
+// recordLiveness copies from e when the gateway was last seen, whether its process has stopped, and the state
+// of its connection to the store, unless e is older than the row.
 func (r *row[R]) recordLiveness(e Origin[R]) {
 	if e.Heard.After(r.Heard) {
 		r.Heard, r.Contact, r.HasDetour, r.HasStopped = e.Heard, e.Contact, e.HasDetour, e.HasStopped
 	}
 }
 
-// Stop marks a gateway's process as stopped until a newer report or heartbeat arrives. An unknown id is ignored.
+// Stop marks a gateway's process as stopped until a newer report or heartbeat arrives. An unknown id is
+// ignored.
 func (t *Table[R]) Stop(id ID) {
 	if r, ok := t.rows[id]; ok {
 		r.HasStopped = true
@@ -134,8 +136,8 @@
 	return entries
 }
 
-// Refresh drops the gateways of all domains that have been silent for longer than the table's ttl, and returns
-// the entries of the remaining ones of domain d.
+// Refresh drops the gateways of all domains that have been silent for longer than the table's ttl, and
+// returns the entries of the remaining ones of domain d.
 func (t *Table[R]) Refresh(now time.Time, d Domain) []Origin[R] {
 	entries := make([]Origin[R], 0, len(t.rows))
 	for id, r := range t.rows {
