--- a/internal/loadshare/batch.go
+++ b/internal/loadshare/batch.go
@@ -13,34 +13,35 @@
 	"arbutusramp/core/quarantine"
 )
 
-// batch is a message of a hub about many gateways. Its receiver forwards the content unchanged to the
-// addresses in Forward.
+// batch is the datagram in which a hub sends the reports of many gateways. Its receiver applies the content
+// and sends it unchanged to the addresses in Forward.
 type batch struct {
-	_       struct{} `cbor:",toarray"`
-	Forward []netip.AddrPort
-	Content cbor.RawMessage
+	_       struct{}         `cbor:",toarray"`
+	Forward []netip.AddrPort // empty in the copies that the receiver sends
+	Content cbor.RawMessage  // an encoded batchContent
 }
 
-// batchContent is the content of a batch.
+// batchContent is what a batch says about gateways.
 type batchContent struct {
-	_      struct{}       `cbor:",toarray"`
-	Hub    netip.AddrPort // the hub that has built the batch
-	Intros []peerInfo
-	News   []relayedReport
-	Signs  []byte // see appendHeartbeat
+	_      struct{}        `cbor:",toarray"`
+	Hub    netip.AddrPort  // the hub that has built the batch
+	Intros []peerInfo      // descriptions of gateways whose ids the batch or an earlier one contains
+	News   []relayedReport // reports that are new, or repeated in a refresh
+	Signs  []byte          // heartbeats as encoded by appendHeartbeat
 }
 
-// peerInfo describes the gateway that an id stands for.
+// peerInfo describes the gateway that an id in batches stands for. The id is derived from the name.
 type peerInfo struct {
 	_      struct{} `cbor:",toarray"`
 	Name   fleet.Peer
 	Addr   netip.AddrPort
-	Domain digest
-	// Capacity is the gateway's processor time.
+	Domain digest // digest of the name of the gateway's failure domain
+	// Capacity is the processor time available to the gateway.
 	Capacity fanout.Capacity
 }
 
-// relayedReport is a gateway's newest report as a hub forwards it.
+// relayedReport is the part of a gateway's newest report that a hub forwards. The fields correspond to those
+// of report with the same names.
 type relayedReport struct {
 	_          struct{} `cbor:",toarray"`
 	ID         fanout.ID
@@ -54,24 +55,27 @@
 	Quarantine []quarantine.Message
 }
 
-// isBatch tells a batch from a report: a batch is a CBOR array, a report a map.
+// isBatch reports whether a datagram is a batch, which is a CBOR array, and not a report, which is a map.
 func isBatch(data []byte) bool {
-	const majorArray = 4
-	return len(data) > 0 && data[0]>>5 == majorArray
+	const majorTypeArray = 4
+	return len(data) > 0 && data[0]>>5 == majorTypeArray
 }
 
+// newRelayedReport returns the part of r that hubs forward. id identifies the sender of r.
 func newRelayedReport(id fanout.ID, r report) relayedReport {
 	return relayedReport{
 		ID: id, Seq: r.Seq, Loads: r.Loads, Items: r.Items, Due: r.Due, Suspects: r.Suspects, IsFirst: r.IsFirst, Admitted: r.Admitted, Quarantine: r.Quarantine,
 	}
 }
 
-// isIdle reports whether the report holds nothing that other gateways need.
+// isIdle reports whether the report contains no loads, waiting items, suspects, counts or quarantine records.
 func (r relayedReport) isIdle() bool {
 	return len(r.Loads) == 0 && r.Items == 0 && len(r.Suspects) == 0 && len(r.Admitted) == 0 && len(r.Quarantine) == 0
 }
 
-// mergeReports adds to the next report what it does not repeat of a report that was not forwarded.
+// mergeReports combines two reports of a gateway, of which undelivered was not forwarded. It returns next
+// with the quarantine records of undelivered added, and with its counts of workspaces that next does not
+// count.
 func mergeReports(undelivered, next relayedReport) relayedReport {
 	isReported := make(map[string]bool, len(next.Admitted))
 	for _, c := range next.Admitted {
@@ -86,38 +90,41 @@
 	return next
 }
 
-// heartbeat is a liveness record of a gateway as hubs send it.
+// heartbeat is the record in which hubs send when a gateway was last seen, and its state.
 type heartbeat struct {
-	id           fanout.ID
-	seq          uint16        // the low 16 bits of the number of its newest report
-	age          time.Duration // time since the gateway was last seen
-	contactAge   time.Duration // time since the store answered it; limited to maxEncodedContactAge
-	isIdle       bool
-	hasStopped   bool
-	hasLostStore bool // it has lost its own connection to the store
+	id              fanout.ID
+	seq             uint16        // the low 16 bits of the sequence number of its newest report
+	age             time.Duration // time since the gateway was last seen; limited to maxEncodedAge
+	storeContactAge time.Duration // time since the store last answered it; limited to maxEncodedStoreContactAge
+	isIdle          bool          // its newest report holds nothing that other gateways need
+	hasStopped      bool          // its process is known to have stopped
+	hasLostStore    bool          // it has lost its own connection to the store
 }
 
-// Encoding of a heartbeat.
+// Encoding of a heartbeat: id and seq in little-endian order, then age, storeContactAge and flags in a byte
+// each.
 const (
-	heartbeatBytes       = 9
-	ageUnit              = 8 * time.Millisecond
-	contactAgeUnit       = 20 * time.Millisecond
-	maxEncodedAge        = 255 * ageUnit
-	maxEncodedContactAge = 255 * contactAgeUnit
-	flagIdle             = 1
-	flagStopped          = 2
-	flagLostStore        = 4
+	heartbeatBytes            = 9
+	ageUnit                   = 8 * time.Millisecond
+	storeContactAgeUnit       = 20 * time.Millisecond
+	maxEncodedAge             = 255 * ageUnit
+	maxEncodedStoreContactAge = 255 * storeContactAgeUnit
+	flagIdle                  = 1
+	flagStopped               = 2
+	flagLostStore             = 4
 )
 
+// appendHeartbeat appends an encoded heartbeat to data.
 func appendHeartbeat(data []byte, h heartbeat) []byte {
 	data = binary.LittleEndian.AppendUint32(data, uint32(h.id))
 	data = binary.LittleEndian.AppendUint16(data, h.seq)
-	return append(data, toUnits(h.age, ageUnit), toUnits(h.contactAge, contactAgeUnit), h.flags())
+	return append(data, toUnits(h.age, ageUnit), toUnits(h.storeContactAge, storeContactAgeUnit), h.flags())
 }
 
 // toUnits converts a duration to units, rounded up and limited to the range of a byte.
 func toUnits(d, unit time.Duration) byte { return byte(min(255, max(0, (d+unit-1)/unit))) }
 
+// flags returns the flags of the encoded heartbeat.
 func (h heartbeat) flags() (flags byte) {
 	for flag, isSet := range map[byte]bool{flagIdle: h.isIdle, flagStopped: h.hasStopped, flagLostStore: h.hasLostStore} {
 		if isSet {
@@ -127,24 +134,25 @@
 	return flags
 }
 
-// decodeHeartbeats decodes heartbeats. Error: errs.BadFrame.
+// decodeHeartbeats decodes a sequence of heartbeats. It returns errs.BadFrame if the last one is incomplete.
 func decodeHeartbeats(data []byte) ([]heartbeat, error) {
 	if len(data)%heartbeatBytes != 0 {
 		return nil, errs.Newf(errs.BadFrame, "%d bytes are not a whole number of heartbeats", len(data))
 	}
-	list := make([]heartbeat, 0, len(data)/heartbeatBytes)
+	heartbeats := make([]heartbeat, 0, len(data)/heartbeatBytes)
 	for ; len(data) > 0; data = data[heartbeatBytes:] {
 		flags := data[8]
-		list = append(list, heartbeat{
+		heartbeats = append(heartbeats, heartbeat{
 			id: fanout.ID(binary.LittleEndian.Uint32(data)), seq: binary.LittleEndian.Uint16(data[4:]),
-			age: time.Duration(data[6]) * ageUnit, contactAge: time.Duration(data[7]) * contactAgeUnit,
+			age: time.Duration(data[6]) * ageUnit, storeContactAge: time.Duration(data[7]) * storeContactAgeUnit,
 			isIdle: flags&flagIdle != 0, hasStopped: flags&flagStopped != 0, hasLostStore: flags&flagLostStore != 0,
 		})
 	}
-	return list, nil
+	return heartbeats, nil
 }
 
-// decodeBatch decodes a batch, its content and the heartbeats in it. Error: errs.BadFrame.
+// decodeBatch decodes a batch, its content and the heartbeats in it. It returns errs.BadFrame for a damaged
+// batch and for one that names no hub.
 func decodeBatch(data []byte) (batch, batchContent, []heartbeat, error) {
 	var b batch
 	var c batchContent
@@ -161,27 +169,28 @@
 	return b, c, heartbeats, err
 }
 
-// Limits of one batch. They keep it below 16 KiB unless reports are unusually long.
+// Largest numbers of entries of each kind in one batch. They keep it below 16 KiB unless reports are
+// unusually long.
 const (
 	maxPeerInfos  = 64
 	maxReports    = 128
 	maxHeartbeats = 768
 )
 
-// splitContents divides what a hub has to send into contents of a bounded size.
-func splitContents(hub netip.AddrPort, infos []peerInfo, list []relayedReport, heartbeats []heartbeat) []batchContent {
+// splitContents divides what a hub has to send into contents of batches that do not exceed these limits.
+func splitContents(hub netip.AddrPort, infos []peerInfo, reports []relayedReport, heartbeats []heartbeat) []batchContent {
 	var contents []batchContent
-	for len(infos) > 0 || len(list) > 0 || len(heartbeats) > 0 {
+	for len(infos) > 0 || len(reports) > 0 || len(heartbeats) > 0 {
 		c := batchContent{Hub: hub}
-		n := min(maxPeerInfos, len(infos))
-		c.Intros, infos = infos[:n], infos[n:]
-		n = min(maxReports, len(list))
-		c.News, list = list[:n], list[n:]
-		n = min(maxHeartbeats, len(heartbeats))
-		for _, h := range heartbeats[:n] {
+		count := min(maxPeerInfos, len(infos))
+		c.Intros, infos = infos[:count], infos[count:]
+		count = min(maxReports, len(reports))
+		c.News, reports = reports[:count], reports[count:]
+		count = min(maxHeartbeats, len(heartbeats))
+		for _, h := range heartbeats[:count] {
 			c.Signs = appendHeartbeat(c.Signs, h)
 		}
-		heartbeats = heartbeats[n:]
+		heartbeats = heartbeats[count:]
 		contents = append(contents, c)
 	}
 	return contents
--- a/internal/loadshare/batch_test.go
+++ b/internal/loadshare/batch_test.go
@@ -13,15 +13,18 @@
 	"arbutusramp/core/fleet"
 )
 
+// testAddr returns an address that differs for each i below 65536.
 func testAddr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 7000)
 }
 
+// Guards against heartbeats that are decoded with other values than those that were encoded, and against
+// durations outside the range of a byte that wrap around.
 func TestHeartbeatEncodingRoundTrip(t *testing.T) {
 	want := []heartbeat{
-		{id: 1, seq: 7, age: 5 * ageUnit, contactAge: 3 * contactAgeUnit, isIdle: true},
+		{id: 1, seq: 7, age: 5 * ageUnit, storeContactAge: 3 * storeContactAgeUnit, isIdle: true},
 		{id: 1 << 31, seq: 65535, hasStopped: true, hasLostStore: true},
-		{id: 3, age: maxEncodedAge, contactAge: maxEncodedContactAge},
+		{id: 3, age: maxEncodedAge, storeContactAge: maxEncodedStoreContactAge},
 	}
 	var data []byte
 	for _, h := range want {
@@ -29,18 +32,19 @@
 	}
 	got, err := decodeHeartbeats(data)
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v, want %+v", got, err, want)
+		t.Errorf("decoded heartbeats %+v with error %v, want %+v without error", got, err, want)
 	}
 	if _, err := decodeHeartbeats(data[1:]); !errs.Is(err, errs.BadFrame) {
-		t.Errorf("incomplete heartbeat: %v", err)
+		t.Errorf("decoding an incomplete heartbeat returns error %v, want BadFrame", err)
 	}
-	old, err := decodeHeartbeats(appendHeartbeat(nil, heartbeat{age: time.Hour, contactAge: -time.Second}))
-	if err != nil || old[0].age != maxEncodedAge || old[0].contactAge != 0 {
-		t.Errorf("out of range: %+v, %v", old, err)
+	limited, err := decodeHeartbeats(appendHeartbeat(nil, heartbeat{age: time.Hour, storeContactAge: -time.Second}))
+	if err != nil || limited[0].age != maxEncodedAge || limited[0].storeContactAge != 0 {
+		t.Errorf("ages of 1h and -1s are decoded as %+v with error %v, want the largest encodable age and 0 without error", limited, err)
 	}
 }
 
-// The update of a hub of a large fleet is split into batches of limited size, and no entry is left out.
+// Guards against batches that are too large for a datagram, and against entries that are left out when the
+// update of a hub is split into several batches.
 func TestLargeFleetBatchIsSplit(t *testing.T) {
 	const gateways = 2000
 	var infos []peerInfo
@@ -51,82 +55,82 @@
 		reports = append(reports, relayedReport{ID: fanout.ID(i), Seq: 1 << 30, Loads: []targetLoad{{Target: 1 << 31, Online: 1}, {Target: 1 << 30, Batch: 2}}})
 		heartbeats = append(heartbeats, heartbeat{id: fanout.ID(i)})
 	}
-	var sums [3]int
+	var counts [3]int // descriptions, reports and heartbeats in all batches
 	for _, c := range splitContents(testAddr(1), infos, reports, heartbeats) {
-		raw, err := cbor.Marshal(c)
+		encodedContent, err := cbor.Marshal(c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		data, err := cbor.Marshal(batch{Forward: []netip.AddrPort{testAddr(1)}, Content: raw})
+		data, err := cbor.Marshal(batch{Forward: []netip.AddrPort{testAddr(1)}, Content: encodedContent})
 		if err != nil || !isBatch(data) || len(data) > 16<<10 {
-			t.Fatalf("%d bytes, %v", len(data), err)
+			t.Fatalf("a batch has %d bytes and encoding error %v, want an encoded batch of at most 16 KiB", len(data), err)
 		}
-		_, got, gotHeartbeats, err := decodeBatch(data)
+		_, content, decodedHeartbeats, err := decodeBatch(data)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sums[0] += len(got.Intros)
-		sums[1] += len(got.News)
-		sums[2] += len(gotHeartbeats)
+		counts[0] += len(content.Intros)
+		counts[1] += len(content.News)
+		counts[2] += len(decodedHeartbeats)
 	}
-	if sums != [3]int{gateways, gateways, gateways} {
-		t.Errorf("the batches contain %v, want %d of each", sums, gateways)
+	if counts != [3]int{gateways, gateways, gateways} {
+		t.Errorf("the batches contain %v descriptions, reports and heartbeats, want %d of each", counts, gateways)
 	}
 }
 
-// Guards against a damaged batch that adds gateways or changes what is stored about them.
+// Guards against a damaged batch that is applied in part and adds peers.
 func TestDamagedBatchIsIgnored(t *testing.T) {
 	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
-	whole := batchContent{Hub: testAddr(1), Intros: []peerInfo{{Name: "peer", Addr: testAddr(2), Domain: 1}}}
-	raw, err := cbor.Marshal(whole)
+	complete := batchContent{Hub: testAddr(1), Intros: []peerInfo{{Name: "peer", Addr: testAddr(2), Domain: 1}}}
+	encodedContent, err := cbor.Marshal(complete)
 	if err != nil {
 		t.Fatal(err)
 	}
-	noHub, err := cbor.Marshal(batchContent{Intros: whole.Intros})
+	noHub, err := cbor.Marshal(batchContent{Intros: complete.Intros})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, b := range map[string]batch{"cut": {Content: raw[:len(raw)-1]}, "no hub": {Content: noHub}, "empty": {}} {
+	for name, b := range map[string]batch{"cut": {Content: encodedContent[:len(encodedContent)-1]}, "no hub": {Content: noHub}, "empty": {}} {
 		data, err := cbor.Marshal(b)
 		if err != nil {
 			data = []byte{0x82, 0x80} // ends before the content
 		}
 		s.handleDatagram(data, testAddr(1))
 		if s.Peers() != 0 {
-			t.Errorf("%s: %d peers", name, s.Peers())
+			t.Errorf("%s batch: %d peers were added, want 0", name, s.Peers())
 		}
 	}
-	data, err := cbor.Marshal(batch{Content: raw})
+	data, err := cbor.Marshal(batch{Content: encodedContent})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.handleDatagram(data, testAddr(1))
 	if s.Peers() != 1 || s.peers[testAddr(2)].name != fleet.Peer("peer") {
-		t.Errorf("%d peers after an undamaged batch", s.Peers())
+		t.Errorf("%d peers after an undamaged batch, want only the peer that it describes", s.Peers())
 	}
 }
 
-// Guards against a heartbeat that a newer report has overtaken through another hub: it would clear loads that
-// are still in effect.
+// Guards against loads that are cleared too early or not at all: a heartbeat of an idle gateway may arrive
+// after a newer report that another hub has sent, and must not clear the loads in that report.
 func TestStaleHeartbeatDoesNotClearLoads(t *testing.T) {
 	s, view := newTestSharer(t, "self")
 	defer s.conn.Close()
 	id := gatewayID("peer")
 	deliver := func(c batchContent) {
 		t.Helper()
-		raw, err := cbor.Marshal(c)
+		encodedContent, err := cbor.Marshal(c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		data, err := cbor.Marshal(batch{Content: raw})
+		data, err := cbor.Marshal(batch{Content: encodedContent})
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.handleDatagram(data, testAddr(1))
 	}
 	idleHeartbeat := func(seq uint16) []byte { return appendHeartbeat(nil, heartbeat{id: id, seq: seq, isIdle: true}) }
-	hasRoom := func() bool {
+	hasFreeSlot := func() bool {
 		r, ok := view.StartBatch("s", 0, nil, func() {})
 		if ok {
 			r.Done()
@@ -135,30 +139,30 @@
 	}
 	deliver(batchContent{Hub: testAddr(1), Intros: []peerInfo{{Name: "peer", Addr: testAddr(2), Domain: 1}}, News: []relayedReport{{ID: id, Seq: 5, Loads: []targetLoad{{Target: newDigest("t"), Online: 1}}}}})
 	deliver(batchContent{Hub: testAddr(1), Signs: idleHeartbeat(4)})
-	if hasRoom() {
-		t.Error("a heartbeat of an older report has cleared the loads")
+	if hasFreeSlot() {
+		t.Error("a batch item finds a free slot after a heartbeat older than the report, want the reported loads to remain")
 	}
 	deliver(batchContent{Hub: testAddr(1), Signs: idleHeartbeat(6)})
-	if !hasRoom() {
-		t.Error("the peer still counts as busy after it has become idle")
+	if !hasFreeSlot() {
+		t.Error("a batch item finds no free slot after a heartbeat of the idle peer newer than its report, want a free slot")
 	}
 	deliver(batchContent{Hub: testAddr(1), News: []relayedReport{{ID: id, Seq: 6, Loads: []targetLoad{{Target: newDigest("t"), Online: 1}}}}})
-	if !hasRoom() {
-		t.Error("a report that is not newer than the heartbeat is applied")
+	if !hasFreeSlot() {
+		t.Error("a batch item finds no free slot after a report no newer than the heartbeat, want the report to be ignored")
 	}
 }
 
-// FuzzHandleDatagram passes arbitrary data as datagrams: none of it may crash the process.
+// FuzzHandleDatagram handles arbitrary data as datagrams. None of it may crash the process.
 func FuzzHandleDatagram(f *testing.F) {
-	raw, err := cbor.Marshal(batchContent{Hub: testAddr(1), Intros: []peerInfo{{Name: "p", Addr: testAddr(2), Domain: 1}}, News: []relayedReport{{ID: 1, Seq: 1}}, Signs: make([]byte, heartbeatBytes)})
+	encodedContent, err := cbor.Marshal(batchContent{Hub: testAddr(1), Intros: []peerInfo{{Name: "p", Addr: testAddr(2), Domain: 1}}, News: []relayedReport{{ID: 1, Seq: 1}}, Signs: make([]byte, heartbeatBytes)})
 	if err != nil {
 		f.Fatal(err)
 	}
-	whole, err := cbor.Marshal(batch{Content: raw})
+	validBatch, err := cbor.Marshal(batch{Content: encodedContent})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
+	f.Add(validBatch)
 	f.Add([]byte{0x82, 0x80, 0x80})
 	f.Add([]byte{0xa1, 0x01, 0x61, 0x61})
 	s, _ := newTestSharer(f, "self")
@@ -166,14 +170,14 @@
 	f.Fuzz(func(_ *testing.T, data []byte) { s.handleDatagram(data, testAddr(1)) })
 }
 
-// Guards against a hub that has not received a report of a restarted process yet: its peerInfo must not bring
-// back the previous start.
+// Guards against a peer that is replaced by its own previous process: a hub that has not received a report of
+// the restarted process yet still sends the description of the previous one.
 func TestStalePeerInfoDoesNotReplaceRestartedPeer(t *testing.T) {
 	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
 	s.noteReport(testAddr(2), report{From: "new", Seq: 1, Domain: 1})
 	s.applyPeerInfos([]peerInfo{{Name: "old", Addr: testAddr(2), Domain: 1}, {Name: "other", Addr: testAddr(3), Domain: 1}, {Name: "me", Addr: s.Addr(), Domain: 1}})
 	if s.peers[testAddr(2)].name != "new" || s.peers[testAddr(3)].name != "other" || s.Peers() != 2 {
-		t.Errorf("%d peers, %q and %q", s.Peers(), s.peers[testAddr(2)].name, s.peers[testAddr(3)].name)
+		t.Errorf("%d peers with names %q and %q, want 2 peers named new and other", s.Peers(), s.peers[testAddr(2)].name, s.peers[testAddr(3)].name)
 	}
 }
--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -16,20 +16,21 @@
 const (
 	// minHubInterval is the shortest time between two batches of a hub.
 	minHubInterval = 5 * time.Millisecond
-	// maxDirectInterval is the longest time between two reports of a gateway that sends to all receivers
-	// itself, and maxDirectReceivers the number of receivers that results in it. With more of them the path
-	// through hubs takes less time than that interval.
+	// maxDirectInterval is the longest interval between two reports that a gateway accepts to send to all
+	// receivers itself. maxDirectReceivers is the number of receivers at which sendIntervalPerPeer results in
+	// this interval. With more receivers a report arrives earlier through hubs.
 	maxDirectInterval  = 20 * time.Millisecond
 	maxDirectReceivers = int(maxDirectInterval / sendIntervalPerPeer)
-	// maxHubDelay is the longest additional delay of a report that arrives through hubs.
+	// maxHubDelay is the longest additional delay of a report that arrives through hubs: one refresh and
+	// three batches.
 	maxHubDelay = refreshInterval + 3*minHubInterval
-	// peerInfosPerRefresh is how many gateways a hub announces again with each refresh, for receivers that
-	// have missed them.
+	// peerInfosPerRefresh is how many gateways a hub describes again in each refresh, for receivers that have
+	// not received the earlier descriptions.
 	peerInfosPerRefresh = 16
-	// maxUnknownIDs limits the number of gateways whose peerInfo one report requests.
+	// maxUnknownIDs is the largest number of gateways whose peerInfo one report requests.
 	maxUnknownIDs = 128
-	// maxUnconfirmedHubs is to how many listed gateways that were not seen yet a report is sent besides the
-	// hubs.
+	// maxUnconfirmedHubs is the largest number of gateways without a recent sign of life that receive a
+	// report besides the hubs, because they may act as hubs; see hubModeReceivers.
 	maxUnconfirmedHubs = 3
 )
 
@@ -37,62 +38,65 @@
 type hubRole uint8
 
 const (
-	roleNone    hubRole = iota
-	roleStore           // store it and repeat its state with each refresh
-	roleForward         // also forward it at once
+	roleNone    hubRole = iota // the receiver is no hub for the sender
+	roleStore                  // store the report, and send the state of the sender with each refresh
+	roleForward                // also forward the report at once
 )
 
 // hub holds the state of this gateway as a hub: the reports of the gateways of its domain, and those from the
 // hubs of other domains.
 type hub struct {
-	changed chan struct{}
+	changed chan struct{} // gets a token when a report or heartbeat is to be forwarded at once
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards the fields below
 	table          *fanout.Table[relayedReport]
-	unannounced    []fanout.ID // gateways that were not announced to others yet
-	announceOffset int         // position in the list of gateways that are announced again
-	reporterCount  int         // gateways of the own domain that report to this one
+	unannounced    []fanout.ID // gateways that are in the table and were not described to others yet
+	announceOffset int         // number of gateways that were described again; the next refresh continues there
+	reporterCount  int         // number of live gateways of the own domain in the table at the last refresh
 }
 
+// newHub returns a hub with an empty table.
 func newHub() hub {
 	return hub{changed: make(chan struct{}, 1), table: fanout.NewTable(PeerTTL, mergeReports)}
 }
 
-// putReport stores the report of a gateway.
-func (h *hub) putReport(o fanout.Origin[relayedReport], isForwarded bool) {
+// putReport stores the report of a gateway. isForwardDue makes runHub forward it at once.
+func (h *hub) putReport(e fanout.Origin[relayedReport], isForwardDue bool) {
 	h.mu.Lock()
-	h.updateTable(o.ID, func() { h.table.Put(o, isForwarded) })
+	h.updateTable(e.ID, func() { h.table.Put(e, isForwardDue) })
 	h.mu.Unlock()
-	if isForwarded {
+	if isForwardDue {
 		signal(h.changed)
 	}
 }
 
-// updateTable calls update, and announces the gateway if the call adds it to the table. The caller holds the
-// lock.
-func (h *hub) updateTable(id fanout.ID, update func()) {
-	before := h.table.Len()
-	update()
-	if h.table.Len() > before {
+// updateTable calls apply, which changes the table, and marks the gateway as unannounced if the call adds it
+// to the table. The caller holds the lock.
+func (h *hub) updateTable(id fanout.ID, apply func()) {
+	oldLen := h.table.Len()
+	apply()
+	if h.table.Len() > oldLen {
 		h.unannounced = append(h.unannounced, id)
 	}
 }
 
-func signal(c chan struct{}) {
+// signal sends a token to a channel of capacity 1, unless one is pending.
+func signal(tokens chan struct{}) {
 	select {
-	case c <- struct{}{}:
+	case tokens <- struct{}{}:
 	default:
 	}
 }
 
-// hubUpdate is what a hub sends at one time.
+// hubUpdate is what a hub sends at one time, in one or more batches.
 type hubUpdate struct {
-	changes    []fanout.Origin[relayedReport] // gateways whose reports are new
-	heartbeats []fanout.Origin[relayedReport] // sent with the reports of gateways that are not idle
-	announced  []fanout.ID
+	changes    []fanout.Origin[relayedReport] // entries of gateways whose reports are new
+	heartbeats []fanout.Origin[relayedReport] // entries whose heartbeats are sent, with their reports unless idle
+	announced  []fanout.ID                    // gateways whose descriptions are sent
 }
 
-// takeUpdate returns what is to be sent now. A refresh includes a heartbeat of each gateway of a domain.
+// takeUpdate returns what is to be sent now and clears what is pending. A refresh includes a heartbeat of
+// each live gateway of the hub's domain.
 func (h *hub) takeUpdate(now time.Time, isRefresh bool, domain fanout.Domain) hubUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -111,10 +115,10 @@
 	return u
 }
 
-// forDomain returns the entries of the gateways of one domain.
+// forDomain returns the changes and heartbeats of the gateways of one domain, without announced gateways.
 func (u hubUpdate) forDomain(d fanout.Domain) hubUpdate {
-	isOther := func(o fanout.Origin[relayedReport]) bool { return o.Domain != d }
-	return hubUpdate{changes: slices.DeleteFunc(slices.Clone(u.changes), isOther), heartbeats: slices.DeleteFunc(slices.Clone(u.heartbeats), isOther)}
+	isOtherDomain := func(e fanout.Origin[relayedReport]) bool { return e.Domain != d }
+	return hubUpdate{changes: slices.DeleteFunc(slices.Clone(u.changes), isOtherDomain), heartbeats: slices.DeleteFunc(slices.Clone(u.heartbeats), isOtherDomain)}
 }
 
 // runHub distributes the reports that other gateways send to this one, until ctx ends.
@@ -135,74 +139,79 @@
 	}
 }
 
-// sendHubUpdate sends the pending entries of the table to the gateways of the own domain, and those that come
-// from the own domain to the hubs of the other domains.
+// sendHubUpdate sends the pending entries of the table to the gateways of the own domain, and the pending
+// entries of gateways of the own domain to a hub of each other domain.
 func (s *Share) sendHubUpdate(isRefresh bool) {
 	now := time.Now()
-	before := s.HubFor()
-	all := s.hub.takeUpdate(now, isRefresh, fanout.Domain(s.domain))
-	if n := s.HubFor(); (n > 0) != (before > 0) {
-		s.log.Info("hub for load reports", "gateways", n, "before", before)
+	oldCount := s.HubFor()
+	update := s.hub.takeUpdate(now, isRefresh, fanout.Domain(s.domain))
+	if count := s.HubFor(); (count > 0) != (oldCount > 0) {
+		s.log.Info("hub for load reports", "gateways", count, "before", oldCount)
 	}
-	if len(all.changes) == 0 && len(all.heartbeats) == 0 && len(all.announced) == 0 {
+	if len(update.changes) == 0 && len(update.heartbeats) == 0 && len(update.announced) == 0 {
 		return
 	}
 	inDomain, otherDomains := s.hubUpdateReceivers(now)
-	infos := s.peerInfos(all.announced)
-	s.sendToBranches(s.encodeContents(now, infos, all), fanout.Branches(s.Addr(), inDomain))
+	infos := s.peerInfos(update.announced)
+	s.sendToBranches(s.encodeContents(now, infos, update), fanout.Branches(s.Addr(), inDomain))
 	ownInfos := slices.DeleteFunc(slices.Clone(infos), func(p peerInfo) bool { return p.Domain != s.domain })
-	for _, data := range s.encodeContents(now, ownInfos, all.forDomain(fanout.Domain(s.domain))) {
+	for _, data := range s.encodeContents(now, ownInfos, update.forDomain(fanout.Domain(s.domain))) {
 		for _, to := range otherDomains {
 			s.sendBatch(batch{Content: data}, to)
 		}
 	}
 }
 
-// HubFor returns the number of gateways whose reports this one forwards.
+// HubFor returns the number of gateways of the own domain whose reports this one forwards as a hub; 0 if it
+// is no hub.
 func (s *Share) HubFor() int {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	return s.hub.reporterCount
 }
 
-// sendPeerInfos sends to a gateway the descriptions of gateways that it has no peer for.
-func (s *Share) sendPeerInfos(addr netip.AddrPort, unknown []fanout.ID) {
-	for _, data := range s.encodeContents(time.Now(), s.peerInfos(unknown), hubUpdate{}) {
+// sendPeerInfos sends to the gateway at addr the descriptions of gateways that are unknown to it.
+func (s *Share) sendPeerInfos(addr netip.AddrPort, unknownIDs []fanout.ID) {
+	for _, data := range s.encodeContents(time.Now(), s.peerInfos(unknownIDs), hubUpdate{}) {
 		s.sendBatch(batch{Content: data}, addr)
 	}
 }
 
-// encodeContents encodes an update as contents of batches.
+// encodeContents encodes descriptions and an update as contents of one or more batches. Contents that cannot
+// be encoded are logged and left out.
 func (s *Share) encodeContents(now time.Time, infos []peerInfo, u hubUpdate) []cbor.RawMessage {
 	var reports []relayedReport
 	var heartbeats []heartbeat
-	for _, o := range u.changes {
-		reports = append(reports, o.Report)
+	for _, e := range u.changes {
+		reports = append(reports, e.Report)
 	}
-	for _, o := range u.heartbeats {
-		heartbeats = append(heartbeats, newHeartbeat(now, o))
-		if !o.IsIdle {
-			reports = append(reports, o.Report)
+	for _, e := range u.heartbeats {
+		heartbeats = append(heartbeats, newHeartbeat(now, e))
+		if !e.IsIdle {
+			reports = append(reports, e.Report)
 		}
 	}
-	var encoded []cbor.RawMessage
+	var contents []cbor.RawMessage
 	for _, c := range splitContents(s.Addr(), infos, reports, heartbeats) {
 		data, err := cbor.Marshal(c)
 		if err != nil {
 			s.log.Error("cannot encode batch of load reports", "reports", len(c.News), "error", err)
 			continue
 		}
-		encoded = append(encoded, data)
+		contents = append(contents, data)
 	}
-	return encoded
+	return contents
 }
 
-func newHeartbeat(now time.Time, o fanout.Origin[relayedReport]) heartbeat {
+// newHeartbeat returns the heartbeat for an entry of the table.
+func newHeartbeat(now time.Time, e fanout.Origin[relayedReport]) heartbeat {
 	return heartbeat{
-		id: o.ID, seq: uint16(o.Seq), age: now.Sub(o.Heard), contactAge: now.Sub(o.Contact), isIdle: o.IsIdle, hasStopped: o.HasStopped, hasLostStore: o.HasDetour,
+		id: e.ID, seq: uint16(e.Seq), age: now.Sub(e.Heard), storeContactAge: now.Sub(e.Contact), isIdle: e.IsIdle, hasStopped: e.HasStopped, hasLostStore: e.HasDetour,
 	}
 }
 
+// sendToBranches sends each of the contents to the first gateway of each branch, which forwards it to the
+// others.
 func (s *Share) sendToBranches(contents []cbor.RawMessage, branches []fanout.Branch) {
 	for _, data := range contents {
 		for _, b := range branches {
@@ -211,6 +220,7 @@
 	}
 }
 
+// sendBatch sends a batch to some gateways. If encoding fails it logs the error and sends nothing.
 func (s *Share) sendBatch(b batch, to ...netip.AddrPort) {
 	data, err := cbor.Marshal(b)
 	if err != nil {
@@ -223,39 +233,41 @@
 	}
 }
 
-// peerInfos returns the descriptions of gateways. Unknown ids are left out.
+// peerInfos returns the descriptions of the gateways with some ids. Ids of unknown gateways are left out.
 func (s *Share) peerInfos(ids []fanout.ID) []peerInfo {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var list []peerInfo
+	var infos []peerInfo
 	for _, id := range ids {
 		if p, ok := s.byID[id]; ok {
-			list = append(list, p.info())
+			infos = append(infos, p.info())
 		}
 		if id == gatewayID(s.self) {
-			list = append(list, s.selfInfo())
+			infos = append(infos, s.selfInfo())
 		}
 	}
-	return list
+	return infos
 }
 
+// info returns the description of the peer.
 func (p *peer) info() peerInfo {
 	return peerInfo{Name: p.name, Addr: p.addr, Domain: p.domain, Capacity: p.capacity}
 }
 
+// selfInfo returns the description of this gateway.
 func (s *Share) selfInfo() peerInfo {
 	return peerInfo{Name: s.self, Addr: s.Addr(), Domain: s.domain, Capacity: s.capacity}
 }
 
-// putHeartbeat records a heartbeat that a hub of another domain has sent.
-func (h *hub) putHeartbeat(o fanout.Origin[relayedReport]) {
+// putHeartbeat records a heartbeat that a hub of another domain has sent, to be forwarded at once.
+func (h *hub) putHeartbeat(e fanout.Origin[relayedReport]) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.updateTable(o.ID, func() { h.table.Vouch(o) })
+	h.updateTable(e.ID, func() { h.table.Vouch(e) })
 	signal(h.changed)
 }
 
-// markStopped marks a gateway's process as stopped.
+// markStopped marks a gateway's process as stopped in the table.
 func (h *hub) markStopped(id fanout.ID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/loadshare/hub_test.go
+++ b/internal/loadshare/hub_test.go
@@ -13,19 +13,21 @@
 	"arbutusramp/internal/fleetview"
 )
 
-// largeFleet is a set of gateways in several domains, with more receivers than a gateway sends to directly.
+// largeFleet is a set of running gateways in two domains. Each has more receivers than it sends reports to
+// without hubs. All use one target with one slot.
 type largeFleet struct {
 	t        *testing.T
 	gateways []*Share
 	views    []*fleetview.View
-	stops    []context.CancelFunc
-	running  sync.WaitGroup
+	cancels  []context.CancelFunc // cancels[i] stops gateway i
+	running  sync.WaitGroup       // calls of Run
 }
 
+// startLargeFleet starts 86 gateways, half of them in each domain.
 func startLargeFleet(t *testing.T) *largeFleet {
-	const domains, each = 2, 43 // more than maxDirectReceivers receivers for each
+	const domains, perDomain = 2, 43 // more than maxDirectReceivers receivers for each gateway
 	f := &largeFleet{t: t}
-	for i := range domains * each {
+	for i := range domains * perDomain {
 		f.add(fmt.Sprintf("d%d", i%domains))
 	}
 	for i := range f.gateways {
@@ -34,7 +36,7 @@
 	return f
 }
 
-// add creates a gateway that has the gateways before it in its list.
+// add creates a gateway in a domain, with all gateways added earlier as its peers.
 func (f *largeFleet) add(domain string) {
 	name := fleet.Peer(fmt.Sprintf("gateway-%d", len(f.gateways)))
 	view := fleetview.New(fleet.Options{Self: name, Domain: domain, PeerTTL: PeerTTL})
@@ -51,26 +53,28 @@
 	f.gateways, f.views = append(f.gateways, s), append(f.views, view)
 }
 
+// run starts gateway i.
 func (f *largeFleet) run(i int) {
-	ctx, stop := context.WithCancel(context.Background())
-	f.stops = append(f.stops, stop)
+	ctx, cancel := context.WithCancel(context.Background())
+	f.cancels = append(f.cancels, cancel)
 	f.running.Go(func() {
 		if err := f.gateways[i].Run(ctx); err != nil {
-			f.t.Errorf("gateway %d: %v", i, err)
+			f.t.Errorf("gateway %d ended with error %v, want none", i, err)
 		}
 	})
 }
 
+// stop stops all gateways and waits until they have ended.
 func (f *largeFleet) stop() {
-	for _, stop := range f.stops {
-		stop()
+	for _, cancel := range f.cancels {
+		cancel()
 	}
 	f.running.Wait()
 }
 
-// awaitPeers waits until gateway i has exactly n peers.
-func (f *largeFleet) awaitPeers(i, n int) {
-	for f.views[i].Peers() != n {
+// awaitPeers waits until the view of gateway i contains exactly count live peers.
+func (f *largeFleet) awaitPeers(i, count int) {
+	for f.views[i].Peers() != count {
 		time.Sleep(10 * time.Millisecond) // the test's time limit ends the loop
 	}
 }
@@ -81,59 +85,59 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	hubs, _ := fanout.Hubs(s.domainMembers(time.Now(), s.domain))
-	for _, h := range hubs {
-		if h == s.Addr() {
+	for _, addr := range hubs {
+		if addr == s.Addr() {
 			return true
 		}
 	}
 	return false
 }
 
-// Guards against gateways of a large fleet that do not learn of each other or of each other's loads: at the
-// start, when each has only the gateways listed before it, and after the loss of a hub.
+// Guards against gateways of a large fleet that do not receive each other's addresses or loads: at the start,
+// when each has only the gateways added before it as peers, and after the loss of a hub.
 func TestLargeFleetExchangesLoads(t *testing.T) {
 	f := startLargeFleet(t)
 	defer f.stop()
-	all := len(f.gateways)
+	gatewayCount := len(f.gateways)
 	for i := range f.gateways {
-		f.awaitPeers(i, all-1)
+		f.awaitPeers(i, gatewayCount-1)
 	}
-	first, last := 0, all-1
-	checkLoadPropagation(t, f, first)
-	hub := 0
-	for !f.isHub(hub) {
-		hub++
+	firstIndex, lastIndex := 0, gatewayCount-1
+	checkLoadPropagation(t, f, firstIndex)
+	hubIndex := 0
+	for !f.isHub(hubIndex) {
+		hubIndex++
 	}
-	f.stops[hub]()
-	if hub == first {
-		first++
+	f.cancels[hubIndex]()
+	if hubIndex == firstIndex {
+		firstIndex++
 	}
-	if hub == last {
-		last--
+	if hubIndex == lastIndex {
+		lastIndex--
 	}
-	f.awaitPeers(last, all-2)
-	f.awaitPeers(first, all-2)
-	checkLoadPropagation(t, f, first)
+	f.awaitPeers(lastIndex, gatewayCount-2)
+	f.awaitPeers(firstIndex, gatewayCount-2)
+	checkLoadPropagation(t, f, firstIndex)
 }
 
-// checkLoadPropagation takes the only slot at a gateway and releases it, and waits each time until a late
-// gateway of each domain has received the change.
+// checkLoadPropagation occupies the only slot through the gateway with index holder and releases it. It waits
+// each time until one of the last gateways of each domain has received the change.
 func checkLoadPropagation(t *testing.T, f *largeFleet, holder int) {
 	t.Helper()
 	r, ok := f.views[holder].StartOnline("s", nil)
 	if !ok {
-		t.Fatal("no target")
+		t.Fatal("StartOnline found no target for an online request")
 	}
 	for _, i := range []int{len(f.views) - 3, len(f.views) - 4} {
-		awaitRoom(t, f.views[i], false)
+		awaitFreeSlot(t, f.views[i], false)
 	}
 	r.Done()
 	for _, i := range []int{len(f.views) - 3, len(f.views) - 4} {
-		awaitRoom(t, f.views[i], true)
+		awaitFreeSlot(t, f.views[i], true)
 	}
 }
 
-// Guards against a number of receivers that grows with the fleet.
+// Guards against a gateway or a hub of a large fleet that sends to more gateways the larger the fleet is.
 func TestLargeFleetLimitsReceivers(t *testing.T) {
 	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
@@ -142,20 +146,20 @@
 		s.noteReport(testAddr(i), report{From: fleet.Peer(fmt.Sprint("peer-", i)), Seq: 1, Domain: newDigest(fmt.Sprint("d", i%3))})
 	}
 	s.domain = newDigest("d0")
-	for n := range uint64(4) {
-		list := s.selectReceivers(now, n)
-		forwarding := 0
-		for _, r := range list {
+	for seq := range uint64(4) {
+		receivers := s.selectReceivers(now, seq)
+		forwarderCount := 0
+		for _, r := range receivers {
 			if r.role == roleForward {
-				forwarding++
+				forwarderCount++
 			}
 		}
-		if len(list) != 2 || forwarding != 1 {
-			t.Errorf("%d receivers, of which %d forward the report", len(list), forwarding)
+		if len(receivers) != 2 || forwarderCount != 1 {
+			t.Errorf("%d receivers, of which %d forward the report, want 2 and 1", len(receivers), forwarderCount)
 		}
 	}
 	inDomain, otherDomains := s.hubUpdateReceivers(now)
 	if len(inDomain) != 100 || len(otherDomains) != 2 {
-		t.Errorf("a hub sends to %d gateways of its domain and %d of other domains", len(inDomain), len(otherDomains))
+		t.Errorf("a hub sends to %d gateways of its domain and %d of other domains, want 100 and 2", len(inDomain), len(otherDomains))
 	}
 }
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -1,7 +1,8 @@
-// Package loadshare exchanges load reports among gateways over UDP. Each gateway sends its complete load at
-// all targets whenever that changes; the next report makes up for a lost datagram. Within a failure domain
-// all gateways receive the report from the sender; in each other domain one gateway does and forwards it. In
-// large domains hubs collect the reports and distribute them; see core/fanout.
+// Package loadshare exchanges load reports among the gateways of a fleet over UDP, so that each gateway can
+// choose targets by the load of all gateways. A gateway sends its complete load at all targets whenever it
+// changes, and every refreshInterval without a change; the next report makes up for a lost datagram. Within a
+// failure domain all gateways receive the report from the sender; in each other domain one gateway receives
+// it and forwards it. In large fleets hubs collect the reports and distribute them; see core/fanout.
 package loadshare
 
 import (
@@ -31,66 +32,69 @@
 )
 
 const (
-	// minSendInterval is the shortest time between two reports. Changes within it go out in one report.
+	// minSendInterval is the shortest time between two reports. Changes within this time are sent in one
+	// report.
 	minSendInterval = 3 * time.Millisecond
-	// sendIntervalPerPeer limits the rate in large systems: a gateway sends to 40 receivers at most 50 times
-	// a second.
+	// sendIntervalPerPeer, multiplied by the number of receivers, is the shortest time between two reports if
+	// it exceeds minSendInterval: a gateway sends to 40 receivers at most 50 times a second.
 	sendIntervalPerPeer = 500 * time.Microsecond
-	// refreshInterval is the time between reports without a change. Peers drop the loads of a gateway after
-	// PeerTTL.
+	// refreshInterval is the time between reports without a change of the loads.
 	refreshInterval = 200 * time.Millisecond
-	// PeerTTL is how long a report stays valid: several refreshes, since datagrams get lost.
+	// PeerTTL is how long the loads in a report stay valid without a newer report: it spans several
+	// refreshes, since datagrams get lost.
 	PeerTTL = 700 * time.Millisecond
-	// silentAfter is the silence after which a peer is sent to only every silentSendInterval: it has stopped,
-	// or it is cut off and may come back.
+	// silentAfter is the time without a report or heartbeat of a peer after which reports are sent to it only
+	// every silentSendInterval: it has stopped, or it is cut off and may be reachable again later.
 	silentAfter        = 3 * time.Second
 	silentSendInterval = time.Second
-	// removeAfter is the silence after which a peer is dropped. It is added again from the store or by its
-	// own reports.
+	// removeAfter is the time without a report or heartbeat of a peer after which the peer is dropped. It is
+	// added again from the list of gateways in the store, or when it reports.
 	removeAfter = 60 * time.Second
-	// storeReachableWithin is the longest time since a peer's last contact with the store for which the peer
-	// counts as having access to it. Without faults the store answers each gateway at least every 0.6 s.
-	storeReachableWithin = time.Second
+	// maxStoreContactAge is the longest time since the store last answered a peer for which the peer counts
+	// as having access to the store. Without faults the store answers each gateway at least every 0.6 s.
+	maxStoreContactAge = time.Second
 	// maxDatagramBytes is the largest size of a datagram.
 	maxDatagramBytes = 60 << 10
 )
 
-// peer is the state of another gateway's socket.
+// peer holds what this process knows about the gateway at an address. A restarted gateway gets a new peer.
 type peer struct {
 	addr   netip.AddrPort
-	seq    uint64
-	name   fleet.Peer // empty before the first report
+	seq    uint64     // sequence number of the peer's newest report
+	name   fleet.Peer // empty until the peer has reported or a hub has described it
 	id     fanout.ID  // derived from the name
-	domain digest     // 0 if unknown
+	domain digest     // digest of the name of its failure domain; 0 if unknown
 	// capacity is the peer's processor time; 0 if unknown.
 	capacity       fanout.Capacity
-	lastSeen       time.Time
-	lastSeenDirect time.Time // last time of a datagram from the peer itself, not through a hub
-	lastSent       time.Time
-	lastProbed     time.Time
-	// lastStoreContact is when the store last answered the peer. hasLostStore is set if the peer has lost its
-	// own connection to the store.
+	lastSeen       time.Time // time of the last report, heartbeat or batch; at first, when the peer was added
+	lastSeenDirect time.Time // last time of a report not through a hub, or of a batch of the peer as a hub
+	lastSent       time.Time // when a report or batch was last sent to the peer, as far as silentSendInterval applies
+	lastProbed     time.Time // time of the last probe; see peersToProbe
+	// lastStoreContact is when the platform's log store last answered the peer. hasLostStore is set if the
+	// peer has lost its own connection to that store.
 	lastStoreContact time.Time
 	hasLostStore     bool
 }
 
-// reachesStore reports whether the store has answered the peer recently over the peer's own connection.
-func (p *peer) reachesStore(now time.Time) bool {
-	return now.Sub(p.lastSeen) < PeerTTL && !p.hasLostStore && now.Sub(p.lastStoreContact) < storeReachableWithin
+// hasStoreAccess reports whether the peer is live and the store has answered it over its own connection
+// within maxStoreContactAge.
+func (p *peer) hasStoreAccess(now time.Time) bool {
+	return now.Sub(p.lastSeen) < PeerTTL && !p.hasLostStore && now.Sub(p.lastStoreContact) < maxStoreContactAge
 }
 
-// hubEntry returns the entry for a report of the peer in the table of a hub. seenAt is when the peer was last
-// seen.
+// hubEntry returns the entry for a report of the peer in the table of this gateway as a hub. seenAt is when
+// the peer was last seen.
 func (p *peer) hubEntry(r relayedReport, seenAt time.Time) fanout.Origin[relayedReport] {
 	return fanout.Origin[relayedReport]{
 		ID: p.id, Domain: fanout.Domain(p.domain), Seq: r.Seq, Heard: seenAt, Contact: p.lastStoreContact, HasDetour: p.hasLostStore, IsIdle: r.isIdle(), Report: r,
 	}
 }
 
-// Share exchanges the reports of this process with its peers.
+// Share exchanges load reports between this gateway and its peers. Its methods may be called concurrently,
+// except Run, which is called once.
 type Share struct {
 	self      fleet.Peer
-	domain    digest
+	domain    digest // digest of the name of this process's failure domain
 	capacity  fanout.Capacity
 	hasRelays bool // one gateway of each other domain forwards the reports; see selectReceivers
 	view      *fleetview.View
@@ -100,64 +104,68 @@
 	// quarantine provides and receives records of requests under which targets crash.
 	quarantine Quarantine
 	log        hclog.Logger
-	routineLog *logging.Routine // limits the rate of the line for each new peer: many peers may start at once
+	routineLog *logging.Routine // rate-limited logger for the "peer" line: many peers may start at once
 	conn       *net.UDPConn
 
-	targetIndex targetIndex // used only by the receiving goroutine
+	targetIndex targetIndex // used only by the goroutine that receives datagrams
 	traffic     Traffic
 	hub         hub
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards the fields below, and the fields of the peers
 	peers map[netip.AddrPort]*peer
 	byID  map[fanout.ID]*peer // peers whose name is known
-	// unknownIDs are gateways that appear in the batches of hubs and have no peer here.
+	// unknownIDs identify gateways that appear in the batches of hubs and are not in byID. The next report
+	// requests their descriptions.
 	unknownIDs map[fanout.ID]struct{}
-	// isPeerListLoaded is set once AddPeer was called for all listed gateways.
+	// isPeerListLoaded is set once AddPeer has been called for every gateway listed in the store.
 	isPeerListLoaded bool
 	startTime        time.Time
 }
 
-// Quotas holds the request counts of workspaces, which gateways exchange.
+// Quotas limits the requests of each workspace in the whole fleet. For this purpose gateways exchange how
+// many requests each of them has admitted.
 type Quotas interface {
-	// Report returns the counts that this gateway sends to its peers.
+	// Report returns the counts of admitted requests to send to peers now.
 	Report() quota.Report
-	// Apply records the report of the peer at an address.
+	// Apply records the counts that the peer at an address (IP:port) has reported.
 	Apply(addr string, r quota.Report)
 	// AddPeer adds the address of a peer that has not reported yet.
 	AddPeer(addr string)
-	// Forget drops a peer whose process has stopped.
+	// Forget drops a peer whose process has stopped; its share of the quotas goes to the other gateways.
 	Forget(addr string)
 }
 
 // Quarantine holds records of requests under which targets crash, which gateways exchange.
 type Quarantine interface {
-	// ToTell returns the records to send to peers now.
+	// ToTell returns the records to send to peers now. It returns a record several times, at growing
+	// intervals.
 	ToTell() []quarantine.Record
-	// Apply adds the records of a peer.
+	// Apply adds the records that a peer has sent.
 	Apply(records []quarantine.Record)
-	// PeerStarted is called when a new peer, or a restarted one, is added.
+	// PeerStarted is called when a new or restarted peer has reported for the first time or was described by
+	// a hub.
 	PeerStarted()
 }
 
 // Options configure a Share.
 type Options struct {
-	Addr   string // IP:port to listen on
-	Self   fleet.Peer
-	Domain string // failure domain of this process
+	Addr   string     // IP:port to listen on
+	Self   fleet.Peer // name of this process, new with each start
+	Domain string     // failure domain of this process
 	// Capacity is the processor time of this process.
 	Capacity fanout.Capacity
-	Off      policy.Off
-	View     *fleetview.View
+	Off      policy.Off      // mechanisms that are disabled by the settings
+	View     *fleetview.View // provides this process's loads and receives those of the peers
 	Quotas   Quotas
-	// Quarantine provides and receives the records that are sent with the loads.
+	// Quarantine provides the records that are sent with the loads, and receives those of the peers.
 	Quarantine Quarantine
-	// Detours reports whether this process has lost its own connection to the store. It is called only after
-	// Run.
+	// Detours reports whether this process has lost its own connection to the store. It is not called
+	// before Run.
 	Detours func() bool
 	Log     hclog.Logger
 }
 
-// New opens the socket for the reports of peers. Run sends and receives.
+// New opens the socket for the reports of peers. Run sends, receives and closes the socket.
 func New(o Options) (*Share, error) {
 	ap, err := netip.ParseAddrPort(o.Addr)
 	if err != nil {
@@ -173,11 +181,12 @@
 	}, nil
 }
 
-// Addr returns the address that peers send to.
+// Addr returns the address on which this process receives the reports of peers.
 func (s *Share) Addr() netip.AddrPort { return s.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// AddPeer adds a peer by its address (IP:port), its failure domain and its processor time. The last two are
-// empty or 0 if unknown. A peer that is already present stays as it is.
+// AddPeer adds a peer by its address (IP:port), its failure domain and its processor time. domain is empty
+// and capacity is 0 if unknown. A peer that is already present stays as it is; this process's own address is
+// ignored.
 func (s *Share) AddPeer(addr, domain string, capacity fanout.Capacity) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -199,18 +208,21 @@
 	}
 }
 
-// NoteListed records that AddPeer was called for all listed gateways.
+// NoteListed records that AddPeer has been called for every gateway listed in the store. From then on Rank
+// reports isKnown.
 func (s *Share) NoteListed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.isPeerListLoaded = true
 }
 
-// peerListTimeout is how long after the start Rank waits for the list of gateways.
+// peerListTimeout is how long after the start Rank reports isKnown as false if the list of gateways has not
+// been loaded.
 const peerListTimeout = time.Second
 
 // Rank returns how many gateways that may be live come before this one when only some gateways are assigned a
-// task; see fanout.Rank. Right after the start, before the list of gateways is complete, isKnown is false.
+// task; see fanout.Rank. isKnown is false until the list of gateways is loaded, but not for longer than
+// peerListTimeout after the start.
 func (s *Share) Rank() (rank int, isKnown bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,8 +236,8 @@
 	return fanout.Rank(s.selfMember(), others), s.isPeerListLoaded || now.Sub(s.startTime) > peerListTimeout
 }
 
-// upsertPeer returns the peer at an address. It replaces a peer of another name there by a new one. The
-// caller holds the lock.
+// upsertPeer returns the peer with a name at an address. It adds the peer if it is missing, and removes a
+// peer of another name at this address: the previous process there. The caller holds the lock.
 func (s *Share) upsertPeer(addr netip.AddrPort, name fleet.Peer) *peer {
 	if p, ok := s.peers[addr]; ok && p.name == name {
 		return p
@@ -238,7 +250,7 @@
 	return p
 }
 
-// removePeer drops the peer at an address. The caller holds the lock.
+// removePeer drops the peer at an address, if there is one. The caller holds the lock.
 func (s *Share) removePeer(addr netip.AddrPort) {
 	if p, ok := s.peers[addr]; ok && s.byID[p.id] == p {
 		delete(s.byID, p.id)
@@ -249,7 +261,7 @@
 // gatewayID returns the identifier that stands for a gateway's name in the batches of hubs.
 func gatewayID(name fleet.Peer) fanout.ID { return fanout.ID(newDigest(string(name))) }
 
-// Run sends and receives until ctx ends, and closes the socket.
+// Run sends and receives reports until ctx ends, and closes the socket. It is called once.
 func (s *Share) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return s.runReceiver(ctx) })
@@ -263,6 +275,7 @@
 	return g.Wait()
 }
 
+// runSender sends a report after each change of the loads, and every refreshInterval, until ctx ends.
 func (s *Share) runSender(ctx context.Context) error {
 	refreshTimer := sleep.NewTimer(refreshInterval)
 	defer refreshTimer.Stop()
@@ -275,33 +288,35 @@
 		case <-s.view.Changed():
 		}
 		seq++
-		n := s.sendReport(seq)
+		receiverCount := s.sendReport(seq)
 		refreshTimer.Reset(refreshInterval)
-		sleep.For(ctx, max(minSendInterval, time.Duration(n)*sendIntervalPerPeer))
+		sleep.For(ctx, max(minSendInterval, time.Duration(receiverCount)*sendIntervalPerPeer))
 	}
 }
 
-// Peers returns the number of known gateways.
+// Peers returns the number of known other gateways, including those that have been silent for up to
+// removeAfter.
 func (s *Share) Peers() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.peers)
 }
 
-// sendReport sends this process's loads. It returns the number of receivers.
+// sendReport sends the report with sequence number seq, which contains this process's loads. It returns the
+// number of receivers.
 func (s *Share) sendReport(seq uint64) int {
-	own := s.view.Report()
+	fleetReport := s.view.Report()
 	now := time.Now()
-	admitted := s.quotas.Report()
+	quotaReport := s.quotas.Report()
 	r := report{
-		IsFirst: admitted.IsFirst, Admitted: encodeCounts(admitted.Counts),
-		From: s.self, Seq: seq, Loads: encodeLoads(own.Loads), Items: own.Demand.Items, Due: own.Demand.Due,
-		ContactAge: now.Sub(own.Contact).Milliseconds(), Detours: s.hasLostStore(), Domain: s.domain, Suspects: newDigests(own.Suspects), Quarantine: encodeRecords(s.quarantine.ToTell()),
+		IsFirst: quotaReport.IsFirst, Admitted: encodeCounts(quotaReport.Counts),
+		From: s.self, Seq: seq, Loads: encodeLoads(fleetReport.Loads), Items: fleetReport.Demand.Items, Due: fleetReport.Demand.Due,
+		ContactAge: now.Sub(fleetReport.Contact).Milliseconds(), Detours: s.hasLostStore(), Domain: s.domain, Suspects: newDigests(fleetReport.Suspects), Quarantine: encodeRecords(s.quarantine.ToTell()),
 		Unknown: s.takeUnknownIDs(), Capacity: s.capacity,
 	}
-	list := s.selectReceivers(now, seq)
+	receivers := s.selectReceivers(now, seq)
 	encoded := make(map[assignment][]byte)
-	for _, to := range list {
+	for _, to := range receivers {
 		if to.addr == s.Addr() {
 			s.putOwnReport(now, r, to.role)
 			continue
@@ -317,23 +332,22 @@
 			s.traffic.Own.add(len(data))
 		}
 	}
-	return len(list)
+	return len(receivers)
 }
 
-// putOwnReport adds this gateway's own report to what it sends as a hub.
+// putOwnReport stores this gateway's own report in its table as a hub.
 func (s *Share) putOwnReport(now time.Time, r report, role hubRole) {
-	self := peer{id: gatewayID(s.self), domain: s.domain, lastStoreContact: r.storeContact(now), hasLostStore: r.Detours}
+	self := peer{id: gatewayID(s.self), domain: s.domain, lastStoreContact: r.lastStoreContact(now), hasLostStore: r.Detours}
 	s.hub.putReport(self.hubEntry(newRelayedReport(self.id, r), now), role == roleForward)
 }
 
-// takeUnknownIDs returns the gateways that have appeared in the batches of hubs since the last call and have
-// no peer here.
+// takeUnknownIDs returns and clears s.unknownIDs.
 func (s *Share) takeUnknownIDs() []fanout.ID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := slices.Collect(maps.Keys(s.unknownIDs))
+	ids := slices.Collect(maps.Keys(s.unknownIDs))
 	clear(s.unknownIDs)
-	return list
+	return ids
 }
 
 // encodeReport returns the encoded report. If encoding fails it logs the error and returns nil.
@@ -346,12 +360,12 @@
 	return data
 }
 
-// sendDatagram sends one datagram. Errors are ignored like losses: the next report follows.
+// sendDatagram sends one datagram. Errors are ignored, since the next report makes up for a lost datagram.
 func (s *Share) sendDatagram(data []byte, to netip.AddrPort) {
 	_, _ = s.conn.WriteToUDPAddrPort(data, to)
 }
 
-// forwardReport sends the report of another gateway to the gateways of the own domain.
+// forwardReport sends a report of the gateway at origin to the other gateways of this gateway's domain.
 func (s *Share) forwardReport(r report, origin netip.AddrPort) {
 	r.PassOn, r.Origin = false, origin
 	data := s.encodeReport(r)
@@ -364,6 +378,7 @@
 	}
 }
 
+// runReceiver handles the datagrams that arrive until ctx ends.
 func (s *Share) runReceiver(ctx context.Context) error {
 	buf := make([]byte, maxDatagramBytes)
 	for {
@@ -372,7 +387,8 @@
 			return nil
 		}
 		if err != nil {
-			// The refusal of a host without a listener is returned here: a peer has stopped.
+			// A read may fail with ECONNREFUSED after a send to a stopped peer. The pause keeps repeated
+			// errors from using up the processor.
 			sleep.For(ctx, minSendInterval)
 			continue
 		}
@@ -381,6 +397,8 @@
 	}
 }
 
+// handleDatagram decodes and applies a report or a batch. from is the address that the datagram comes from.
+// Only the goroutine that receives datagrams calls it.
 func (s *Share) handleDatagram(data []byte, from netip.AddrPort) {
 	if isBatch(data) {
 		s.handleBatch(data, from)
@@ -406,28 +424,29 @@
 	ids := s.targetIDs()
 	s.view.ApplyReport(r.From, fleet.Report{
 		Loads: decodeLoads(r.Loads, ids), Suspects: resolveTargets(r.Suspects, ids), Demand: fleet.Demand{Items: r.Items, Due: r.Due},
-		Contact: r.storeContact(time.Now()),
+		Contact: r.lastStoreContact(time.Now()),
 	})
 	s.quarantine.Apply(s.decodeRecords(r.Quarantine, from))
 	s.quotas.Apply(from.String(), quota.Report{Start: string(r.From), IsFirst: r.IsFirst, Counts: decodeCounts(r.Admitted)})
 }
 
-// decodeRecords converts the quarantine records of a peer. Records that cannot be decoded are logged and left
-// out.
+// decodeRecords decodes the quarantine records of the peer at from. Records that cannot be decoded are logged
+// and left out.
 func (s *Share) decodeRecords(messages []quarantine.Message, from netip.AddrPort) []quarantine.Record {
-	var list []quarantine.Record
+	var records []quarantine.Record
 	for _, m := range messages {
 		r, err := m.Record()
 		if err != nil {
 			s.log.Warn("cannot decode quarantine record", "from", from.String(), "error", err)
 			continue
 		}
-		list = append(list, r)
+		records = append(records, r)
 	}
-	return list
+	return records
 }
 
-// targetIDs returns the ids of the targets by their digests. Only the receiving goroutine calls it.
+// targetIDs returns the ids of the targets by their digests. Only the goroutine that receives datagrams calls
+// it.
 func (s *Share) targetIDs() map[digest]string {
 	if version := s.view.Listed(); s.targetIndex.idByDigest == nil || version != s.targetIndex.version {
 		s.targetIndex = newTargetIndex(version, s.view.Targets())
@@ -435,7 +454,8 @@
 	return s.targetIndex.idByDigest
 }
 
-// noteReport records the arrival of a report. It returns whether the report is newer than the previous ones.
+// noteReport records when a report of the gateway at from has arrived, and what it says about that gateway.
+// It returns whether the report is newer than all previous ones of that gateway's process.
 func (s *Share) noteReport(from netip.AddrPort, r report) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -445,7 +465,7 @@
 	isNew := r.Seq > p.seq
 	if isNew {
 		p.seq = r.Seq
-		p.lastStoreContact, p.hasLostStore = r.storeContact(p.lastSeen), r.Detours
+		p.lastStoreContact, p.hasLostStore = r.lastStoreContact(p.lastSeen), r.Detours
 	}
 	if r.Role != roleNone {
 		s.hub.putReport(p.hubEntry(newRelayedReport(p.id, r), p.lastSeen), r.Role == roleForward)
@@ -453,21 +473,22 @@
 	return isNew
 }
 
-// PeersWithStore returns the addresses of live peers that have reached the store over their own connection
-// within storeReachableWithin. Each process orders them differently, so that not all of them use the same
-// peer.
+// PeersWithStore returns the addresses (IP:port) of live peers that the store has answered over their own
+// connection within maxStoreContactAge. Each process orders them differently, so that not all of them use the
+// same peer.
 func (s *Share) PeersWithStore() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	var list []string
+	var addrs []string
 	for ap, p := range s.peers {
-		if p.reachesStore(now) {
-			list = append(list, ap.String())
+		if p.hasStoreAccess(now) {
+			addrs = append(addrs, ap.String())
 		}
 	}
-	slices.SortFunc(list, func(a, b string) int { return cmp.Compare(s.hashPeer(a), s.hashPeer(b)) })
-	return list
+	slices.SortFunc(addrs, func(a, b string) int { return cmp.Compare(s.hashPeer(a), s.hashPeer(b)) })
+	return addrs
 }
 
+// hashPeer returns the hash by which this process orders the peers. Each process has another order.
 func (s *Share) hashPeer(addr string) uint64 { return xxhash.Sum64String(string(s.self) + " " + addr) }
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -31,9 +31,9 @@
 
 // fakeQuarantine returns its pending records once, and stores the records that are applied.
 type fakeQuarantine struct {
-	pending      []quarantine.Record
-	applied      []quarantine.Record
-	startedPeers int // calls of PeerStarted
+	pending      []quarantine.Record // returned by the next call of ToTell
+	applied      []quarantine.Record // passed to Apply so far
+	startedPeers int                 // number of calls of PeerStarted
 }
 
 func (q *fakeQuarantine) PeerStarted() { q.startedPeers++ }
@@ -48,8 +48,7 @@
 	q.applied = append(q.applied, records...)
 }
 
-// Guards against gateways that do not receive the records of requests under which targets of others have
-// crashed.
+// Guards against gateways that do not receive the quarantine records of their peers.
 func TestQuarantineRecordsReachPeers(t *testing.T) {
 	a, _ := newTestSharer(t, "a")
 	b, _ := newTestSharer(t, "b")
@@ -67,10 +66,12 @@
 	}
 	b.handleDatagram(buf[:n], from)
 	if !reflect.DeepEqual(received.applied, []quarantine.Record{record}) || received.startedPeers != 1 {
-		t.Errorf("received %+v from %d peers, want %+v from one", received.applied, received.startedPeers, record)
+		t.Errorf("received the records %+v from %d new peers, want %+v from 1", received.applied, received.startedPeers, record)
 	}
 }
 
+// newTestSharer returns a gateway named self that does not run yet, and its view of the fleet with one target
+// that has one slot.
 func newTestSharer(t testing.TB, self fleet.Peer) (*Share, *fleetview.View) {
 	t.Helper()
 	v := fleetview.New(fleet.Options{Self: self, PeerTTL: PeerTTL})
@@ -82,7 +83,8 @@
 	return s, v
 }
 
-// A request at one gateway takes the only slot, so that a batch item at another one finds no free slot.
+// Guards against gateways that do not receive the loads of others: a request at one gateway occupies the only
+// slot, so a batch item at another one must find no free slot until the request has ended.
 func TestGatewaysExchangeLoads(t *testing.T) {
 	a, viewA := newTestSharer(t, "a")
 	b, viewB := newTestSharer(t, "b")
@@ -93,11 +95,11 @@
 	go func() { done <- b.Run(ctx) }()
 	r, ok := viewA.StartOnline("s", nil)
 	if !ok {
-		t.Fatal("no target")
+		t.Fatal("StartOnline found no target for an online request")
 	}
-	awaitRoom(t, viewB, false)
+	awaitFreeSlot(t, viewB, false)
 	r.Done()
-	awaitRoom(t, viewB, true)
+	awaitFreeSlot(t, viewB, true)
 	cancel()
 	for range 2 {
 		if err := <-done; err != nil {
@@ -106,21 +108,23 @@
 	}
 }
 
-// awaitRoom waits until a batch item finds a free slot, or until it finds none.
-func awaitRoom(t *testing.T, v *fleetview.View, wantRoom bool) {
+// awaitFreeSlot waits until a batch item finds a free slot, or until it finds none if wantFreeSlot is false.
+func awaitFreeSlot(t *testing.T, v *fleetview.View, wantFreeSlot bool) {
 	t.Helper()
 	for {
 		r, ok := v.StartBatch("s", 0, nil, func() {})
 		if ok {
 			r.Done()
 		}
-		if ok == wantRoom {
+		if ok == wantFreeSlot {
 			return
 		}
 		<-v.Freed()
 	}
 }
 
+// Guards against loads that an older report overwrites, and against loads of a previous process that stop
+// counting as soon as the peer has restarted.
 func TestOutOfOrderReportsAreIgnored(t *testing.T) {
 	s, v := newTestSharer(t, "a")
 	defer s.conn.Close()
@@ -132,7 +136,7 @@
 		}
 		s.handleDatagram(data, from)
 	}
-	hasRoom := func() bool {
+	hasFreeSlot := func() bool {
 		r, ok := v.StartBatch("s", 0, nil, func() {})
 		if ok {
 			r.Done()
@@ -141,21 +145,23 @@
 	}
 	deliver("b", 5, 1)
 	deliver("b", 4, 0)
-	if hasRoom() {
-		t.Error("an older report replaced a newer one")
+	if hasFreeSlot() {
+		t.Error("a batch item finds a free slot after an older report without load, want the newer report to remain")
 	}
 	deliver("b", 6, 0)
-	if !hasRoom() {
-		t.Error("a newer report has not been applied")
+	if !hasFreeSlot() {
+		t.Error("a batch item finds no free slot after a newer report without load, want a free slot")
 	}
 	deliver("b", 7, 1)
 	deliver("b-restarted", 1, 0)
-	if hasRoom() {
-		t.Error("the load of the old process does not count until it expires, though its requests may still run")
+	if hasFreeSlot() {
+		t.Error("a batch item finds a free slot right after the peer has restarted, want the load of its previous process to count until it expires: its requests may still run")
 	}
 	s.handleDatagram([]byte("garbage"), from)
 }
 
+// Guards against traffic to stopped peers: reports are sent to a silent peer at a lower rate, and the peer is
+// removed in the end.
 func TestSilentPeersAreSentToRarelyAndThenRemoved(t *testing.T) {
 	s, _ := newTestSharer(t, "a")
 	defer s.conn.Close()
@@ -163,26 +169,26 @@
 	s.AddPeer(s.Addr().String(), "", 0)
 	s.AddPeer("nonsense", "", 0)
 	now := time.Now()
-	if n := len(s.selectReceivers(now, 0)); n != 1 {
-		t.Errorf("%d peers are due, want the other one", n)
+	if count := len(s.selectReceivers(now, 0)); count != 1 {
+		t.Errorf("a report has %d receivers, want 1: neither this gateway itself nor an invalid address", count)
 	}
 	silent := now.Add(silentAfter + time.Second)
 	if len(s.selectReceivers(silent, 0)) != 1 || len(s.selectReceivers(silent.Add(silentSendInterval/2), 0)) != 0 || len(s.selectReceivers(silent.Add(2*silentSendInterval), 0)) != 1 {
-		t.Error("a silent peer is not sent to once in silentSendInterval")
+		t.Error("reports are not sent to a silent peer exactly once in silentSendInterval")
 	}
 	if len(s.selectReceivers(now.Add(2*removeAfter), 0)) != 0 || s.Peers() != 0 {
-		t.Error("a peer that stays silent is not removed")
+		t.Error("a peer that has been silent for twice removeAfter is still present, want it removed")
 	}
 }
 
-// A peer can give access to the store only if it is live, has reached the store itself recently, and has not
-// lost its own connection since.
+// Guards against store calls through peers that cannot reach the store: PeersWithStore returns only live
+// peers that the store has answered recently and that have not lost their own connection to it.
 func TestPeersWithStoreListsPeersWithDirectContact(t *testing.T) {
 	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
 	reports := map[string]report{
 		"127.0.0.1:1": {From: "fresh", Seq: 1, ContactAge: 10},
-		"127.0.0.1:2": {From: "stale", Seq: 1, ContactAge: storeReachableWithin.Milliseconds() + 10},
+		"127.0.0.1:2": {From: "stale", Seq: 1, ContactAge: maxStoreContactAge.Milliseconds() + 10},
 		"127.0.0.1:3": {From: "detours", Seq: 1, ContactAge: 10, Detours: true},
 		"127.0.0.1:4": {From: "silent", Seq: 1, ContactAge: 10},
 	}
@@ -191,66 +197,67 @@
 	}
 	s.AddPeer("127.0.0.1:5", "", 0) // only the address is known
 	s.peers[netip.MustParseAddrPort("127.0.0.1:4")].lastSeen = time.Now().Add(-2 * PeerTTL)
-	if got := s.PeersWithStore(); len(got) != 1 || got[0] != "127.0.0.1:1" {
-		t.Errorf("peers with access to the store: %v", got)
+	if addrs := s.PeersWithStore(); len(addrs) != 1 || addrs[0] != "127.0.0.1:1" {
+		t.Errorf("peers with access to the store are %v, want only 127.0.0.1:1", addrs)
 	}
 }
 
 // Guards against traffic between domains that grows with the square of the fleet: two gateways of each other
-// domain take turns in receiving the reports, all others get none.
+// domain take turns in receiving the reports, and all others there receive none from the sender.
 func TestOneRelayPerOtherDomainReceivesReport(t *testing.T) {
 	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
-	const domains, each = 4, 7
+	const domains, perDomain = 4, 7
 	addr := func(domain, i int) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(domain), 0, byte(i)}), 1)
 	}
 	for d := range domains {
-		for i := range each {
+		for i := range perDomain {
 			name := fleet.Peer(addr(d, i).String())
 			s.noteReport(addr(d, i), report{From: name, Seq: 1, Domain: newDigest([]string{"d", "e", "f", "g"}[d])})
 		}
 	}
-	received := make(map[netip.AddrPort]int)
+	receivedCounts := make(map[netip.AddrPort]int)
 	const reports = 10
-	for n := range uint64(reports) {
-		list := s.selectReceivers(time.Now(), n)
-		if len(list) != each+domains-1 {
-			t.Fatalf("%d receivers", len(list))
+	for seq := range uint64(reports) {
+		receivers := s.selectReceivers(time.Now(), seq)
+		if len(receivers) != perDomain+domains-1 {
+			t.Fatalf("a report has %d receivers, want 10: 7 in the own domain and 1 in each of 3 others", len(receivers))
 		}
-		for _, r := range list {
-			received[r.addr]++
-			if own := r.addr.Addr().As4()[1] == 0; own == r.isRelay {
-				t.Errorf("%v is a relay: %v", r.addr, r.isRelay)
+		for _, r := range receivers {
+			receivedCounts[r.addr]++
+			if isOwnDomain := r.addr.Addr().As4()[1] == 0; isOwnDomain == r.isRelay {
+				t.Errorf("%v is a relay: %v, want relays in all other domains and none in the own one", r.addr, r.isRelay)
 			}
 		}
 	}
-	if len(received) != each+relaysPerDomain*(domains-1) {
-		t.Errorf("%d gateways received reports directly", len(received))
+	if len(receivedCounts) != perDomain+relaysPerDomain*(domains-1) {
+		t.Errorf("%d gateways received reports from the sender, want 13: 7 in the own domain and 2 in each of 3 others", len(receivedCounts))
 	}
-	for ap, n := range received {
-		if want := reports / relaysPerDomain; ap.Addr().As4()[1] != 0 && n != want {
-			t.Errorf("%v received %d reports, want %d", ap, n, want)
+	for ap, count := range receivedCounts {
+		if want := reports / relaysPerDomain; ap.Addr().As4()[1] != 0 && count != want {
+			t.Errorf("relay %v received %d reports, want %d", ap, count, want)
 		}
 	}
-	lost := s.selectReceivers(time.Now(), 0)
-	for _, r := range lost {
+	receiversBeforeLoss := s.selectReceivers(time.Now(), 0)
+	for _, r := range receiversBeforeLoss {
 		if r.isRelay {
 			s.peers[r.addr].lastSeen = time.Now().Add(-2 * PeerTTL)
 		}
 	}
-	relays := 0
+	relayCount := 0
 	for _, r := range s.selectReceivers(time.Now(), 0) {
 		if r.isRelay {
-			relays++
+			relayCount++
 		}
 	}
-	if relays != domains-1 {
-		t.Errorf("after the loss of the relays there are %d others, want one for each domain", relays)
+	if relayCount != domains-1 {
+		t.Errorf("a report has %d relays after the first ones were lost, want 3: 1 in each other domain", relayCount)
 	}
 }
 
-// A forwarded report counts as a report of its sender. It reaches the whole domain and is not sent back.
+// Guards against a forwarded report that is stored as one of the relay, does not reach the domain of the
+// relay, or is forwarded again.
 func TestRelayForwardsReport(t *testing.T) {
 	origin := netip.MustParseAddrPort("127.0.0.1:9")
 	relay, _ := newTestSharer(t, "relay")
@@ -275,23 +282,24 @@
 	other.handleDatagram(buf[:n], from)
 	p, ok := other.peers[origin]
 	if !ok || p.name != "sender" || p.seq != 3 || p.domain != newDigest("far") {
-		t.Errorf("%+v", p)
+		t.Errorf("the peer at the sender's address is %+v, want name sender, sequence number 3 and the sender's domain", p)
 	}
-	if _, hasRoom := view.StartBatch("s", 0, nil, func() {}); hasRoom {
-		t.Error("the load in the forwarded report does not count")
+	if _, hasFreeSlot := view.StartBatch("s", 0, nil, func() {}); hasFreeSlot {
+		t.Error("a batch item finds a free slot after a forwarded report with load, want none")
 	}
-	if got := other.domainPeersExcept(time.Now(), origin); len(got) != 0 {
-		t.Errorf("the other gateway forwards to %v", got)
+	if addrs := other.domainPeersExcept(time.Now(), origin); len(addrs) != 0 {
+		t.Errorf("the receiver of a forwarded report would forward reports to %v, want no gateway", addrs)
 	}
 }
 
-// A datagram is counted by its sender and has the size that the peer receives.
+// Guards against reports that their sender does not count, or counts with another size than the peer
+// receives.
 func TestTrafficIsCounted(t *testing.T) {
 	a, _ := newTestSharer(t, "a")
 	b, _ := newTestSharer(t, "b")
 	a.AddPeer(b.Addr().String(), "", 0)
-	if n := a.sendReport(1); n != 1 {
-		t.Fatalf("sent to %d gateways", n)
+	if receiverCount := a.sendReport(1); receiverCount != 1 {
+		t.Fatalf("the report was sent to %d gateways, want 1", receiverCount)
 	}
 	buf := make([]byte, maxDatagramBytes)
 	n, _, err := b.conn.ReadFromUDPAddrPort(buf)
@@ -300,6 +308,6 @@
 	}
 	own := &a.Traffic().Own
 	if own.Datagrams() != 1 || own.Bytes() != int64(n) {
-		t.Errorf("%d datagrams of %d bytes are counted, want one of %d", own.Datagrams(), own.Bytes(), n)
+		t.Errorf("%d datagrams of %d bytes are counted, want 1 of %d bytes", own.Datagrams(), own.Bytes(), n)
 	}
 }
--- a/internal/loadshare/message.go
+++ b/internal/loadshare/message.go
@@ -13,48 +13,50 @@
 	"arbutusramp/core/serving"
 )
 
-// report is the datagram in which a gateway sends its own state.
+// report is the datagram in which a gateway sends its own state to its peers.
 type report struct {
-	From  fleet.Peer   `cbor:"1,keyasint"` // new with each start of the process
-	Seq   uint64       `cbor:"2,keyasint"` // sequence number; older reports are ignored
-	Loads []targetLoad `cbor:"3,keyasint"`
-	Items int          `cbor:"4,keyasint"` // see fleet.Demand
-	Due   int64        `cbor:"5,keyasint"`
-	// ContactAge is how long ago the store last answered, in milliseconds: clocks differ between hosts, ages
-	// do not.
+	From  fleet.Peer   `cbor:"1,keyasint"` // name of the sender's process, new with each start
+	Seq   uint64       `cbor:"2,keyasint"` // sequence number; a report that is not newer than a received one is ignored
+	Loads []targetLoad `cbor:"3,keyasint"` // targets at which the sender has no load are left out
+	Items int          `cbor:"4,keyasint"` // number of batch items at the sender that wait for a slot
+	Due   int64        `cbor:"5,keyasint"` // when the first of them is due, in milliseconds since 1970
+	// ContactAge is how long ago the store last answered the sender, in milliseconds. It is an age and not a
+	// time because the clocks of hosts differ.
 	ContactAge int64 `cbor:"6,keyasint"`
 	// Detours is set if the sender has lost its own connection to the store: it has reached the store through
 	// a peer, if at all, and cannot give others access to it.
 	Detours bool `cbor:"7,keyasint,omitempty"`
 	// Domain is the digest of the name of the sender's failure domain.
 	Domain digest `cbor:"8,keyasint"`
-	// PassOn asks the receiver to forward the report to the gateways of its own domain.
+	// PassOn is set if the receiver is to forward the report to the other gateways of its own domain.
 	PassOn bool `cbor:"9,keyasint,omitempty"`
 	// Origin is the address that the sender listens on, in a forwarded report: the datagram then comes from
 	// another address.
 	Origin netip.AddrPort `cbor:"10,keyasint,omitzero"`
-	// Suspects are the targets that have recently failed for the sender.
+	// Suspects are the digests of the ids of targets at which requests of the sender have recently failed.
 	Suspects []digest `cbor:"11,keyasint,omitempty"`
 	// IsFirst and Admitted are the contents of a quota.Report.
 	IsFirst  bool            `cbor:"12,keyasint,omitempty"`
 	Admitted []admittedCount `cbor:"13,keyasint,omitempty"`
-	// Quarantine are records that some peers may not have yet.
+	// Quarantine holds quarantine records of requests under which targets crash, which some peers may not
+	// have yet.
 	Quarantine []quarantine.Message `cbor:"14,keyasint,omitempty"`
 	// Role is what the receiver does with the report as a hub.
 	Role hubRole `cbor:"15,keyasint,omitempty"`
-	// Unknown are gateways that appear in the batches of hubs and are unknown to the sender: the receiver, as
-	// a hub, sends their peerInfo.
+	// Unknown identifies gateways that appear in the batches of hubs and that the sender has no description
+	// of. The receiver sends the descriptions that it has.
 	Unknown []fanout.ID `cbor:"16,keyasint,omitempty"`
-	// Capacity is the sender's processor time.
+	// Capacity is the processor time available to the sender.
 	Capacity fanout.Capacity `cbor:"17,keyasint,omitempty"`
 }
 
+// encodeRecords converts quarantine records for a report.
 func encodeRecords(records []quarantine.Record) []quarantine.Message {
-	var list []quarantine.Message
+	var messages []quarantine.Message
 	for _, r := range records {
-		list = append(list, r.Message())
+		messages = append(messages, r.Message())
 	}
-	return list
+	return messages
 }
 
 // admittedCount is how many requests of a workspace the sender has admitted since its start.
@@ -64,35 +66,39 @@
 	Total     int64
 }
 
+// encodeCounts converts counts of admitted requests for a report.
 func encodeCounts(counts []quota.Count) []admittedCount {
-	var list []admittedCount
+	var encoded []admittedCount
 	for _, c := range counts {
-		list = append(list, admittedCount{Workspace: c.Workspace, Total: c.Total})
+		encoded = append(encoded, admittedCount{Workspace: c.Workspace, Total: c.Total})
 	}
-	return list
+	return encoded
 }
 
+// decodeCounts converts the counts of admitted requests in a report.
 func decodeCounts(counts []admittedCount) []quota.Count {
-	var list []quota.Count
+	var decoded []quota.Count
 	for _, c := range counts {
-		list = append(list, quota.Count{Workspace: c.Workspace, Total: c.Total})
+		decoded = append(decoded, quota.Count{Workspace: c.Workspace, Total: c.Total})
 	}
-	return list
+	return decoded
 }
 
-// digest is a hash that stands for a name in reports: they are sent many times a second, and traffic between
-// domains is costly. Two of some hundred names have the same digest in fewer than one of ten thousand fleets;
-// such targets would count as having each other's loads.
+// digest is the hash of a name, which reports contain in place of the name because they are sent many times a
+// second and traffic between domains is costly. In fewer than one of ten thousand fleets with some hundred
+// names two names have the same digest; the load at one of two such targets would then count for the other as
+// well.
 type digest uint32
 
+// newDigest returns the digest of a name.
 func newDigest(name string) digest { return digest(xxhash.Sum64String(name)) }
 
-// storeContact returns when the store last answered the sender, by this process's clock.
-func (r report) storeContact(now time.Time) time.Time {
+// lastStoreContact returns when the store last answered the sender, by this process's clock.
+func (r report) lastStoreContact(now time.Time) time.Time {
 	return now.Add(-time.Duration(r.ContactAge) * time.Millisecond)
 }
 
-// targetLoad is the sender's load at one target.
+// targetLoad is the number of online requests and batch items that the sender runs at one target.
 type targetLoad struct {
 	_      struct{} `cbor:",toarray"`
 	Target digest
@@ -100,33 +106,34 @@
 	Batch  int
 }
 
-// encodeLoads converts the loads of a gateway for a report.
+// encodeLoads converts loads by target id for a report.
 func encodeLoads(loads map[string]fleet.Load) []targetLoad {
-	var list []targetLoad
+	var encoded []targetLoad
 	for id, l := range loads {
-		list = append(list, targetLoad{Target: newDigest(id), Online: l.Online, Batch: l.Batch})
+		encoded = append(encoded, targetLoad{Target: newDigest(id), Online: l.Online, Batch: l.Batch})
 	}
-	return list
+	return encoded
 }
 
+// newDigests returns the digests of target ids.
 func newDigests(ids []string) []digest {
-	var list []digest
+	var digests []digest
 	for _, id := range ids {
-		list = append(list, newDigest(id))
+		digests = append(digests, newDigest(id))
 	}
-	return list
+	return digests
 }
 
-// resolveTargets converts digests to target ids. Digests of targets that this process does not have are left
-// out.
-func resolveTargets(list []digest, ids map[digest]string) []string {
-	var resolved []string
-	for _, d := range list {
+// resolveTargets converts digests to target ids. ids holds the target ids by their digests; other digests are
+// left out.
+func resolveTargets(digests []digest, ids map[digest]string) []string {
+	var resolvedIDs []string
+	for _, d := range digests {
 		if id, ok := ids[d]; ok {
-			resolved = append(resolved, id)
+			resolvedIDs = append(resolvedIDs, id)
 		}
 	}
-	return resolved
+	return resolvedIDs
 }
 
 // targetIndex holds the target ids by their digests, for one version of the list of targets. It is cached
@@ -136,6 +143,7 @@
 	idByDigest map[digest]string
 }
 
+// newTargetIndex returns the index of the targets in a version of their list.
 func newTargetIndex(version uint64, targets []serving.Target) targetIndex {
 	index := targetIndex{version: version, idByDigest: make(map[digest]string, len(targets))}
 	for _, t := range targets {
@@ -144,8 +152,9 @@
 	return index
 }
 
-// decodeLoads converts the loads of a report. Targets that this process does not have are left out: the next
-// report after it has read the list contains them again.
+// decodeLoads converts the loads in a report to loads by target id. ids holds the target ids by their
+// digests. Targets that are not in it are left out: they are applied from the first report after this process
+// has read the newer list of targets.
 func decodeLoads(targetLoads []targetLoad, ids map[digest]string) map[string]fleet.Load {
 	loads := make(map[string]fleet.Load, len(targetLoads))
 	for _, l := range targetLoads {
--- a/internal/loadshare/probe.go
+++ b/internal/loadshare/probe.go
@@ -10,21 +10,23 @@
 )
 
 const (
-	// probeAfter is the silence after which a peer is probed: all live peers report more often.
+	// probeAfter is the time without a direct datagram from a peer after which the peer is probed. The
+	// reports of a live peer arrive at least every refreshInterval, unless it reports only to hubs.
 	probeAfter = 250 * time.Millisecond
-	// probeInterval is the time between two passes over the peers, and probeRepeatInterval that between two
-	// probes of one peer.
+	// probeInterval is the time between two passes over all peers. probeRepeatInterval is the shortest time
+	// between two probes of one peer.
 	probeInterval       = 100 * time.Millisecond
 	probeRepeatInterval = 400 * time.Millisecond
-	// probeTimeout limits a probe: a live host refuses a connection within a few milliseconds.
+	// probeTimeout is the time limit of one probe: a live host refuses a connection within a few
+	// milliseconds.
 	probeTimeout = 150 * time.Millisecond
-	// maxProbesPerPass limits the number of probes in one pass.
+	// maxProbesPerPass is the largest number of peers that one pass probes, one after another.
 	maxProbesPerPass = 8
 )
 
-// probePeers detects which silent peers have stopped: their hosts refuse connections, while those of peers
-// that are cut off do not answer. A stopped peer admits no requests, so its share of the quotas goes to the
-// other gateways at once.
+// probePeers detects which silent peers have stopped, until ctx ends: the host of a stopped process refuses
+// connections, while the host of a peer that is cut off does not answer. A stopped peer admits no requests,
+// so its share of the quotas goes to the other gateways at once.
 func (s *Share) probePeers(ctx context.Context) error {
 	for sleep.For(ctx, probeInterval) {
 		for _, addr := range s.peersToProbe(time.Now()) {
@@ -38,7 +40,7 @@
 	return nil
 }
 
-// markPeerStopped marks a peer's process as stopped in what this gateway sends as a hub.
+// markPeerStopped marks the process of a peer as stopped in the table of this gateway as a hub.
 func (s *Share) markPeerStopped(addr netip.AddrPort) {
 	s.mu.Lock()
 	p, ok := s.peers[addr]
@@ -48,23 +50,25 @@
 	}
 }
 
-// peersToProbe returns the peers that are due for a probe, and marks them as probed.
+// peersToProbe returns the addresses of the peers that are due for a probe, and marks these peers as probed.
+// Peers without a direct datagram for longer than silentAfter are left out: they report only to hubs, which
+// probe them, or they have been due for several probes already.
 func (s *Share) peersToProbe(now time.Time) []netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var list []netip.AddrPort
+	var addrs []netip.AddrPort
 	for ap, p := range s.peers {
 		silentFor := now.Sub(p.lastSeenDirect)
-		if p.name == "" || silentFor < probeAfter || silentFor > silentAfter || now.Sub(p.lastProbed) < probeRepeatInterval || len(list) == maxProbesPerPass {
+		if p.name == "" || silentFor < probeAfter || silentFor > silentAfter || now.Sub(p.lastProbed) < probeRepeatInterval || len(addrs) == maxProbesPerPass {
 			continue
 		}
 		p.lastProbed = now
-		list = append(list, ap)
+		addrs = append(addrs, ap)
 	}
-	return list
+	return addrs
 }
 
-// isProcessStopped reports whether the host of a peer is live and no process listens there.
+// isProcessStopped reports whether the host of a peer is live and no process listens on the peer's address.
 func isProcessStopped(ctx context.Context, addr netip.AddrPort) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/loadshare/quota_test.go
+++ b/internal/loadshare/quota_test.go
@@ -19,12 +19,15 @@
 	"arbutusramp/internal/quotas"
 )
 
+// newTestQuotas returns the quotas of a gateway for workspace w: a bucket of 100 requests that refills with
+// 1e-6 requests a second, so hardly at all during a test.
 func newTestQuotas(name string) *quotas.Quotas {
 	q := quotas.New(name, quota.Options{Window: time.Minute, ClaimTTL: time.Minute}, metrics.NewRegistry())
 	q.SetWorkspaces([]workspace.Workspace{{Name: "w", Quota: workspace.Quota{PerSecond: 1e-6, Burst: 100}}})
 	return q
 }
 
+// newSharerWithQuotas returns a gateway named self that uses q and does not run yet.
 func newSharerWithQuotas(t *testing.T, self fleet.Peer, q *quotas.Quotas) *Share {
 	t.Helper()
 	s, err := New(Options{
@@ -37,7 +40,8 @@
 	return s
 }
 
-// Requests that one gateway admits are missing from the bucket of another, and a refund returns there too.
+// Guards against quotas that each gateway applies by itself: the requests that one gateway admits are taken
+// out of the bucket of another, and a refund is added there too. The loop ends only then.
 func TestGatewaysExchangeAdmissions(t *testing.T) {
 	quotasA, quotasB := newTestQuotas("a"), newTestQuotas("b")
 	a, b := newSharerWithQuotas(t, "a", quotasA), newSharerWithQuotas(t, "b", quotasB)
@@ -52,7 +56,7 @@
 		quotasA.Admit("w")
 	}
 	quotasA.Refund("w")
-	for u, _ := quotasB.Usage("w"); math.Abs(full.Tokens-u.Tokens-4) > 0.1; u, _ = quotasB.Usage("w") {
+	for usage, _ := quotasB.Usage("w"); math.Abs(full.Tokens-usage.Tokens-4) > 0.1; usage, _ = quotasB.Usage("w") {
 		time.Sleep(5 * time.Millisecond)
 	}
 	cancel()
@@ -63,7 +67,7 @@
 	}
 }
 
-// fakeQuotas reports which peers are dropped.
+// fakeQuotas sends the addresses of dropped peers to a channel and ignores all other calls.
 type fakeQuotas struct{ removed chan string }
 
 func (fakeQuotas) Report() quota.Report       { return quota.Report{} }
@@ -71,8 +75,9 @@
 func (fakeQuotas) AddPeer(string)             {}
 func (q fakeQuotas) Forget(addr string)       { q.removed <- addr }
 
-// Guards against refusals after a process was killed: its host refuses connections, so its share of the
-// quotas goes to the other gateways. A silent peer whose process is live keeps its share.
+// Guards against quotas that a killed process keeps, so that others refuse requests: its host refuses
+// connections, which shows that it has stopped. A silent peer whose process is live must keep its share of
+// the quotas.
 func TestStoppedPeerIsRemovedFromQuotas(t *testing.T) {
 	s, _ := newTestSharer(t, "self")
 	q := fakeQuotas{removed: make(chan string, 10)}
@@ -97,12 +102,12 @@
 	defer refreshTimer.Stop()
 	for seq, isRemoved := uint64(1), false; !isRemoved; seq++ {
 		select {
-		case got := <-q.removed:
-			if got != addrs[1].String() {
-				t.Errorf("%s is considered stopped", got)
+		case addr := <-q.removed:
+			if addr != addrs[1].String() {
+				t.Errorf("peer %s was removed from the quotas, want only the stopped one", addr)
 			}
 			isRemoved = true
-		case <-refreshTimer.C: // on a starved machine both peers may have been silent for too long to be probed
+		case <-refreshTimer.C: // on a slow machine both peers may have been silent for longer than silentAfter, so that neither is probed
 			for _, ap := range addrs {
 				s.noteReport(ap, report{From: fleet.Peer(ap.String()), Seq: seq})
 			}
--- a/internal/loadshare/receive.go
+++ b/internal/loadshare/receive.go
@@ -10,7 +10,8 @@
 	"arbutusramp/internal/fleetview"
 )
 
-// handleBatch applies a batch of a hub and forwards it to the gateways that the batch names.
+// handleBatch forwards a batch of a hub to the gateways that the batch names, and applies its content. from
+// is the address that the datagram comes from.
 func (s *Share) handleBatch(data []byte, from netip.AddrPort) {
 	b, c, heartbeats, err := decodeBatch(data)
 	if err != nil {
@@ -22,13 +23,13 @@
 	}
 	s.applyPeerInfos(c.Intros)
 	s.markHubSeen(c.Hub)
-	list := s.applyContent(c, heartbeats)
-	if len(list) > 0 {
-		s.view.ApplyNews(list)
+	updates := s.applyContent(c, heartbeats)
+	if len(updates) > 0 {
+		s.view.ApplyNews(updates)
 	}
 }
 
-// applyPeerInfos adds the gateways that a hub describes.
+// applyPeerInfos adds peers for the gateways that a hub describes, and updates their domains and capacities.
 func (s *Share) applyPeerInfos(infos []peerInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,7 +38,7 @@
 		if info.Addr == s.Addr() || info.Name == "" {
 			continue
 		}
-		// A hub that has not received a report of a restarted process yet still describes the previous start.
+		// A hub that has not received a report of a restarted process yet describes the previous process.
 		if p, ok := s.peers[info.Addr]; ok && p.name != "" && p.name != info.Name && now.Sub(p.lastSeen) < PeerTTL {
 			continue
 		}
@@ -46,7 +47,7 @@
 	}
 }
 
-// markHubSeen records that a hub is live.
+// markHubSeen records that a batch of the hub at addr has arrived.
 func (s *Share) markHubSeen(addr netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,17 +56,17 @@
 	}
 }
 
-// applyContent applies the reports and heartbeats of a hub to the peers, and returns the updates for the view
-// of the fleet. What a hub of another domain sends is also put into this gateway's own table as a hub, to be
-// distributed.
+// applyContent applies the reports and heartbeats of a hub to the peers, the quotas and the quarantine, and
+// returns the updates for the view of the fleet. What a hub of another domain sends is also put into this
+// gateway's own table as a hub, which distributes it in its domain.
 func (s *Share) applyContent(c batchContent, heartbeats []heartbeat) []fleetview.PeerNews {
 	now := time.Now()
 	ids := s.targetIDs()
-	var list []fleetview.PeerNews
+	var updates []fleetview.PeerNews
 	s.mu.Lock()
-	hub, isKnown := s.peers[c.Hub]
-	isCrossDomain := isKnown && hub.domain != s.domain
-	var reports []peerReport
+	hubPeer, isKnown := s.peers[c.Hub]
+	isCrossDomain := isKnown && hubPeer.domain != s.domain
+	var newReports []peerReport
 	for _, r := range c.News {
 		p := s.lookUpPeer(r.ID)
 		if p == nil || r.Seq <= p.seq {
@@ -73,34 +74,34 @@
 		}
 		p.seq = r.Seq
 		p.lastSeen = now
-		reports = append(reports, peerReport{p.addr, p.name, r})
-		list = append(list, fleetview.PeerNews{From: p.name, Report: &fleet.Report{
+		newReports = append(newReports, peerReport{p.addr, p.name, r})
+		updates = append(updates, fleetview.PeerNews{From: p.name, Report: &fleet.Report{
 			Loads: decodeLoads(r.Loads, ids), Suspects: resolveTargets(r.Suspects, ids), Demand: fleet.Demand{Items: r.Items, Due: r.Due}, Contact: p.lastStoreContact,
 		}})
 		if isCrossDomain {
 			s.hub.putReport(p.hubEntry(r, now), true)
 		}
 	}
-	var liveReports []peerReport
+	var heartbeatReports []peerReport // empty reports of live peers
 	for _, h := range heartbeats {
 		p := s.lookUpPeer(h.id)
 		if p == nil {
 			continue
 		}
-		list = append(list, s.applyHeartbeat(now, p, h, isCrossDomain))
+		updates = append(updates, s.applyHeartbeat(now, p, h, isCrossDomain))
 		if h.hasStopped {
 			s.quotas.Forget(p.addr.String())
 		} else {
-			liveReports = append(liveReports, peerReport{addr: p.addr, name: p.name})
+			heartbeatReports = append(heartbeatReports, peerReport{addr: p.addr, name: p.name})
 		}
 	}
 	s.mu.Unlock()
-	s.applyAdmissionsAndRecords(append(reports, liveReports...))
-	return list
+	s.applyAdmissionsAndRecords(append(newReports, heartbeatReports...))
+	return updates
 }
 
-// lookUpPeer returns the peer that an id stands for. If there is none it returns nil and notes the id, to
-// request a peerInfo. The caller holds the lock.
+// lookUpPeer returns the peer with an id. If there is none it returns nil, and the next report requests the
+// peerInfo of this id. The caller holds the lock.
 func (s *Share) lookUpPeer(id fanout.ID) *peer {
 	p, ok := s.byID[id]
 	if !ok && id != gatewayID(s.self) && len(s.unknownIDs) < maxUnknownIDs {
@@ -109,41 +110,41 @@
 	return p
 }
 
-// peerReport is a report forwarded by a hub, with the peer that it comes from.
+// peerReport is a report forwarded by a hub, with the address and the name of the gateway that it comes from.
 type peerReport struct {
 	addr netip.AddrPort
 	name fleet.Peer
 	relayedReport
 }
 
-// applyAdmissionsAndRecords applies what reports contain besides loads: quarantine records and admitted
-// requests.
-func (s *Share) applyAdmissionsAndRecords(list []peerReport) {
-	for _, r := range list {
+// applyAdmissionsAndRecords applies the quarantine records and the counts of admitted requests in reports
+// that arrived through hubs. An empty report still records in the quotas that its gateway is live.
+func (s *Share) applyAdmissionsAndRecords(reports []peerReport) {
+	for _, r := range reports {
 		s.quarantine.Apply(s.decodeRecords(r.Quarantine, r.addr))
 		s.quotas.Apply(r.addr.String(), quota.Report{Start: string(r.name), IsFirst: r.IsFirst, Counts: decodeCounts(r.Admitted), Delay: maxHubDelay})
 	}
 }
 
-// applyHeartbeat records a heartbeat and returns the update for the view of the fleet. The caller holds the
-// lock.
+// applyHeartbeat records a heartbeat of p and returns the update for the view of the fleet. The caller holds
+// the lock.
 func (s *Share) applyHeartbeat(now time.Time, p *peer, h heartbeat, isCrossDomain bool) fleetview.PeerNews {
 	seenAt := now.Add(-h.age)
 	if seenAt.After(p.lastSeen) {
 		p.lastSeen = seenAt
-		p.lastStoreContact, p.hasLostStore = now.Add(-h.contactAge), h.hasLostStore
+		p.lastStoreContact, p.hasLostStore = now.Add(-h.storeContactAge), h.hasLostStore
 	}
-	// A heartbeat of an older report, which a newer one has overtaken through another hub, does not describe
-	// the loads.
+	// A newer report may have arrived earlier through another hub. The heartbeat then says nothing about the
+	// present loads.
 	seqAhead := int16(h.seq - uint16(p.seq))
 	isIdle := h.isIdle && seqAhead >= 0
 	if isIdle {
 		p.seq += uint64(seqAhead)
 	}
 	if isCrossDomain {
-		o := p.hubEntry(relayedReport{ID: p.id, Seq: p.seq}, seenAt)
-		o.IsIdle, o.HasStopped = isIdle, h.hasStopped
-		s.hub.putHeartbeat(o)
+		e := p.hubEntry(relayedReport{ID: p.id, Seq: p.seq}, seenAt)
+		e.IsIdle, e.HasStopped = isIdle, h.hasStopped
+		s.hub.putHeartbeat(e)
 	}
-	return fleetview.PeerNews{From: p.name, Sign: fleet.Sign{Heard: seenAt, Contact: now.Add(-h.contactAge), IsIdle: isIdle}}
+	return fleetview.PeerNews{From: p.name, Sign: fleet.Sign{Heard: seenAt, Contact: now.Add(-h.storeContactAge), IsIdle: isIdle}}
 }
--- a/internal/loadshare/receivers.go
+++ b/internal/loadshare/receivers.go
@@ -9,25 +9,25 @@
 	"arbutusramp/core/fanout"
 )
 
-// relaysPerDomain is how many gateways of another domain take turns in forwarding reports. With only one, its
-// loss would leave its domain without reports from all others until it has been silent for PeerTTL.
+// relaysPerDomain is how many gateways of another domain take turns in forwarding the reports of a sender.
+// With only one, its loss would leave its domain without these reports until it has been silent for PeerTTL.
 const relaysPerDomain = 2
 
-// receiver is a gateway that receives a report.
+// receiver is a gateway to which a report is sent, and what it does with the report besides applying it.
 type receiver struct {
 	addr netip.AddrPort
 	assignment
 }
 
-// assignment is what a receiver does with a report for others.
+// assignment says how a receiver distributes a report to other gateways.
 type assignment struct {
-	isRelay bool // forward it to the gateways of its domain at once
-	role    hubRole
+	isRelay bool    // it forwards the report to the gateways of its domain at once
+	role    hubRole // what it does with the report as a hub
 }
 
-// selectReceivers returns the receivers of the n-th report, and drops peers that have been silent for
-// removeAfter.
-func (s *Share) selectReceivers(now time.Time, n uint64) []receiver {
+// selectReceivers returns the receivers of the report with sequence number seq, and drops peers that have
+// been silent for longer than removeAfter.
+func (s *Share) selectReceivers(now time.Time, seq uint64) []receiver {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for ap, p := range s.peers {
@@ -36,40 +36,41 @@
 		}
 	}
 	if s.isLargeFleet(now) {
-		return s.hubModeReceivers(now, n)
+		return s.hubModeReceivers(now, seq)
 	}
-	return s.directModeReceivers(now, n)
+	return s.directModeReceivers(now, seq)
 }
 
-// isLargeFleet reports whether there are more receivers than a gateway sends to directly. The caller holds
-// the lock.
+// isLargeFleet reports whether a report without hubs would have more than maxDirectReceivers receivers, so
+// that hubs are used. The caller holds the lock.
 func (s *Share) isLargeFleet(now time.Time) bool {
-	others := make(map[digest]bool)
-	n := 0
+	otherDomains := make(map[digest]bool)
+	ownDomainPeers := 0
 	for _, p := range s.peers {
 		switch {
 		case now.Sub(p.lastSeen) > silentAfter:
 		case p.domain == s.domain:
-			n++
+			ownDomainPeers++
 		default:
-			others[p.domain] = true
+			otherDomains[p.domain] = true
 		}
 	}
-	return s.hasRelays && n+len(others) > maxDirectReceivers
+	return s.hasRelays && ownDomainPeers+len(otherDomains) > maxDirectReceivers
 }
 
-// domainMembers returns the gateways of a domain that may be live. The caller holds the lock.
+// domainMembers returns the gateways of a domain that have not been silent for longer than silentAfter,
+// including this one. The caller holds the lock.
 func (s *Share) domainMembers(now time.Time, domain digest) []fanout.Member {
-	var list []fanout.Member
+	var members []fanout.Member
 	if domain == s.domain {
-		list = append(list, s.selfMember())
+		members = append(members, s.selfMember())
 	}
 	for ap, p := range s.peers {
 		if silentFor := now.Sub(p.lastSeen); p.domain == domain && silentFor <= silentAfter {
-			list = append(list, fanout.Member{Addr: ap, Domain: fanout.Domain(domain), Capacity: p.capacity, IsHeard: p.name != "" && silentFor < PeerTTL})
+			members = append(members, fanout.Member{Addr: ap, Domain: fanout.Domain(domain), Capacity: p.capacity, IsHeard: p.name != "" && silentFor < PeerTTL})
 		}
 	}
-	return list
+	return members
 }
 
 // selfMember returns this gateway as a member of its domain.
@@ -77,55 +78,57 @@
 	return fanout.Member{Addr: s.Addr(), Domain: fanout.Domain(s.domain), Capacity: s.capacity, IsHeard: true}
 }
 
-// hubModeReceivers returns the receivers of the n-th report when hubs distribute it: the hubs of the own
-// domain, each of which forwards half of the reports at once. Listed gateways that rank before the hubs may
-// be hubs without this gateway in their view, so some receive the report too. Gateways whose domain is
-// unknown also receive it, since no hub covers them. The caller holds the lock.
-func (s *Share) hubModeReceivers(now time.Time, n uint64) []receiver {
+// hubModeReceivers returns the receivers of the report with sequence number seq when hubs distribute it: the
+// hubs of the own domain, each of which forwards half of the reports at once. Gateways that rank before the
+// hubs but have not been seen recently may act as hubs without this gateway in their view, so up to
+// maxUnconfirmedHubs of them receive the report too. Gateways whose domain is unknown also receive it, at
+// most every silentSendInterval, since no hub sends to them. The caller holds the lock.
+func (s *Share) hubModeReceivers(now time.Time, seq uint64) []receiver {
 	hubs, listed := fanout.Hubs(s.domainMembers(now, s.domain))
 	if len(listed) >= maxUnconfirmedHubs {
 		hubs = slices.DeleteFunc(hubs, func(ap netip.AddrPort) bool { return ap == s.Addr() })
 	}
-	var list []receiver
+	var receivers []receiver
 	for i, ap := range hubs {
 		role := roleStore
-		if n%uint64(len(hubs)) == uint64(i) {
+		if seq%uint64(len(hubs)) == uint64(i) {
 			role = roleForward
 		}
-		list = append(list, receiver{ap, assignment{role: role}})
+		receivers = append(receivers, receiver{ap, assignment{role: role}})
 	}
 	for _, ap := range listed[:min(maxUnconfirmedHubs, len(listed))] {
-		list = append(list, receiver{ap, assignment{role: roleForward}})
+		receivers = append(receivers, receiver{ap, assignment{role: roleForward}})
 	}
 	for ap, p := range s.peers {
 		if p.domain == 0 && now.Sub(p.lastSent) >= silentSendInterval {
 			p.lastSent = now
-			list = append(list, receiver{addr: ap})
+			receivers = append(receivers, receiver{addr: ap})
 		}
 	}
-	return list
+	return receivers
 }
 
-// hubUpdateReceivers returns the receivers of a hub's update: the gateways of its domain, and a hub of each
-// other one.
+// hubUpdateReceivers returns the receivers of an update of this gateway as a hub: the other gateways of its
+// domain, and in each other domain a hub and at most one gateway that may act as a hub without having been
+// seen recently.
 func (s *Share) hubUpdateReceivers(now time.Time) (inDomain, otherDomains []netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	others := make(map[digest]bool)
+	isDomainKnown := make(map[digest]bool)
 	for ap, p := range s.peers {
 		silentFor := now.Sub(p.lastSeen)
 		switch {
 		case p.domain != s.domain:
-			others[p.domain] = p.domain != 0
+			isDomainKnown[p.domain] = p.domain != 0
 		case silentFor > silentAfter && now.Sub(p.lastSent) < silentSendInterval:
 		default:
 			p.lastSent = now
 			inDomain = append(inDomain, ap)
 		}
 	}
-	own, _ := fanout.Hubs(s.domainMembers(now, s.domain))
-	rank := max(0, slices.Index(own, s.Addr()))
-	for domain, isKnown := range others {
+	ownHubs, _ := fanout.Hubs(s.domainMembers(now, s.domain))
+	rank := max(0, slices.Index(ownHubs, s.Addr()))
+	for domain, isKnown := range isDomainKnown {
 		if !isKnown {
 			continue
 		}
@@ -138,42 +141,43 @@
 	return inDomain, otherDomains
 }
 
-// directModeReceivers returns the receivers of the n-th report when no hubs are used: all gateways of the own
-// domain, and one of each other domain, which forwards the report. If the sender sent it to each, reports
-// would cross between domains as many times as there are gateways, and this traffic is the most costly. The
-// caller holds the lock.
-func (s *Share) directModeReceivers(now time.Time, n uint64) []receiver {
-	var list []receiver
-	others := make(map[digest][]netip.AddrPort) // live gateways of other domains
+// directModeReceivers returns the receivers of the report with sequence number seq when no hubs are used: all
+// gateways of the own domain, and one of each other domain, which forwards the report. If the sender sent the
+// report to each gateway, it would cross between domains once for each, and traffic between domains is the
+// most costly. The caller holds the lock.
+func (s *Share) directModeReceivers(now time.Time, seq uint64) []receiver {
+	var receivers []receiver
+	relayCandidates := make(map[digest][]netip.AddrPort) // live gateways of each other domain
 	for ap, p := range s.peers {
 		silentFor := now.Sub(p.lastSeen)
 		switch {
 		case silentFor > silentAfter && now.Sub(p.lastSent) < silentSendInterval:
 		case s.hasRelays && p.name != "" && p.domain != s.domain && silentFor < PeerTTL:
-			others[p.domain] = append(others[p.domain], ap)
+			relayCandidates[p.domain] = append(relayCandidates[p.domain], ap)
 		default:
 			p.lastSent = now
-			list = append(list, receiver{addr: ap})
+			receivers = append(receivers, receiver{addr: ap})
 		}
 	}
-	for _, domain := range others {
-		slices.SortFunc(domain, func(a, b netip.AddrPort) int { return cmp.Compare(s.hashPeer(a.String()), s.hashPeer(b.String())) })
-		ap := domain[n%uint64(min(relaysPerDomain, len(domain)))]
+	for _, candidates := range relayCandidates {
+		slices.SortFunc(candidates, func(a, b netip.AddrPort) int { return cmp.Compare(s.hashPeer(a.String()), s.hashPeer(b.String())) })
+		ap := candidates[seq%uint64(min(relaysPerDomain, len(candidates)))]
 		s.peers[ap].lastSent = now
-		list = append(list, receiver{ap, assignment{isRelay: len(domain) > 1}})
+		receivers = append(receivers, receiver{ap, assignment{isRelay: len(candidates) > 1}})
 	}
-	return list
+	return receivers
 }
 
-// domainPeersExcept returns the live gateways of the own domain except one.
+// domainPeersExcept returns the addresses of the other gateways of the own domain that have been silent for
+// less than silentAfter, without the address except.
 func (s *Share) domainPeersExcept(now time.Time, except netip.AddrPort) []netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var list []netip.AddrPort
+	var addrs []netip.AddrPort
 	for ap, p := range s.peers {
 		if ap != except && p.domain == s.domain && now.Sub(p.lastSeen) < silentAfter {
-			list = append(list, ap)
+			addrs = append(addrs, ap)
 		}
 	}
-	return list
+	return addrs
 }
--- a/internal/loadshare/traffic.go
+++ b/internal/loadshare/traffic.go
@@ -2,26 +2,27 @@
 
 import "sync/atomic"
 
-// Flow counts datagrams and their bytes. It may be used by several goroutines at once.
+// Flow counts the datagrams of one kind and the bytes in them. It may be used by several goroutines at once.
 type Flow struct{ datagrams, bytes atomic.Int64 }
 
-func (f *Flow) add(bytes int) {
+// add counts one datagram with a payload of the given size.
+func (f *Flow) add(payloadBytes int) {
 	f.datagrams.Add(1)
-	f.bytes.Add(int64(bytes))
+	f.bytes.Add(int64(payloadBytes))
 }
 
-// Datagrams returns the number of datagrams since the start of the process.
+// Datagrams returns the number of counted datagrams since the start of the process.
 func (f *Flow) Datagrams() int64 { return f.datagrams.Load() }
 
-// Bytes returns the number of bytes in them, without network headers.
+// Bytes returns the total payload size of the counted datagrams, without network headers.
 func (f *Flow) Bytes() int64 { return f.bytes.Load() }
 
-// Traffic counts the load reports that a process sends and receives, by purpose: the cost of distributing the
-// fleet's loads.
+// Traffic counts the datagrams with load reports that a process sends and receives. They are the cost of
+// distributing the loads of the fleet.
 type Traffic struct {
-	Own      Flow // its own reports, counted once for each receiver
-	PassedOn Flow // reports of other gateways that it forwards, as a relay or as a hub
-	Heard    Flow
+	Own      Flow // sent with the process's own report, counted once for each receiver
+	PassedOn Flow // sent with reports of other gateways, as a relay or a hub, or with descriptions of gateways
+	Heard    Flow // all received datagrams, including batches of hubs
 }
 
 // Traffic returns the counters of this process. They continue to change.
