--- a/core/fanout/fanout_test.go
+++ b/core/fanout/fanout_test.go
@@ -36,9 +36,9 @@
 		t.Errorf("hubs %v, but %v for the same members in reverse order, want the same", hubs, reversedHubs)
 	}
 	withoutFirst := testMembers(111, func(i int) bool { return testAddr(i) != hubs[0] })
-	next, listed := Hubs(withoutFirst)
-	if next[0] != hubs[1] || len(listed) != 1 || listed[0] != hubs[0] {
-		t.Errorf("with a silent first hub: hubs %v, listed members %v, want the second hub first and only the silent one listed", next, listed)
+	nextHubs, listed := Hubs(withoutFirst)
+	if nextHubs[0] != hubs[1] || len(listed) != 1 || listed[0] != hubs[0] {
+		t.Errorf("with a silent first hub: hubs %v, listed members %v, want the second hub first and only the silent one listed", nextHubs, listed)
 	}
 }
 
