--- a/internal/loadshare/batch_test.go
+++ b/internal/loadshare/batch_test.go
@@ -82,16 +82,16 @@
 func TestDamagedBatchIsIgnored(t *testing.T) {
 	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
-	complete := batchContent{Hub: testAddr(1), Intros: []peerInfo{{Name: "peer", Addr: testAddr(2), Domain: 1}}}
-	encodedContent, err := cbor.Marshal(complete)
+	validContent := batchContent{Hub: testAddr(1), Intros: []peerInfo{{Name: "peer", Addr: testAddr(2), Domain: 1}}}
+	encodedContent, err := cbor.Marshal(validContent)
 	if err != nil {
 		t.Fatal(err)
 	}
-	noHub, err := cbor.Marshal(batchContent{Intros: complete.Intros})
+	contentWithoutHub, err := cbor.Marshal(batchContent{Intros: validContent.Intros})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, b := range map[string]batch{"cut": {Content: encodedContent[:len(encodedContent)-1]}, "no hub": {Content: noHub}, "empty": {}} {
+	for name, b := range map[string]batch{"cut": {Content: encodedContent[:len(encodedContent)-1]}, "no hub": {Content: contentWithoutHub}, "empty": {}} {
 		data, err := cbor.Marshal(b)
 		if err != nil {
 			data = []byte{0x82, 0x80} // ends before the content
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -38,7 +38,8 @@
 	// sendIntervalPerPeer, multiplied by the number of receivers, is the shortest time between two reports if
 	// it exceeds minSendInterval: a gateway sends to 40 receivers at most 50 times a second.
 	sendIntervalPerPeer = 500 * time.Microsecond
-	// refreshInterval is the time between reports without a change of the loads.
+	// refreshInterval is the time between reports without a change of the loads, and between the refreshes in
+	// which a hub sends the state of all gateways of its domain.
 	refreshInterval = 200 * time.Millisecond
 	// PeerTTL is how long the loads in a report stay valid without a newer report: it spans several
 	// refreshes, since datagrams get lost.
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -56,8 +56,8 @@
 	defer b.conn.Close()
 	a.AddPeer(b.Addr().String(), "", 0)
 	record := quarantine.Record{Content: quarantine.Fingerprint{1}, Seen: time.UnixMilli(5), Crashes: []quarantine.Crash{{Target: 7, At: time.UnixMilli(4)}}}
-	received := &fakeQuarantine{}
-	a.quarantine, b.quarantine = &fakeQuarantine{pending: []quarantine.Record{record}}, received
+	quarantineB := &fakeQuarantine{}
+	a.quarantine, b.quarantine = &fakeQuarantine{pending: []quarantine.Record{record}}, quarantineB
 	a.sendReport(1)
 	buf := make([]byte, maxDatagramBytes)
 	n, from, err := b.conn.ReadFromUDPAddrPort(buf)
@@ -65,8 +65,8 @@
 		t.Fatal(err)
 	}
 	b.handleDatagram(buf[:n], from)
-	if !reflect.DeepEqual(received.applied, []quarantine.Record{record}) || received.startedPeers != 1 {
-		t.Errorf("received the records %+v from %d new peers, want %+v from 1", received.applied, received.startedPeers, record)
+	if !reflect.DeepEqual(quarantineB.applied, []quarantine.Record{record}) || quarantineB.startedPeers != 1 {
+		t.Errorf("received the records %+v from %d new peers, want %+v from 1", quarantineB.applied, quarantineB.startedPeers, record)
 	}
 }
 
@@ -172,8 +172,8 @@
 	if count := len(s.selectReceivers(now, 0)); count != 1 {
 		t.Errorf("a report has %d receivers, want 1: neither this gateway itself nor an invalid address", count)
 	}
-	silent := now.Add(silentAfter + time.Second)
-	if len(s.selectReceivers(silent, 0)) != 1 || len(s.selectReceivers(silent.Add(silentSendInterval/2), 0)) != 0 || len(s.selectReceivers(silent.Add(2*silentSendInterval), 0)) != 1 {
+	silentTime := now.Add(silentAfter + time.Second)
+	if len(s.selectReceivers(silentTime, 0)) != 1 || len(s.selectReceivers(silentTime.Add(silentSendInterval/2), 0)) != 0 || len(s.selectReceivers(silentTime.Add(2*silentSendInterval), 0)) != 1 {
 		t.Error("reports are not sent to a silent peer exactly once in silentSendInterval")
 	}
 	if len(s.selectReceivers(now.Add(2*removeAfter), 0)) != 0 || s.Peers() != 0 {
@@ -183,7 +183,7 @@
 
 // Guards against store calls through peers that cannot reach the store: PeersWithStore returns only live
 // peers that the store has answered recently and that have not lost their own connection to it.
-func TestPeersWithStoreListsPeersWithDirectContact(t *testing.T) {
+func TestPeersWithStoreReturnsPeersWithOwnConnection(t *testing.T) {
 	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
 	reports := map[string]report{
@@ -306,8 +306,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	own := &a.Traffic().Own
-	if own.Datagrams() != 1 || own.Bytes() != int64(n) {
-		t.Errorf("%d datagrams of %d bytes are counted, want 1 of %d bytes", own.Datagrams(), own.Bytes(), n)
+	ownFlow := &a.Traffic().Own
+	if ownFlow.Datagrams() != 1 || ownFlow.Bytes() != int64(n) {
+		t.Errorf("%d datagrams of %d bytes are counted, want 1 of %d bytes", ownFlow.Datagrams(), ownFlow.Bytes(), n)
 	}
 }
--- a/internal/loadshare/message.go
+++ b/internal/loadshare/message.go
@@ -35,7 +35,8 @@
 	Origin netip.AddrPort `cbor:"10,keyasint,omitzero"`
 	// Suspects are the digests of the ids of targets at which requests of the sender have recently failed.
 	Suspects []digest `cbor:"11,keyasint,omitempty"`
-	// IsFirst and Admitted are the contents of a quota.Report.
+	// IsFirst is set in the first reports after the start of the sender. Admitted holds the counts of
+	// admitted requests that have changed recently.
 	IsFirst  bool            `cbor:"12,keyasint,omitempty"`
 	Admitted []admittedCount `cbor:"13,keyasint,omitempty"`
 	// Quarantine holds quarantine records of requests under which targets crash, which some peers may not
@@ -139,7 +140,7 @@
 // targetIndex holds the target ids by their digests, for one version of the list of targets. It is cached
 // because reports arrive hundreds of times a second and the list changes rarely.
 type targetIndex struct {
-	version    uint64 // see fleetview.View.Listed
+	version    uint64 // version of the list of targets; each change of the list has another one
 	idByDigest map[digest]string
 }
 
--- a/internal/loadshare/quota_test.go
+++ b/internal/loadshare/quota_test.go
@@ -51,12 +51,12 @@
 	done := make(chan error, 2)
 	go func() { done <- a.Run(ctx) }()
 	go func() { done <- b.Run(ctx) }()
-	full, _ := quotasB.Usage("w")
+	usageBefore, _ := quotasB.Usage("w")
 	for range 5 {
 		quotasA.Admit("w")
 	}
 	quotasA.Refund("w")
-	for usage, _ := quotasB.Usage("w"); math.Abs(full.Tokens-usage.Tokens-4) > 0.1; usage, _ = quotasB.Usage("w") {
+	for usage, _ := quotasB.Usage("w"); math.Abs(usageBefore.Tokens-usage.Tokens-4) > 0.1; usage, _ = quotasB.Usage("w") {
 		time.Sleep(5 * time.Millisecond)
 	}
 	cancel()
@@ -82,17 +82,17 @@
 	s, _ := newTestSharer(t, "self")
 	q := fakeQuotas{removed: make(chan string, 10)}
 	s.quotas = q
-	live, err := net.Listen("tcp4", "127.0.0.1:0")
+	liveListener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer live.Close()
-	stopped, err := net.Listen("tcp4", "127.0.0.1:0")
+	defer liveListener.Close()
+	stoppedListener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addrs := []netip.AddrPort{netip.MustParseAddrPort(live.Addr().String()), netip.MustParseAddrPort(stopped.Addr().String())}
-	if err := stopped.Close(); err != nil {
+	addrs := []netip.AddrPort{netip.MustParseAddrPort(liveListener.Addr().String()), netip.MustParseAddrPort(stoppedListener.Addr().String())}
+	if err := stoppedListener.Close(); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/loadshare/receive.go
+++ b/internal/loadshare/receive.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// applyHeartbeat records a heartbeat of p and returns the update for the view of the fleet. The caller holds
-// the lock.
+// applyHeartbeat records a heartbeat of p and returns the update for the view of the fleet. isCrossDomain is
+// set if a hub of another domain has sent it. The caller holds the lock.
 func (s *Share) applyHeartbeat(now time.Time, p *peer, h heartbeat, isCrossDomain bool) fleetview.PeerNews {
 	seenAt := now.Add(-h.age)
 	if seenAt.After(p.lastSeen) {
