--- a/internal/fleetview/run.go
+++ b/internal/fleetview/run.go
@@ -10,107 +10,109 @@
 	"arbutusramp/core/structs"
 )
 
-// Run is one request at a target.
+// Run is one request that a target serves.
 type Run struct {
 	Target serving.Target
-	// Choice is what spoke for the target.
+	// Choice says why the target was picked.
 	Choice fleet.Choice
 
-	view    *View
-	began   time.Time
-	first   time.Time // of the first event; zero before it
-	event   time.Time // of the last event
-	class   structs.Class
-	rank    int    // of batch runs
-	preempt func() // of batch runs
-	over    bool
-	// whenEnded is called when the target's start is known to be over; see WhenEnded.
-	whenEnded func()
-	ended     bool
-}
-
-// begin counts a run at its target. The caller holds the lock.
-func (v *View) begin(now time.Time, r *Run) {
+	view         *View
+	startedAt    time.Time
+	firstEventAt time.Time // zero before the first event
+	lastEventAt  time.Time // zero before the first event
+	class        structs.Class
+	rank         int    // of batch runs; see serving.Route
+	preempt      func() // of batch runs
+	isDone       bool
+	// onTargetEnd is called when the start of the target is known to be over; see WhenEnded.
+	onTargetEnd    func()
+	hasTargetEnded bool
+}
+
+// addRun counts a run at its target. The caller holds v.mu.
+func (v *View) addRun(now time.Time, r *Run) {
 	v.fleet.Begin(now, r.Target.ID, r.class)
-	if v.live[r.Target.ID] == nil {
-		v.live[r.Target.ID] = make(map[*Run]struct{})
+	if v.active[r.Target.ID] == nil {
+		v.active[r.Target.ID] = make(map[*Run]struct{})
 	}
-	v.live[r.Target.ID][r] = struct{}{}
+	v.active[r.Target.ID][r] = struct{}{}
 }
 
-// end drops a run from those that are live. The caller holds the lock.
-func (v *View) end(r *Run) {
-	delete(v.live[r.Target.ID], r)
-	if len(v.live[r.Target.ID]) == 0 {
-		delete(v.live, r.Target.ID)
+// removeRun drops a run from the active ones. The caller holds v.mu.
+func (v *View) removeRun(r *Run) {
+	delete(v.active[r.Target.ID], r)
+	if len(v.active[r.Target.ID]) == 0 {
+		delete(v.active, r.Target.ID)
 	}
 }
 
-// WhenEnded sets what is called, once at most, when the start of the target that has the run is known to be over: no
-// answer will come. It must not block.
+// WhenEnded sets a callback, called at most once, for when the start of the target that serves the run is
+// known to be over and no answer can arrive. f must not block.
 func (r *Run) WhenEnded(f func()) {
 	r.view.mu.Lock()
-	r.whenEnded = f
-	ended := r.ended
+	r.onTargetEnd = f
+	ended := r.hasTargetEnded
 	r.view.mu.Unlock()
 	if ended {
 		f()
 	}
 }
 
-// Began is when the run began.
-func (r *Run) Began() time.Time { return r.began }
+// Began returns when the run started.
+func (r *Run) Began() time.Time { return r.startedAt }
 
-// HasEnded says whether the start of the target that has the run is known to be over.
+// HasEnded reports whether the start of the target that serves the run is known to be over.
 func (r *Run) HasEnded() bool {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
-	return r.ended
+	return r.hasTargetEnded
 }
 
-// Ended tells the runs at targets whose starts are over. A crash behind a cut closes no connection, and the next start of the
-// target breaks the silence by which the runs would notice.
+// Ended calls the WhenEnded callbacks of the runs at targets whose starts are over. A crash behind a
+// network partition closes no connection, and activity of the next start of the target resets the idle time
+// by which the runs would detect the loss.
 func (v *View) Ended(ids []string) {
-	var calls []func()
+	var callbacks []func()
 	v.mu.Lock()
 	for _, id := range ids {
-		for r := range v.live[id] {
-			if !r.ended && r.whenEnded != nil {
-				calls = append(calls, r.whenEnded)
+		for r := range v.active[id] {
+			if !r.hasTargetEnded && r.onTargetEnd != nil {
+				callbacks = append(callbacks, r.onTargetEnd)
 			}
-			r.ended = true
+			r.hasTargetEnded = true
 		}
 	}
 	v.mu.Unlock()
-	for _, f := range calls {
+	for _, f := range callbacks {
 		f()
 	}
 }
 
-// Done counts the run as over. It may be called more than once.
+// Done counts the run as finished. It may be called more than once.
 func (r *Run) Done() {
 	v := r.view
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if r.over {
+	if r.isDone {
 		return
 	}
-	r.over = true
+	r.isDone = true
 	v.fleet.End(time.Now(), r.Target.ID, r.class)
-	v.end(r)
-	v.forget(r)
-	signal(v.changed)
-	signal(v.freed)
+	v.removeRun(r)
+	v.removePreemptible(r)
+	signal(v.loadsChanged)
+	signal(v.roomFreed)
 }
 
-// NoteActivity notes that the run's target has sent something.
+// NoteActivity records that the target of the run has sent data.
 func (r *Run) NoteActivity() {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	r.view.fleet.NoteActivity(time.Now(), r.Target.ID)
 }
 
-// Event notes an event of the run's stream, for what is known of how its service answers. It reports how long ago the first one was.
+// Event records an event of the run's stream in the response times of its service. It returns how long ago
+// the first event arrived.
 func (r *Run) Event() (sinceFirst time.Duration) {
 	v := r.view
 	v.mu.Lock()
@@ -118,109 +120,112 @@
 	now := time.Now()
 	v.fleet.NoteActivity(now, r.Target.ID)
 	switch {
-	case !r.first.IsZero():
-		v.fleet.NextEvent(r.Target.Service, now.Sub(r.event))
+	case !r.firstEventAt.IsZero():
+		v.fleet.NextEvent(r.Target.Service, now.Sub(r.lastEventAt))
 	case !r.Choice.Waits():
-		v.fleet.FirstEvent(r.Target.Service, now.Sub(r.began))
+		v.fleet.FirstEvent(r.Target.Service, now.Sub(r.startedAt))
 	}
-	if r.first.IsZero() {
-		r.first = now
+	if r.firstEventAt.IsZero() {
+		r.firstEventAt = now
 	}
-	r.event = now
-	return now.Sub(r.first)
+	r.lastEventAt = now
+	return now.Sub(r.firstEventAt)
 }
 
-// AnsweredFor is how long ago the run's first event came; 0 before it.
+// AnsweredFor returns how long ago the first event of the run arrived; 0 before it.
 func (r *Run) AnsweredFor() time.Duration {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
-	if r.first.IsZero() {
+	if r.firstEventAt.IsZero() {
 		return 0
 	}
-	return time.Since(r.first)
+	return time.Since(r.firstEventAt)
 }
 
-// Times says, of a run that is over, how long it took until its first event and how long ago its last one was; both are the whole run
-// if it has made none.
+// Times returns, for a finished run, how long the first event took and how long ago the last event arrived.
+// Both are the time since the start of the run if it produced no event.
 func (r *Run) Times() (first, sinceLast time.Duration) {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
-	if r.first.IsZero() {
-		whole := time.Since(r.began)
+	if r.firstEventAt.IsZero() {
+		whole := time.Since(r.startedAt)
 		return whole, whole
 	}
-	return r.first.Sub(r.began), time.Since(r.event)
+	return r.firstEventAt.Sub(r.startedAt), time.Since(r.lastEventAt)
 }
 
-// IdleLimit is how long a working target of the run's service may send nothing.
+// IdleLimit returns how long a working target of the run's service may send nothing.
 func (r *Run) IdleLimit() time.Duration {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	return r.view.fleet.IdleLimit(r.Target.Service)
 }
 
-// Failed notes that the target has failed the run. It reports whether that made it suspect.
+// Failed records that the target has failed the run. It reports whether the target became suspect by that.
 func (r *Run) Failed() bool {
 	v := r.view
 	v.mu.Lock()
 	now := time.Now()
 	suspect := v.fleet.Failed(now, r.Target.ID)
-	victims := v.victims(now)
+	victims := v.takeVictims(now)
 	v.mu.Unlock()
 	if suspect {
-		signal(v.changed)
+		signal(v.loadsChanged)
 	}
 	preemptAll(victims)
 	return suspect
 }
 
-// IsIdle says whether the target has sent nothing to this process since a request was sent to it
-// at that time, for longer than a working one ever takes.
+// IsIdle reports whether the target has sent nothing to this process since sent, when a request was sent to
+// it, for longer than a working target takes.
 func (r *Run) IsIdle(sent time.Time) bool {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	return r.view.fleet.IsIdleSince(time.Now(), sent, r.Target.ID)
 }
 
-// QueueWait is how long the run may have to wait for a slot at its target.
+// QueueWait returns how long the run may have to wait for a slot at its target.
 func (r *Run) QueueWait() time.Duration {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	return r.view.fleet.QueueWait(r.Target.ID)
 }
 
-// Held notes that the run has had its whole answer, for what is known of how long requests hold a slot.
+// Held records that the run has received its complete answer. The time counts towards how long requests of
+// the service hold a slot, unless the run may have waited for one.
 func (r *Run) Held() {
 	if r.Choice.Waits() {
 		return
 	}
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
-	r.view.fleet.Held(r.Target.Service, time.Since(r.began))
+	r.view.fleet.Held(r.Target.Service, time.Since(r.startedAt))
 }
 
-// victims takes the runs that must be preempted out of the list: the least urgent first, of these the youngest, since the
-// oldest are nearest to their end. Each still counts until it is over.
-func (v *View) victims(now time.Time) []*Run {
+// takeVictims removes the runs that must be preempted from the preemptible ones and returns them: the least
+// urgent first, and of these the youngest, since the oldest are closest to completion. Each still counts in
+// the loads until it is done. The caller holds v.mu.
+func (v *View) takeVictims(now time.Time) []*Run {
 	var list []*Run
 	for id, n := range v.fleet.Preempt(now) {
-		runs := v.runs[id]
-		// Runs that were preempted before and are not over yet still count in the loads.
-		ending := v.ending(id)
-		n = min(n-ending, len(runs))
+		runs := v.preemptible[id]
+		// Runs that were preempted before and are not done yet still count in the loads.
+		preempting := v.countPreempting(id)
+		n = min(n-preempting, len(runs))
 		if n <= 0 {
 			continue
 		}
 		slices.SortStableFunc(runs, func(a, b *Run) int { return cmp.Compare(a.rank, b.rank) })
 		list = append(list, runs[len(runs)-n:]...)
-		v.runs[id] = runs[:len(runs)-n]
+		v.preemptible[id] = runs[:len(runs)-n]
 	}
 	return list
 }
 
-// ending is the number of batch runs at a target that were preempted and are not over yet.
-func (v *View) ending(id string) int {
-	return v.fleet.OwnAt(id).Batch - len(v.runs[id])
+// countPreempting returns the number of batch runs at a target that were preempted and are not done yet.
+// The caller holds v.mu.
+func (v *View) countPreempting(id string) int {
+	return v.fleet.OwnAt(id).Batch - len(v.preemptible[id])
 }
 
 func preemptAll(runs []*Run) {
@@ -229,12 +234,12 @@
 	}
 }
 
-// forget drops a run from the list of those that can be preempted.
-func (v *View) forget(r *Run) {
-	list := v.runs[r.Target.ID]
+// removePreemptible drops a run from the preemptible ones. The caller holds v.mu.
+func (v *View) removePreemptible(r *Run) {
+	list := v.preemptible[r.Target.ID]
 	for i, other := range list {
 		if other == r {
-			v.runs[r.Target.ID] = append(list[:i:i], list[i+1:]...)
+			v.preemptible[r.Target.ID] = append(list[:i:i], list[i+1:]...)
 			return
 		}
 	}
--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -1,5 +1,5 @@
-// Package fleetview keeps a gateway's view of the fleet under one lock for all who use it: the
-// online path, the batch workers, the list of targets and the peers' reports.
+// Package fleetview keeps the gateway's view of the fleet under one lock. The online path, the batch
+// workers, the target list and the load reports of peers share it.
 package fleetview
 
 import (
@@ -11,39 +11,42 @@
 	"arbutusramp/core/structs"
 )
 
-// View is a fleet.Fleet with a lock, and the batch runs that it can preempted.
+// View is a fleet.Fleet with a lock and the batch runs that can be preempted. It is safe for concurrent
+// use.
 type View struct {
 	mu    sync.Mutex
 	fleet *fleet.Fleet
-	runs  map[string][]*Run // batch runs of this process by target id, oldest first
-	// live are all runs of this process by target id, also those that were preempted and are not over yet.
-	live map[string]map[*Run]struct{}
-	// listed counts the changes of the list of targets.
-	listed uint64
+	// preemptible holds the batch runs of this process that were not preempted, by target id, oldest first.
+	preemptible map[string][]*Run
+	// active holds all runs of this process by target id, including preempted ones that are not done yet.
+	active map[string]map[*Run]struct{}
+	// listRevision counts the changes of the target list.
+	listRevision uint64
 
-	// changed gets a token when this process's own loads have changed.
-	changed chan struct{}
-	// freed gets a token when a batch item may find room.
-	freed chan struct{}
+	// loadsChanged receives a token when the loads of this process have changed.
+	loadsChanged chan struct{}
+	// roomFreed receives a token when a batch item may find a free slot.
+	roomFreed chan struct{}
 }
 
 // New returns a view of an empty fleet.
 func New(o fleet.Options) *View {
 	return &View{
-		fleet:   fleet.New(o),
-		runs:    make(map[string][]*Run),
-		live:    make(map[string]map[*Run]struct{}),
-		changed: make(chan struct{}, 1),
-		freed:   make(chan struct{}, 1),
+		fleet:        fleet.New(o),
+		preemptible:  make(map[string][]*Run),
+		active:       make(map[string]map[*Run]struct{}),
+		loadsChanged: make(chan struct{}, 1),
+		roomFreed:    make(chan struct{}, 1),
 	}
 }
 
-// Changed gets a token after changes of this process's own loads.
-func (v *View) Changed() <-chan struct{} { return v.changed }
+// Changed returns a channel that receives a token after the loads of this process have changed.
+func (v *View) Changed() <-chan struct{} { return v.loadsChanged }
 
-// Freed gets a token when there may be room for a batch item that there was not before.
-func (v *View) Freed() <-chan struct{} { return v.freed }
+// Freed returns a channel that receives a token when a slot may have become free for a batch item.
+func (v *View) Freed() <-chan struct{} { return v.roomFreed }
 
+// signal sends a token unless one is pending. It never blocks.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -51,8 +54,8 @@
 	}
 }
 
-// StartOnline chooses a target for an online request and counts it there. It cuts off batch runs
-// of this process whose slots are needed for it.
+// StartOnline picks a target for an online request and counts the request there. It preempts batch runs of
+// this process whose slots the request needs.
 func (v *View) StartOnline(service string, tried []string) (*Run, bool) {
 	v.mu.Lock()
 	now := time.Now()
@@ -61,18 +64,18 @@
 		v.mu.Unlock()
 		return nil, false
 	}
-	r := &Run{Target: c.Target, Choice: c, view: v, began: now, class: structs.ClassOnline}
-	v.begin(now, r)
-	victims := v.victims(now)
+	r := &Run{Target: c.Target, Choice: c, view: v, startedAt: now, class: structs.ClassOnline}
+	v.addRun(now, r)
+	victims := v.takeVictims(now)
 	v.mu.Unlock()
-	signal(v.changed)
+	signal(v.loadsChanged)
 	preemptAll(victims)
 	return r, true
 }
 
-// StartBatch chooses a target for a batch item, if one has room. preempt is called, once at most,
-// when the run must give up its slot; it must not block. Of those at one target the runs of the highest rank
-// give theirs up first; see serving.Route.
+// StartBatch picks a target with a free slot for a batch item; ok is false if there is none. preempt is
+// called at most once, when the run must release its slot, and must not block. At one target the runs with
+// the highest rank are preempted first; see serving.Route.
 func (v *View) StartBatch(service string, rank int, tried []string, preempt func()) (*Run, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -81,40 +84,40 @@
 	if !ok {
 		return nil, false
 	}
-	r := &Run{Target: c.Target, Choice: c, view: v, began: now, class: structs.ClassBatch, rank: rank, preempt: preempt}
-	v.begin(now, r)
-	v.runs[c.Target.ID] = append(v.runs[c.Target.ID], r)
-	signal(v.changed)
+	r := &Run{Target: c.Target, Choice: c, view: v, startedAt: now, class: structs.ClassBatch, rank: rank, preempt: preempt}
+	v.addRun(now, r)
+	v.preemptible[c.Target.ID] = append(v.preemptible[c.Target.ID], r)
+	signal(v.loadsChanged)
 	return r, true
 }
 
-// Prospect is what an online request of a service that comes now may expect.
+// Prospect returns what an online request of a service that arrives now can expect.
 func (v *View) Prospect(service string) fleet.Prospect {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.Prospect(time.Now(), service)
 }
 
-// ApplyReport takes in a peer's report.
+// ApplyReport applies the load report of a peer.
 func (v *View) ApplyReport(from fleet.Peer, report fleet.Report) {
 	v.mu.Lock()
 	now := time.Now()
 	v.fleet.ApplyReport(now, from, report)
-	victims := v.victims(now)
+	victims := v.takeVictims(now)
 	v.mu.Unlock()
-	signal(v.freed)
+	signal(v.roomFreed)
 	preemptAll(victims)
 }
 
-// PeerNews is what another gateway passes on of a peer.
+// PeerNews is what another gateway relays about a peer.
 type PeerNews struct {
 	From fleet.Peer
-	// Report is the peer's newest report; nil if it has none to tell.
+	// Report is the newest report of the peer; nil if only Sign is relayed.
 	Report *fleet.Report
 	Sign   fleet.Sign
 }
 
-// ApplyNews takes in what another gateway passes on of peers.
+// ApplyNews applies what another gateway relays about peers.
 func (v *View) ApplyNews(list []PeerNews) {
 	v.mu.Lock()
 	now := time.Now()
@@ -125,94 +128,94 @@
 		}
 		v.fleet.NoteSign(now, n.From, n.Sign)
 	}
-	victims := v.victims(now)
+	victims := v.takeVictims(now)
 	v.mu.Unlock()
-	signal(v.freed)
+	signal(v.roomFreed)
 	preemptAll(victims)
 }
 
-// Report returns what this process has at targets and wants to start.
+// Report returns the load of this process at targets and its demand for batch items.
 func (v *View) Report() fleet.Report {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.Report(time.Now())
 }
 
-// SetDemand notes which batch items this process would like to start.
-func (v *View) SetDemand(w fleet.Demand) {
+// SetDemand records which batch items this process waits to start.
+func (v *View) SetDemand(demand fleet.Demand) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.fleet.SetDemand(w)
+	v.fleet.SetDemand(demand)
 }
 
-// SetContact notes that the store has answered this process now.
+// SetContact records that the store has just answered this process.
 func (v *View) SetContact() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.fleet.SetContact(time.Now())
 }
 
-// Peers is how many other gateways live.
+// Peers returns the number of other gateways that are alive.
 func (v *View) Peers() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.Peers(time.Now())
 }
 
-// StoreDownForAll says that no live peer has reached the store since this process last did.
+// StoreDownForAll reports whether no live peer has reached the store since this process last did.
 func (v *View) StoreDownForAll() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.StoreDownForAll(time.Now())
 }
 
-// Put adds or changes targets and removes others.
+// Put adds or updates the targets in present and removes those in gone, by id.
 func (v *View) Put(present []serving.Target, gone []string) {
 	v.mu.Lock()
 	now := time.Now()
-	v.listed++
+	v.listRevision++
 	for _, t := range present {
 		v.fleet.Put(t)
 	}
 	for _, id := range gone {
 		v.fleet.Remove(id)
 	}
-	victims := v.victims(now)
+	victims := v.takeVictims(now)
 	v.mu.Unlock()
-	signal(v.freed)
+	signal(v.roomFreed)
 	preemptAll(victims)
 }
 
-// Listed is another number after each change of the list of targets.
+// Listed returns a revision of the target list that differs after each change.
 func (v *View) Listed() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.listed
+	return v.listRevision
 }
 
-// Targets returns the targets of the list.
+// Targets returns the targets on the list.
 func (v *View) Targets() []serving.Target {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.Targets()
 }
 
-// IsInService says whether a target is on the list and not leaving.
+// IsInService reports whether a target is on the list and not draining.
 func (v *View) IsInService(id string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.IsInService(id)
 }
 
-// HeardSince says whether a target has sent something to this process after a time.
+// HeardSince reports whether a target has sent data to this process after t.
 func (v *View) HeardSince(id string, t time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.HeardSince(id, t)
 }
 
-// ReportSoon has peers told of news without waiting for the next report.
-func (v *View) ReportSoon() { signal(v.changed) }
+// ReportSoon triggers a report to the peers before the next regular one.
+func (v *View) ReportSoon() { signal(v.loadsChanged) }
 
-// Drop marks a target as gone at once: another one answers at its address.
+// Drop removes a target at once, because another target answers at its address.
 func (v *View) Drop(id string) { v.Put(nil, []string{id}) }
--- a/internal/fleetview/view_test.go
+++ b/internal/fleetview/view_test.go
@@ -15,35 +15,35 @@
 	return v
 }
 
-// An online request that finds all slots taken has one batch run cut off for it: the youngest, since
-// the oldest is nearest to its end. One that is still ending counts, so that no second one is cut.
-func TestOnlineCutsTheYoungestBatchRun(t *testing.T) {
+// An online request that finds all slots taken preempts one batch run: the youngest, since the oldest is
+// closest to completion. A preempted run that is not done yet counts, so that no second run is preempted.
+func TestOnlinePreemptsYoungestBatchRun(t *testing.T) {
 	v := newView(2)
-	var cut []int
+	var preempted []int
 	var runs []*Run
 	for i := range 2 {
-		r, ok := v.StartBatch("s", 0, nil, func() { cut = append(cut, i) })
+		r, ok := v.StartBatch("s", 0, nil, func() { preempted = append(preempted, i) })
 		if !ok {
-			t.Fatal("no room")
+			t.Fatal("no free slot")
 		}
 		runs = append(runs, r)
 	}
 	if _, ok := v.StartBatch("s", 0, nil, func() {}); ok {
-		t.Error("a third item in two slots")
+		t.Error("a third item started in two slots")
 	}
 	online, ok := v.StartOnline("s", nil)
-	if !ok || len(cut) != 1 || cut[0] != 1 {
-		t.Fatalf("cut %v", cut)
+	if !ok || len(preempted) != 1 || preempted[0] != 1 {
+		t.Fatalf("preempted %v", preempted)
 	}
 	v.ApplyReport("peer", fleet.Report{})
-	if len(cut) != 1 {
-		t.Errorf("cut %v although one is still ending", cut)
+	if len(preempted) != 1 {
+		t.Errorf("preempted %v although one is not done yet", preempted)
 	}
 	runs[1].Done()
 	runs[1].Done()
 	v.ApplyReport("peer", fleet.Report{})
-	if len(cut) != 1 || v.Report().Loads["t"] != (fleet.Load{Online: 1, Batch: 1}) {
-		t.Errorf("cut %v, load %+v", cut, v.Report().Loads["t"])
+	if len(preempted) != 1 || v.Report().Loads["t"] != (fleet.Load{Online: 1, Batch: 1}) {
+		t.Errorf("preempted %v, load %+v", preempted, v.Report().Loads["t"])
 	}
 	online.Done()
 	runs[0].Done()
@@ -52,23 +52,23 @@
 	}
 }
 
-func TestATargetThatFailsLosesItsBatchRuns(t *testing.T) {
+func TestFailedTargetHasBatchRunsPreempted(t *testing.T) {
 	v := newView(4)
-	cut := 0
+	preempted := 0
 	for range 3 {
-		if _, ok := v.StartBatch("s", 0, nil, func() { cut++ }); !ok {
-			t.Fatal("no room")
+		if _, ok := v.StartBatch("s", 0, nil, func() { preempted++ }); !ok {
+			t.Fatal("no free slot")
 		}
 	}
 	r, ok := v.StartOnline("s", nil)
-	if !ok || !r.Failed() || cut != 3 {
-		t.Errorf("%d of 3 items were cut off", cut)
+	if !ok || !r.Failed() || preempted != 3 {
+		t.Errorf("%d of 3 items were preempted", preempted)
 	}
 }
 
-func TestChangesAreSignalled(t *testing.T) {
+func TestChangesSendSignals(t *testing.T) {
 	v := newView(1)
-	<-v.Freed() // the target is new
+	<-v.Freed() // from adding the target
 	r, _ := v.StartOnline("s", nil)
 	<-v.Changed()
 	r.Done()
@@ -76,13 +76,14 @@
 	<-v.Freed()
 }
 
-// Priority inversion: an item of an urgent route is preempted while a less urgent one runs on.
-func TestTheLeastUrgentRunGivesWayFirst(t *testing.T) {
+// Guards against priority inversion: an item of an urgent route is preempted while a less urgent one
+// continues.
+func TestLeastUrgentRunIsPreemptedFirst(t *testing.T) {
 	v := newView(3)
-	var cut []int
+	var preempted []int
 	for i, rank := range []int{1, 2, 1} {
-		if _, ok := v.StartBatch("s", rank, nil, func() { cut = append(cut, i) }); !ok {
-			t.Fatal("no room")
+		if _, ok := v.StartBatch("s", rank, nil, func() { preempted = append(preempted, i) }); !ok {
+			t.Fatal("no free slot")
 		}
 	}
 	for range 3 {
@@ -90,7 +91,7 @@
 			t.Fatal("no target")
 		}
 	}
-	if !slices.Equal(cut, []int{1, 2, 0}) {
-		t.Errorf("cut %v", cut)
+	if !slices.Equal(preempted, []int{1, 2, 0}) {
+		t.Errorf("preempted %v", preempted)
 	}
 }
