--- a/internal/watch/access.go
+++ b/internal/watch/access.go
@@ -9,26 +9,28 @@
 )
 
 const (
-	// staleRetry is when a caller should come back that was rejected because the configuration is too old here: its next attempt
-	// reaches another gateway.
-	staleRetry = 50 * time.Millisecond
-	// staleRetryTogether is the same while peers are heard: what keeps the store from this gateway then keeps it from them, too.
-	staleRetryTogether = 500 * time.Millisecond
+	// staleRetryAfter is the retry delay for a caller rejected because the configuration of this gateway is
+	// too old. Its next attempt reaches another gateway.
+	staleRetryAfter = 50 * time.Millisecond
+	// staleRetryAfterWithPeers is the same while peers are alive: the fault that separates this gateway
+	// from the store is then likely to affect them as well.
+	staleRetryAfterWithPeers = 500 * time.Millisecond
 )
 
-// Authorize returns whom a request comes from. route is nil for calls about batch jobs, whose callers are checked against the
-// job. It must be called after the request has come, since it relies on the configuration as proven at the time of the call. Errors:
-// errs.Unauthenticated, errs.ConfigStale, errs.NoTarget while no configuration is known.
+// Authorize returns the caller that sent a request. route is nil for calls about batch jobs, whose callers
+// are checked against the job. Authorize must be called after the request has arrived, since it relies on
+// the configuration as confirmed at the time of the call. Errors: errs.Unauthenticated; errs.ConfigStale;
+// errs.NoTarget while no configuration is known.
 func (w *Watch) Authorize(route *serving.Route, c workspace.Credential) (serving.Caller, error) {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	switch {
 	case w.config == nil:
-		return serving.Caller{}, errs.New(errs.NoTarget, "no configuration is known yet").WithRetry(noConfigRetry)
+		return serving.Caller{}, errs.New(errs.NoTarget, "no configuration has been read yet").WithRetry(noConfigRetryAfter)
 	case !w.config.KeysRequired:
 		return serving.Caller{}, nil
 	case route != nil && route.IsPublic:
-		return w.publicCaller(c), nil
+		return w.identifyPublicCaller(c), nil
 	case c.Err != nil:
 		return serving.Caller{}, c.Err
 	case !c.IsSet && route == nil:
@@ -36,28 +38,30 @@
 	case !c.IsSet:
 		return serving.Caller{}, workspace.MissingKey()
 	}
-	return w.keyHolder(c)
+	return w.identifyKeyHolder(c)
 }
 
-// publicCaller is the caller of a public route, which needs no key. A key that cannot be relied upon counts as none.
-func (w *Watch) publicCaller(c workspace.Credential) serving.Caller {
+// identifyPublicCaller returns the caller of a public route, which requires no key. A key that is invalid
+// or cannot be verified counts as none. The caller holds w.mu.
+func (w *Watch) identifyPublicCaller(c workspace.Credential) serving.Caller {
 	if c.Err != nil || !c.IsSet {
 		return serving.Caller{}
 	}
-	caller, err := w.keyHolder(c)
+	caller, err := w.identifyKeyHolder(c)
 	if err != nil {
 		return serving.Caller{}
 	}
 	return caller
 }
 
-// keyHolder returns the workspace that holds a key. The caller holds the lock.
-func (w *Watch) keyHolder(c workspace.Credential) (serving.Caller, error) {
+// identifyKeyHolder returns the workspace that holds a key. Errors: errs.ConfigStale, errs.Unauthenticated.
+// The caller holds w.mu.
+func (w *Watch) identifyKeyHolder(c workspace.Credential) (serving.Caller, error) {
 	now := w.clock()
 	if !w.proof.Holds(now) {
 		age, _ := w.proof.Age(now)
-		return serving.Caller{}, errs.Newf(errs.ConfigStale, "version %d of the configuration was last confirmed %d ms ago: keys may have been revoked since",
-			w.config.Version, age.Milliseconds()).WithRetry(w.staleRetry())
+		return serving.Caller{}, errs.Newf(errs.ConfigStale, "version %d of the configuration was last confirmed %d ms ago; keys may have been revoked since then",
+			w.config.Version, age.Milliseconds()).WithRetry(w.chooseStaleRetry())
 	}
 	found, ok := w.workspaces.ByKey(c.Key)
 	if !ok {
@@ -66,14 +70,15 @@
 	return serving.Caller{Workspace: found.Name, Rank: found.Rank}, nil
 }
 
-func (w *Watch) staleRetry() time.Duration {
+// chooseStaleRetry returns the retry delay for a rejection with errs.ConfigStale.
+func (w *Watch) chooseStaleRetry() time.Duration {
 	if w.view.Peers() > 0 {
-		return staleRetryTogether
+		return staleRetryAfterWithPeers
 	}
-	return staleRetry
+	return staleRetryAfter
 }
 
-// IsStale reports whether keys may soon not be relied upon any more, so that callers should go elsewhere.
+// IsStale reports whether keys can soon no longer be verified, so that callers should use another gateway.
 func (w *Watch) IsStale() bool {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
--- a/internal/watch/targets.go
+++ b/internal/watch/targets.go
@@ -7,55 +7,56 @@
 	"arbutusramp/core/serving"
 )
 
-// maxRemembered bounds how many names are remembered after their targets have gone: a fleet whose targets get new names with
-// each restart has no end of them.
-const maxRemembered = 4096
+// maxRemovedNames bounds how many names of removed targets are kept. In a fleet whose targets get a new
+// name with each restart, their number grows without limit.
+const maxRemovedNames = 4096
 
-// targetList is the list of targets as it was read last. It tells real changes from entries
-// that were written again, and keeps targets whose entry lapsed while the store was away.
+// targetList is the list of targets as last read. It separates real changes from entries that were written
+// again unchanged, and keeps targets whose entry expired while the store was unreachable.
 type targetList struct {
-	known map[string]serving.Target // by name
-	// started is when the last start under each name was, also of those that have gone since.
-	started map[string]int64
-	// unusable is why the entry under a name is none, for those whose entry is none.
-	unusable map[string]string
-	// lapsed are targets whose entry is missing since an outage, with the time until which it
-	// may come back.
-	lapsed map[string]time.Time
-	// backAt is when the store came back from its last outage.
-	backAt time.Time
+	targets map[string]serving.Target // by name
+	// lastStart holds the last start under each name, including names whose target was removed.
+	lastStart map[string]int64
+	// unusableReason holds, by name, why an entry does not describe a valid target.
+	unusableReason map[string]string
+	// graceUntil holds, by name, the targets whose entry is missing since an outage, and the time until
+	// which the entry may be written again.
+	graceUntil map[string]time.Time
+	// storeBackAt is when the store became reachable after its last outage; zero before the first outage.
+	storeBackAt time.Time
 }
 
-// targetChanges are the changes of one read.
+// targetChanges are the changes that result from one read.
 type targetChanges struct {
-	put  []serving.Target
-	gone []string // ids
-	// ended are ids of starts that are known to be over: a later one has their name. What runs there will
-	// never be answered.
-	ended []string
-	// unusable are entries that have become unusable, or are for another reason than before.
+	put     []serving.Target
+	goneIDs []string
+	// endedIDs are ids of starts that are known to be over, because a later start has their name. Requests
+	// that run there are never answered.
+	endedIDs []string
+	// unusable are entries that have become unusable, or whose reason has changed.
 	unusable []platform.UnusableEntry
-	// older are entries of starts that a later one has followed.
-	older []serving.Target
+	// olderStarts are entries of starts that a later start has replaced.
+	olderStarts []serving.Target
 }
 
+// newTargetList returns an empty list.
 func newTargetList() *targetList {
 	return &targetList{
-		known: make(map[string]serving.Target), started: make(map[string]int64),
-		unusable: make(map[string]string), lapsed: make(map[string]time.Time),
+		targets: make(map[string]serving.Target), lastStart: make(map[string]int64),
+		unusableReason: make(map[string]string), graceUntil: make(map[string]time.Time),
 	}
 }
 
-// onStoreRecovered notes that the store answers again.
-func (l *targetList) onStoreRecovered(now time.Time) { l.backAt = now }
+// onStoreRecovered records that the store answers again after an outage.
+func (l *targetList) onStoreRecovered(now time.Time) { l.storeBackAt = now }
 
-// take works out what news changes.
-func (l *targetList) take(now time.Time, news platform.TargetNews) targetChanges {
+// update applies the result of one read and returns the changes.
+func (l *targetList) update(now time.Time, news platform.TargetNews) targetChanges {
 	var c targetChanges
 	present := make(map[string]bool, len(news.Present)+len(news.Unusable))
 	for _, t := range news.Present {
 		present[t.Name] = true
-		l.listed(t, &c)
+		l.applyEntry(t, &c)
 	}
 	for _, e := range news.Unusable {
 		present[e.Name] = true
@@ -65,101 +66,105 @@
 		l.markMissing(now, name, &c)
 	}
 	if news.Whole {
-		for name := range l.known {
+		for name := range l.targets {
 			if !present[name] {
 				l.markMissing(now, name, &c)
 			}
 		}
 	}
-	l.expire(now, &c)
-	l.prune()
+	l.removeAfterGrace(now, &c)
+	l.pruneStarts()
 	return c
 }
 
-// listed takes in a target's entry. One of an older start than the last that is known changes nothing: a read may be
-// answered from what was there before, and a start that was followed by another is over.
-func (l *targetList) listed(t serving.Target, c *targetChanges) {
-	if t.Started < l.started[t.Name] {
-		c.older = append(c.older, t)
+// applyEntry applies the entry of a target. An entry of an older start than the last known one changes
+// nothing: a read may be answered from an earlier state, and a start that another one has replaced is over.
+func (l *targetList) applyEntry(t serving.Target, c *targetChanges) {
+	if t.Started < l.lastStart[t.Name] {
+		c.olderStarts = append(c.olderStarts, t)
 		return
 	}
-	delete(l.unusable, t.Name)
-	delete(l.lapsed, t.Name)
-	old, ok := l.known[t.Name]
+	delete(l.unusableReason, t.Name)
+	delete(l.graceUntil, t.Name)
+	old, ok := l.targets[t.Name]
 	if ok && old == t {
 		return
 	}
 	if ok && old.ID != t.ID {
-		c.gone = append(c.gone, old.ID)
-		c.ended = append(c.ended, old.ID)
+		c.goneIDs = append(c.goneIDs, old.ID)
+		c.endedIDs = append(c.endedIDs, old.ID)
 	}
-	l.known[t.Name] = t
-	l.started[t.Name] = t.Started
+	l.targets[t.Name] = t
+	l.lastStart[t.Name] = t.Started
 	c.put = append(c.put, t)
 }
 
-// markUnusable takes in an entry that is none. Whatever stood under its name before is no target to use any more.
+// markUnusable applies an entry that does not describe a valid target. The target that was listed under its
+// name is removed.
 func (l *targetList) markUnusable(e platform.UnusableEntry, c *targetChanges) {
 	why := e.Err.Error()
-	if l.unusable[e.Name] != why {
-		l.unusable[e.Name] = why
+	if l.unusableReason[e.Name] != why {
+		l.unusableReason[e.Name] = why
 		c.unusable = append(c.unusable, e)
 	}
-	if _, ok := l.known[e.Name]; ok {
+	if _, ok := l.targets[e.Name]; ok {
 		l.remove(e.Name, c)
 	}
 }
 
-// markMissing takes in that a target has no entry. Right after an outage the target may live all the
-// same: without this, every outage would empty the list and refuse all requests for seconds.
+// markMissing applies the absence of a target's entry. Shortly after an outage the target may still run, so
+// it stays listed until entryGrace has passed: without this, every outage would empty the list and cause
+// all requests to be rejected for seconds.
 func (l *targetList) markMissing(now time.Time, name string, c *targetChanges) {
-	delete(l.unusable, name)
-	t, ok := l.known[name]
+	delete(l.unusableReason, name)
+	t, ok := l.targets[name]
 	if !ok {
 		return
 	}
-	until := l.backAt.Add(lapseGrace)
-	if !t.Draining && !l.backAt.IsZero() && now.Before(until) {
-		if _, waiting := l.lapsed[name]; !waiting {
-			l.lapsed[name] = until
+	until := l.storeBackAt.Add(entryGrace)
+	if !t.Draining && !l.storeBackAt.IsZero() && now.Before(until) {
+		if _, isInGrace := l.graceUntil[name]; !isInGrace {
+			l.graceUntil[name] = until
 		}
 		return
 	}
 	l.remove(name, c)
 }
 
-// untilExpiry is how long the list can stay as it is without news: a target whose time is up while a
-// read waits for news would otherwise get requests until the next news come.
-func (l *targetList) untilExpiry(now time.Time) time.Duration {
+// timeToGraceEnd returns how long the list stays valid without news, at most pollWait. A target whose grace
+// period ends while a read waits for news would otherwise receive requests until the next news.
+func (l *targetList) timeToGraceEnd(now time.Time) time.Duration {
 	next := pollWait
-	for _, until := range l.lapsed {
+	for _, until := range l.graceUntil {
 		next = min(next, until.Sub(now))
 	}
 	return max(next, 0)
 }
 
-func (l *targetList) expire(now time.Time, c *targetChanges) {
-	for name, until := range l.lapsed {
+// removeAfterGrace removes the targets whose grace period has ended.
+func (l *targetList) removeAfterGrace(now time.Time, c *targetChanges) {
+	for name, until := range l.graceUntil {
 		if !now.Before(until) {
 			l.remove(name, c)
 		}
 	}
 }
 
+// remove drops a listed target.
 func (l *targetList) remove(name string, c *targetChanges) {
-	c.gone = append(c.gone, l.known[name].ID)
-	delete(l.known, name)
-	delete(l.lapsed, name)
+	c.goneIDs = append(c.goneIDs, l.targets[name].ID)
+	delete(l.targets, name)
+	delete(l.graceUntil, name)
 }
 
-// prune forgets the starts of names that are not on the list, once there are too many of them.
-func (l *targetList) prune() {
-	if len(l.started) <= len(l.known)+maxRemembered {
+// pruneStarts drops the starts of names that are not on the list once there are more than maxRemovedNames.
+func (l *targetList) pruneStarts() {
+	if len(l.lastStart) <= len(l.targets)+maxRemovedNames {
 		return
 	}
-	for name := range l.started {
-		if _, ok := l.known[name]; !ok {
-			delete(l.started, name)
+	for name := range l.lastStart {
+		if _, ok := l.targets[name]; !ok {
+			delete(l.lastStart, name)
 		}
 	}
 }
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,5 +1,5 @@
-// Package watch follows the operator's configuration and the list of targets, and keeps what this
-// process believes of both.
+// Package watch follows the operator's configuration and the list of targets, and keeps the current state
+// of both in this process.
 package watch
 
 import (
@@ -24,31 +24,33 @@
 )
 
 const (
-	// pollWait is how long one read waits for news. An answer without news also proves that
-	// the store can still be reached.
+	// pollWait is how long one read waits for news. An answer without news also proves that the store is
+	// reachable.
 	pollWait = time.Second
-	// pollPause lets changes gather between two reads: each read costs, and targets write
-	// more often than anything changes. What has changed must be known within two seconds at the least.
+	// pollPause is the time between two reads, in which changes accumulate: each read has a cost, and
+	// targets write more often than anything changes. A change must be known within two seconds at the
+	// latest.
 	pollPause = 300 * time.Millisecond
-	// retryPause is the time between reads that fail.
+	// retryPause is the time between reads while they fail.
 	retryPause = 100 * time.Millisecond
-	// lapseGrace is how long after an outage of the store an entry of a target may still be
-	// missing although the target lives: entries lapse meanwhile and are back within two seconds
-	// of the store's return. A process can't tell a lapsed entry from one that was removed, and
-	// after a removal requests must end within two seconds; it is shorter than that by what a
-	// process may notice the return later.
-	lapseGrace = 1500 * time.Millisecond
-	// noConfigRetry is when a caller should come back that came before the configuration.
-	noConfigRetry = 300 * time.Millisecond
+	// entryGrace is how long after an outage of the store the entry of a running target may still be
+	// missing: entries expire during the outage and are written again within two seconds of the recovery. A
+	// process cannot distinguish an expired entry from a removed one, and after a removal requests must end
+	// within two seconds. The grace period is therefore shorter than that, by the delay with which a
+	// process may detect the recovery.
+	entryGrace = 1500 * time.Millisecond
+	// noConfigRetryAfter is the retry delay for a caller that arrives before the first configuration.
+	noConfigRetryAfter = 300 * time.Millisecond
 )
 
-// Watch is what a process believes of the configuration and the targets.
+// Watch holds the configuration and the target list that are known to this process. It is safe for
+// concurrent use.
 type Watch struct {
-	dir  platform.Directory
-	view *fleetview.View
-	log  hclog.Logger
-	// lines are about targets, of which many are listed at once.
-	lines *logging.Routine
+	directory platform.Directory
+	view      *fleetview.View
+	log       hclog.Logger
+	// targetLog logs lines about targets, many of which can be listed at once.
+	targetLog *logging.Routine
 
 	clock    bootclock.Clock
 	quotas   Quotas
@@ -60,40 +62,40 @@
 	config     *serving.Config
 	router     *serving.Router
 	workspaces *workspace.Index
-	proof      freshness.Proof // that config is the newest
-	listed     bool            // the list of targets has been read, or some of its targets
+	proof      freshness.Proof // when config was last confirmed as the newest version
+	hasTargets bool            // the list of targets, or a usable part of it, has been read
 }
 
-// Quotas gets the quotas of each configuration that is put in force.
+// Quotas receives the quotas of each configuration that is put in force.
 type Quotas interface {
 	SetWorkspaces(list []workspace.Workspace)
 }
 
-// TargetObserver is told of changes of the list of targets.
+// TargetObserver is notified of changes of the target list.
 type TargetObserver interface {
-	// TargetsGone notes targets that are no longer on the list, by id.
+	// TargetsGone is called with the ids of targets that are no longer on the list.
 	TargetsGone(ids []string)
 }
 
-// Options are what a Watch needs to know.
+// Options are the dependencies and settings of a Watch.
 type Options struct {
 	Directory platform.Directory
-	View      *fleetview.View // gets the targets
+	View      *fleetview.View // receives the targets
 	Quotas    Quotas
 	Observer  TargetObserver
-	// RevokeWithin is how long after a key was taken away a request may still run by it, also at a process that is cut off; 0 is
-	// no bound.
+	// RevokeWithin bounds how long after the revocation of a key a request may still be authorized by it,
+	// even at a process that is separated from the store; 0 is no bound.
 	RevokeWithin time.Duration
 	Clock        bootclock.Clock
 	Log          hclog.Logger
 }
 
-// New returns a watch that knows nothing yet.
+// New returns a Watch without a configuration or targets.
 func New(o Options) *Watch {
-	return &Watch{dir: o.Directory, view: o.View, quotas: o.Quotas, observer: o.Observer, clock: o.Clock, log: o.Log, lines: logging.NewRoutine(o.Log), revokeWithin: o.RevokeWithin, proof: freshness.New(o.RevokeWithin)}
+	return &Watch{directory: o.Directory, view: o.View, quotas: o.Quotas, observer: o.Observer, clock: o.Clock, log: o.Log, targetLog: logging.NewRoutine(o.Log), revokeWithin: o.RevokeWithin, proof: freshness.New(o.RevokeWithin)}
 }
 
-// Run follows both until ctx ends.
+// Run follows the configuration and the targets until ctx ends.
 func (w *Watch) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return w.followConfig(ctx) })
@@ -101,13 +103,13 @@
 	return g.Wait()
 }
 
-// Route implements the callers' search for a route. Errors: errs.NoTarget while no configuration is
-// known, since a route that is not known may exist; errs.NotFound.
+// Route returns the route of a request and the configured limits. Errors: errs.NoTarget while no
+// configuration is known, since the route may exist; errs.NotFound.
 func (w *Watch) Route(host, uri string) (*serving.Route, serving.Limits, error) {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	if w.config == nil {
-		return nil, serving.Limits{}, errs.New(errs.NoTarget, "no configuration is known yet").WithRetry(noConfigRetry)
+		return nil, serving.Limits{}, errs.New(errs.NoTarget, "no configuration has been read yet").WithRetry(noConfigRetryAfter)
 	}
 	route := w.router.Match(host, uri)
 	if route == nil {
@@ -116,7 +118,7 @@
 	return route, w.config.Limits, nil
 }
 
-// Version is the configuration's version in force, 0 before the first.
+// Version returns the version of the configuration in force, 0 before the first.
 func (w *Watch) Version() uint64 {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -126,15 +128,16 @@
 	return w.config.Version
 }
 
-// Ready says whether the configuration and the targets are known. A process that knows no targets yet
-// refuses all requests, while others would serve them.
+// Ready reports whether the configuration and the targets are known. A process without known targets
+// rejects all requests, while other processes could serve them.
 func (w *Watch) Ready() bool {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
-	return w.config != nil && w.listed
+	return w.config != nil && w.hasTargets
 }
 
-// Age is how long ago the configuration was last known to be the newest; the time since the host's start before that.
+// Age returns how long ago the configuration was last confirmed as the newest version; before the first
+// confirmation, the time since the start of the host.
 func (w *Watch) Age() time.Duration {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -142,56 +145,58 @@
 	return age
 }
 
-// pauses are those between two reads.
-var pauses = dependency.Pauses{Answered: pollPause, Failed: retryPause}
+// readPauses are the times between two reads.
+var readPauses = dependency.Pauses{Answered: pollPause, Failed: retryPause}
 
+// followConfig reads the configuration and applies it until ctx ends.
 func (w *Watch) followConfig(ctx context.Context) error {
 	var news platform.ConfigNews
-	var asked time.Duration
+	var readStart time.Duration
 	link := dependency.NewLink(w.log, "configuration")
 	read := func() error {
-		asked = w.clock()
-		got, err := w.dir.Config(ctx, news.Known, link.Patience(w.configWait()))
+		readStart = w.clock()
+		got, err := w.directory.Config(ctx, news.Known, link.Patience(w.configWait()))
 		if err == nil {
 			news = got
 			w.view.SetContact()
 		}
 		return err
 	}
-	link.Follow(ctx, pauses, read, func(bool) {
+	link.Follow(ctx, readPauses, read, func(bool) {
 		if news.Unusable != nil {
-			w.log.Error("configuration can't be read: what is in force stays", "in_force", w.Version(), "error", news.Unusable)
+			w.log.Error("configuration unreadable; the version in force is kept", "in_force", w.Version(), "error", news.Unusable)
 		}
-		w.take(news.Config)
+		w.applyConfig(news.Config)
 		if news.IsCurrent {
-			w.confirm(asked)
+			w.confirm(readStart)
 		}
 	})
 	return nil
 }
 
-// proofShare is how much of the bound on revocations one read of the configuration may wait for news. A proof is as old as the question,
-// so that it grows by two waits and a pause before the next one.
-const proofShare = 0.1
+// configWaitShare is the share of RevokeWithin that one read of the configuration may wait for news. A
+// confirmation counts from the start of its read, so that it is two waits and one pause old before the next
+// one arrives.
+const configWaitShare = 0.1
 
-// configWait is how long a read of the configuration waits for news.
+// configWait returns how long a read of the configuration waits for news.
 func (w *Watch) configWait() time.Duration {
 	if w.revokeWithin == 0 {
 		return pollWait
 	}
-	return min(pollWait, time.Duration(proofShare*float64(w.revokeWithin)))
+	return min(pollWait, time.Duration(configWaitShare*float64(w.revokeWithin)))
 }
 
-// confirm notes that a read which began at that time has shown the newest configuration.
-func (w *Watch) confirm(asked time.Duration) {
+// confirm records that a read that started at readStart, by w.clock, has returned the newest configuration.
+func (w *Watch) confirm(readStart time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.proof.Confirm(asked)
+	w.proof.Confirm(readStart)
 }
 
-// take puts a configuration in force. One of an older version is left out: a read may be
-// answered from what was there before, and what was once in force must not come back.
-func (w *Watch) take(c *serving.Config) {
+// applyConfig puts a configuration in force. An older version is ignored: a read may be answered from an
+// earlier state, and a version that was replaced must not return.
+func (w *Watch) applyConfig(c *serving.Config) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if c == nil {
@@ -212,60 +217,62 @@
 	w.log.Info("configuration in force", "version", c.Version, "routes", len(c.Routes), "keys_required", c.KeysRequired, "workspaces", index.Len(), "workspace_ranks", fmt.Sprint(index.Ranks()))
 }
 
+// followTargets reads the list of targets and applies it until ctx ends.
 func (w *Watch) followTargets(ctx context.Context) error {
 	var news platform.TargetNews
 	list := newTargetList()
 	link := dependency.NewLink(w.log, "targets")
 	read := func() error {
-		wait := link.Patience(min(pollWait, list.untilExpiry(time.Now())))
-		got, err := w.dir.Targets(ctx, news.Known, wait)
+		wait := link.Patience(min(pollWait, list.timeToGraceEnd(time.Now())))
+		got, err := w.directory.Targets(ctx, news.Known, wait)
 		if err == nil {
 			news = got
 			w.view.SetContact()
 		}
 		return err
 	}
-	pace := dependency.Pauses{Failed: pauses.Failed, More: func() time.Duration {
+	targetPauses := dependency.Pauses{Failed: readPauses.Failed, More: func() time.Duration {
 		if news.More {
-			return 0 // a list of many targets comes in parts
+			return 0 // a long list arrives in parts
 		}
-		return pauses.Answered
+		return readPauses.Answered
 	}}
-	link.Follow(ctx, pace, read, func(back bool) {
+	link.Follow(ctx, targetPauses, read, func(isBack bool) {
 		now := time.Now()
-		if back {
+		if isBack {
 			list.onStoreRecovered(now)
 		}
-		w.applyTargets(list.take(now, news))
-		w.noteListed(news.Whole || len(news.Present) > 0)
+		w.applyTargets(list.update(now, news))
+		w.markTargetsKnown(news.Whole || len(news.Present) > 0)
 	})
 	return nil
 }
 
-// noteListed notes that the list of targets has been read, or so much of it that requests can be served.
-func (w *Watch) noteListed(usable bool) {
+// markTargetsKnown records that the list of targets has been read, or enough of it to serve requests.
+func (w *Watch) markTargetsKnown(isUsable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.listed = w.listed || usable
+	w.hasTargets = w.hasTargets || isUsable
 }
 
+// applyTargets logs the changes of the list and passes them to the view and the observer.
 func (w *Watch) applyTargets(c targetChanges) {
 	for _, e := range c.unusable {
 		w.log.Warn("entry names no target to use", "name", e.Name, "error", e.Err)
 	}
-	for _, t := range c.older {
+	for _, t := range c.olderStarts {
 		w.log.Info("entry of an older start left out", "target", t.ID)
 	}
-	if len(c.put) == 0 && len(c.gone) == 0 {
+	if len(c.put) == 0 && len(c.goneIDs) == 0 {
 		return
 	}
-	w.view.Put(c.put, c.gone)
-	w.view.Ended(c.ended)
-	w.observer.TargetsGone(c.gone)
+	w.view.Put(c.put, c.goneIDs)
+	w.view.Ended(c.endedIDs)
+	w.observer.TargetsGone(c.goneIDs)
 	for _, t := range c.put {
-		w.lines.Info(time.Now(), "target", "target", t.ID, "addr", t.Addr, "service", t.Service, "slots", t.Slots, "domain", t.Domain, "draining", t.Draining)
+		w.targetLog.Info(time.Now(), "target", "target", t.ID, "addr", t.Addr, "service", t.Service, "slots", t.Slots, "domain", t.Domain, "draining", t.Draining)
 	}
-	for _, id := range c.gone {
-		w.log.Info("target gone", "target", id, "restarted", slices.Contains(c.ended, id))
+	for _, id := range c.goneIDs {
+		w.log.Info("target gone", "target", id, "restarted", slices.Contains(c.endedIDs, id))
 	}
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -22,33 +22,33 @@
 	"arbutusramp/internal/fleetview"
 )
 
-// fakeDirectory answers what it is told to, once for each change.
+// fakeDirectory returns each queued configuration and target list once.
 type fakeDirectory struct {
-	mu      sync.Mutex
-	down    bool
-	configs []*serving.Config
-	targets []platform.TargetNews
-	waited  time.Duration // by a test
-	patient int           // questions while down that would wait for news
-	stale   bool          // answers come from an older state
-	// revokeWithin is the bound of the watch, suspended how long its host was suspended, in nanoseconds.
-	revokeWithin time.Duration
-	suspended    atomic.Int64
-	quotas       fakeQuotas
-	gone         []string // targets of which the observer was told
+	mu                 sync.Mutex
+	isDown             bool
+	configs            []*serving.Config
+	targets            []platform.TargetNews
+	testDelay          time.Duration // time that the test itself has spent waiting
+	longPollsWhileDown int           // reads during an outage that would have waited for news
+	isStale            bool          // answers come from an older state
+	// revokeWithin is the RevokeWithin of the watch; suspendedNanos is how long its host was suspended.
+	revokeWithin   time.Duration
+	suspendedNanos atomic.Int64
+	quotas         fakeQuotas
+	goneIDs        []string // targets passed to the observer
 }
 
 // TargetsGone implements TargetObserver.
 func (d *fakeDirectory) TargetsGone(ids []string) {
-	d.set(func(d *fakeDirectory) { d.gone = append(d.gone, ids...) })
+	d.update(func(d *fakeDirectory) { d.goneIDs = append(d.goneIDs, ids...) })
 }
 
-// fakeQuotas keeps what it is told.
+// fakeQuotas records the workspaces passed to it.
 type fakeQuotas struct{ workspaces []workspace.Workspace }
 
 func (q *fakeQuotas) SetWorkspaces(list []workspace.Workspace) { q.workspaces = list }
 
-func (d *fakeDirectory) set(f func(d *fakeDirectory)) {
+func (d *fakeDirectory) update(f func(d *fakeDirectory)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d)
@@ -57,11 +57,11 @@
 func (d *fakeDirectory) Config(ctx context.Context, known uint64, wait time.Duration) (platform.ConfigNews, error) {
 	var news platform.ConfigNews
 	err := d.answer(ctx, wait, func() bool {
-		news.IsCurrent = !d.stale
+		news.IsCurrent = !d.isStale
 		if len(d.configs) == 0 {
 			return false
 		}
-		news = platform.ConfigNews{Known: known + 1, Config: d.configs[0], IsCurrent: !d.stale}
+		news = platform.ConfigNews{Known: known + 1, Config: d.configs[0], IsCurrent: !d.isStale}
 		d.configs = d.configs[1:]
 		return true
 	})
@@ -81,17 +81,17 @@
 	return news, err
 }
 
-// answer waits like the store does.
+// answer waits for news up to wait, as the store does.
 func (d *fakeDirectory) answer(ctx context.Context, wait time.Duration, take func() bool) error {
 	for until := time.Now().Add(wait); ; {
 		d.mu.Lock()
-		down, took := d.down, !d.down && take()
-		if down && wait > 0 {
-			d.patient++
+		isDown, took := d.isDown, !d.isDown && take()
+		if isDown && wait > 0 {
+			d.longPollsWhileDown++
 		}
 		d.mu.Unlock()
 		switch {
-		case down:
+		case isDown:
 			return errs.New(errs.LogDown, "down")
 		case took || ctx.Err() != nil || !time.Now().Before(until):
 			return nil
@@ -100,7 +100,7 @@
 	}
 }
 
-func config(version uint64, prefixes ...string) *serving.Config {
+func newConfig(version uint64, prefixes ...string) *serving.Config {
 	c := &serving.Config{Version: version}
 	for _, p := range prefixes {
 		c.Routes = append(c.Routes, serving.Route{Name: p, Host: "h", Prefix: p})
@@ -108,114 +108,118 @@
 	return c
 }
 
-func target(id string) serving.Target {
+func newTarget(id string) serving.Target {
 	return serving.Target{ID: id, Name: id, Service: "s", Slots: 4}
 }
 
-func run(t *testing.T, f func(d *fakeDirectory, w *Watch, v *fleetview.View)) {
-	runLogging(t, hclog.NewNullLogger(), f)
+// runWatch calls f with a running Watch in a synctest bubble.
+func runWatch(t *testing.T, f func(d *fakeDirectory, w *Watch, v *fleetview.View)) {
+	runWatchWithLog(t, hclog.NewNullLogger(), f)
 }
 
-// runLogging is run with a logger.
-func runLogging(t *testing.T, log hclog.Logger, f func(d *fakeDirectory, w *Watch, v *fleetview.View)) {
-	runWith(t, &fakeDirectory{}, log, f)
+// runWatchWithLog is runWatch with a logger.
+func runWatchWithLog(t *testing.T, log hclog.Logger, f func(d *fakeDirectory, w *Watch, v *fleetview.View)) {
+	runWatchWith(t, &fakeDirectory{}, log, f)
 }
 
-// runWith is run with a directory and a logger.
-func runWith(t *testing.T, d *fakeDirectory, log hclog.Logger, f func(d *fakeDirectory, w *Watch, v *fleetview.View)) {
+// runWatchWith is runWatch with a directory and a logger.
+func runWatchWith(t *testing.T, d *fakeDirectory, log hclog.Logger, f func(d *fakeDirectory, w *Watch, v *fleetview.View)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		v := fleetview.New(fleet.Options{PeerTTL: time.Second})
 		began := time.Now()
 		w := New(Options{
 			Directory: d, View: v, Quotas: &d.quotas, Observer: d, RevokeWithin: d.revokeWithin, Log: log,
-			Clock: func() time.Duration { return time.Since(began) + time.Duration(d.suspended.Load()) },
+			Clock: func() time.Duration { return time.Since(began) + time.Duration(d.suspendedNanos.Load()) },
 		})
-		over := make(chan error)
-		go func() { over <- w.Run(ctx) }()
+		done := make(chan error)
+		go func() { done <- w.Run(ctx) }()
 		f(d, w, v)
 		cancel()
-		if err := <-over; err != nil {
+		if err := <-done; err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// A process that has just started knows no routes: that a route is missing is not known either.
-func TestWithoutAConfigurationNothingIsMissing(t *testing.T) {
-	run(t, func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
+// Before the first configuration a process cannot decide that a route does not exist, so it must not answer
+// with errs.NotFound.
+func TestRouteIsNotMissingBeforeFirstConfiguration(t *testing.T) {
+	runWatch(t, func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
 		time.Sleep(time.Second)
 		if _, _, err := w.Route("h", "/a/"); !errs.Is(err, errs.NoTarget) || errs.As(err).RetryAfterMs == 0 {
 			t.Errorf("before the first configuration: %v", err)
 		}
-		d.set(func(d *fakeDirectory) { d.configs = append(d.configs, config(3, "/a/")) })
+		d.update(func(d *fakeDirectory) { d.configs = append(d.configs, newConfig(3, "/a/")) })
 		time.Sleep(time.Second)
 		if _, _, err := w.Route("h", "/a/x"); err != nil {
 			t.Error(err)
 		}
 		if _, _, err := w.Route("h", "/b/x"); !errs.Is(err, errs.NotFound) {
-			t.Errorf("a route that is not there: %v", err)
+			t.Errorf("a route that does not exist: %v", err)
 		}
 	})
 }
 
-// Refusals after a start: a process is ready before it knows any target.
-func TestReadyNeedsTheTargets(t *testing.T) {
-	run(t, func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
-		d.set(func(d *fakeDirectory) { d.down = true })
+// Guards against requests rejected after a start because the process reports ready before any target is
+// known.
+func TestReadyRequiresTargets(t *testing.T) {
+	runWatch(t, func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
+		d.update(func(d *fakeDirectory) { d.isDown = true })
 		time.Sleep(2 * time.Second)
 		if w.Ready() {
-			t.Error("ready without anything")
+			t.Error("ready without a configuration and targets")
 		}
-		d.set(func(d *fakeDirectory) {
-			d.down = false
-			d.configs = append(d.configs, config(1, "/a/"))
+		d.update(func(d *fakeDirectory) {
+			d.isDown = false
+			d.configs = append(d.configs, newConfig(1, "/a/"))
 		})
-		// A read that fails is tried again after retryPause; this is well after it, and the list is
-		// not there as long as nothing is said about it.
+		// A failed read is repeated after retryPause; the pause below is well above it. The list is not
+		// available until the test queues it.
 		time.Sleep(5 * retryPause)
 		if w.Version() != 1 || w.Ready() {
-			t.Errorf("version %d, ready %v before the targets are read", w.Version(), w.Ready())
+			t.Errorf("version %d, ready %v before targets are read", w.Version(), w.Ready())
 		}
-		d.set(func(d *fakeDirectory) {
-			d.targets = append(d.targets, platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{target("a")}})
+		d.update(func(d *fakeDirectory) {
+			d.targets = append(d.targets, platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{newTarget("a")}})
 		})
 		time.Sleep(time.Second)
 		if !w.Ready() {
-			t.Error("not ready with both")
+			t.Error("not ready with a configuration and targets")
 		}
 	})
 }
 
-// Refusals after a start of many: no target is used before the whole list is there.
-func TestAPartOfTheListIsUsedAtOnce(t *testing.T) {
-	run(t, func(d *fakeDirectory, w *Watch, v *fleetview.View) {
-		part := func(id string) platform.TargetNews {
-			return platform.TargetNews{More: true, Present: []serving.Target{target(id)}}
+// Guards against requests rejected after many processes start at once, because no target is used before the
+// whole list is read.
+func TestPartialTargetListIsUsedAtOnce(t *testing.T) {
+	runWatch(t, func(d *fakeDirectory, w *Watch, v *fleetview.View) {
+		newPart := func(id string) platform.TargetNews {
+			return platform.TargetNews{More: true, Present: []serving.Target{newTarget(id)}}
 		}
-		d.set(func(d *fakeDirectory) {
-			d.configs = append(d.configs, config(1, "/a/"))
-			d.targets = append(d.targets, part("a"))
+		d.update(func(d *fakeDirectory) {
+			d.configs = append(d.configs, newConfig(1, "/a/"))
+			d.targets = append(d.targets, newPart("a"))
 		})
 		time.Sleep(20 * time.Millisecond)
 		if r, ok := v.StartOnline("s", nil); !ok || r.Target.ID != "a" || !w.Ready() {
-			t.Errorf("with the first part: a target %v, ready %v", ok, w.Ready())
+			t.Errorf("after the first part: target found %v, ready %v", ok, w.Ready())
 		}
-		d.set(func(d *fakeDirectory) {
-			whole := platform.TargetNews{Known: 9, Whole: true, Present: []serving.Target{target("b"), target("c")}}
-			d.targets = append(d.targets, part("b"), whole)
+		d.update(func(d *fakeDirectory) {
+			whole := platform.TargetNews{Known: 9, Whole: true, Present: []serving.Target{newTarget("b"), newTarget("c")}}
+			d.targets = append(d.targets, newPart("b"), whole)
 		})
 		time.Sleep(20 * time.Millisecond)
 		if listed := v.Targets(); len(listed) != 2 {
-			t.Errorf("of a, b and c the whole list has b and c: %v", listed)
+			t.Errorf("the complete list has b and c, not a: %v", listed)
 		}
 	})
 }
 
-// A regression of the configuration: an answer from before the last change is put in force.
-func TestAVersionNeverGoesBack(t *testing.T) {
-	run(t, func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
-		d.set(func(d *fakeDirectory) { d.configs = append(d.configs, config(8, "/new/"), config(5, "/old/")) })
+// Guards against a regression of the configuration: an answer from before the last change is put in force.
+func TestConfigurationVersionNeverRegresses(t *testing.T) {
+	runWatch(t, func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
+		d.update(func(d *fakeDirectory) { d.configs = append(d.configs, newConfig(8, "/new/"), newConfig(5, "/old/")) })
 		time.Sleep(2 * time.Second)
 		if w.Version() != 8 {
 			t.Errorf("version %d is in force", w.Version())
@@ -226,100 +230,103 @@
 	})
 }
 
-func TestTheConfigurationOutlivesTheStore(t *testing.T) {
-	run(t, func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
-		d.set(func(d *fakeDirectory) { d.configs = append(d.configs, config(1, "/a/")) })
+func TestConfigurationStaysInForceDuringStoreOutage(t *testing.T) {
+	runWatch(t, func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
+		d.update(func(d *fakeDirectory) { d.configs = append(d.configs, newConfig(1, "/a/")) })
 		time.Sleep(time.Second)
-		d.set(func(d *fakeDirectory) { d.down = true })
+		d.update(func(d *fakeDirectory) { d.isDown = true })
 		time.Sleep(time.Minute)
 		if _, _, err := w.Route("h", "/a/"); err != nil {
 			t.Error(err)
 		}
 		if w.Age() < 50*time.Second {
-			t.Errorf("the configuration is said to be %v old", w.Age())
+			t.Errorf("age of the configuration: %v", w.Age())
 		}
-		d.set(func(d *fakeDirectory) { d.down = false; d.configs = append(d.configs, config(2, "/b/")) })
+		d.update(func(d *fakeDirectory) { d.isDown = false; d.configs = append(d.configs, newConfig(2, "/b/")) })
 		time.Sleep(2 * time.Second)
 		if w.Version() != 2 || w.Age() > 2*time.Second {
-			t.Errorf("version %d, %v old", w.Version(), w.Age())
+			t.Errorf("version %d, age %v", w.Version(), w.Age())
 		}
 	})
 }
 
-// Refusals after an outage: entries that lapsed meanwhile are taken for targets that are gone.
-func TestEntriesThatLapsedInAnOutageMayComeBack(t *testing.T) {
-	run(t, func(d *fakeDirectory, w *Watch, v *fleetview.View) {
-		all := []serving.Target{target("lives"), target("gone")}
-		d.set(func(d *fakeDirectory) {
+// Guards against requests rejected after an outage: targets whose entries expired during the outage are
+// treated as removed.
+func TestExpiredEntriesAreKeptAfterOutage(t *testing.T) {
+	runWatch(t, func(d *fakeDirectory, w *Watch, v *fleetview.View) {
+		all := []serving.Target{newTarget("lives"), newTarget("gone")}
+		d.update(func(d *fakeDirectory) {
 			d.targets = append(d.targets, platform.TargetNews{Known: 1, Whole: true, Present: all})
 		})
 		time.Sleep(time.Second)
-		d.set(func(d *fakeDirectory) { d.down = true })
+		d.update(func(d *fakeDirectory) { d.isDown = true })
 		time.Sleep(5 * time.Second)
-		d.set(func(d *fakeDirectory) {
-			d.down = false
+		d.update(func(d *fakeDirectory) {
+			d.isDown = false
 			d.targets = append(d.targets, platform.TargetNews{Known: 2, Whole: true})
 		})
 		time.Sleep(time.Second)
 		if n := len(v.Targets()); n != 2 {
-			t.Errorf("%d targets right after the outage, want both", n)
+			t.Errorf("%d targets right after the outage, want 2", n)
 		}
-		d.set(func(d *fakeDirectory) { d.targets = append(d.targets, platform.TargetNews{Known: 3, Present: all[:1]}) })
+		d.update(func(d *fakeDirectory) { d.targets = append(d.targets, platform.TargetNews{Known: 3, Present: all[:1]}) })
 		time.Sleep(4 * time.Second)
 		if left := v.Targets(); len(left) != 1 || left[0].ID != "lives" {
-			t.Errorf("targets later on: %v", left)
+			t.Errorf("targets after the grace period: %v", left)
 		}
 	})
 }
 
-// Requests to a target that has left: a missing entry is looked at only when there are news.
-func TestALapsedTargetIsGoneInTimeWithoutNews(t *testing.T) {
-	run(t, func(d *fakeDirectory, w *Watch, v *fleetview.View) {
-		d.set(func(d *fakeDirectory) {
-			d.targets = append(d.targets, platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{target("a")}})
+// Guards against requests sent to a target that has left: a missing entry is checked only when there is
+// news.
+func TestTargetIsRemovedAfterGraceWithoutNews(t *testing.T) {
+	runWatch(t, func(d *fakeDirectory, w *Watch, v *fleetview.View) {
+		d.update(func(d *fakeDirectory) {
+			d.targets = append(d.targets, platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{newTarget("a")}})
 		})
 		time.Sleep(time.Second)
-		d.set(func(d *fakeDirectory) { d.down = true })
+		d.update(func(d *fakeDirectory) { d.isDown = true })
 		time.Sleep(5 * time.Second)
-		d.set(func(d *fakeDirectory) { d.down = false })
+		d.update(func(d *fakeDirectory) { d.isDown = false })
 		time.Sleep(1100 * time.Millisecond)
-		d.set(func(d *fakeDirectory) {
+		d.update(func(d *fakeDirectory) {
 			d.targets = append(d.targets, platform.TargetNews{Known: 2, Gone: []string{"a"}})
 		})
 		for time.Sleep(100 * time.Millisecond); len(v.Targets()) > 0; time.Sleep(10 * time.Millisecond) {
-			d.set(func(d *fakeDirectory) { d.waited += 10 * time.Millisecond })
+			d.update(func(d *fakeDirectory) { d.testDelay += 10 * time.Millisecond })
 		}
-		if left := 1200*time.Millisecond + d.waited; left > lapseGrace+pollPause {
-			t.Errorf("gone %s after the store's return, want within %s", left, lapseGrace+pollPause)
+		if removedAfter := 1200*time.Millisecond + d.testDelay; removedAfter > entryGrace+pollPause {
+			t.Errorf("removed %s after the store recovered, want within %s", removedAfter, entryGrace+pollPause)
 		}
 	})
 }
 
-// Stale state after a cut: the question that tests whether the store is back waits as long as one for news.
-func TestALostStoreIsAskedWithoutPatience(t *testing.T) {
-	run(t, func(d *fakeDirectory, w *Watch, v *fleetview.View) {
+// Guards against stale state after a network partition: a read that checks whether the store is reachable
+// again waits as long as one that waits for news.
+func TestUnreachableStoreIsReadWithoutWaiting(t *testing.T) {
+	runWatch(t, func(d *fakeDirectory, w *Watch, v *fleetview.View) {
 		time.Sleep(2 * time.Second)
-		d.set(func(d *fakeDirectory) { d.down, d.patient = true, 0 })
+		d.update(func(d *fakeDirectory) { d.isDown, d.longPollsWhileDown = true, 0 })
 		time.Sleep(3 * time.Second)
-		d.set(func(d *fakeDirectory) {
-			// Each of the two readers asks once before it knows.
-			if d.patient > 2 {
-				t.Errorf("%d questions to the lost store would have waited for news", d.patient)
+		d.update(func(d *fakeDirectory) {
+			// Each of the two readers sends one such read before it detects the outage.
+			if d.longPollsWhileDown > 2 {
+				t.Errorf("%d reads of the unreachable store would have waited for news", d.longPollsWhileDown)
 			}
 		})
 	})
 }
 
-func TestATargetThatLeavesIsGoneAtOnce(t *testing.T) {
-	run(t, func(d *fakeDirectory, w *Watch, v *fleetview.View) {
-		d.set(func(d *fakeDirectory) {
-			d.targets = append(d.targets, platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{target("a"), target("b")}})
+func TestLeavingTargetIsRemovedAtOnce(t *testing.T) {
+	runWatch(t, func(d *fakeDirectory, w *Watch, v *fleetview.View) {
+		d.update(func(d *fakeDirectory) {
+			d.targets = append(d.targets, platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{newTarget("a"), newTarget("b")}})
 		})
 		time.Sleep(time.Second)
-		drains := target("b")
-		drains.Draining = true
-		d.set(func(d *fakeDirectory) {
-			d.targets = append(d.targets, platform.TargetNews{Known: 2, Present: []serving.Target{drains}, Gone: []string{"a"}})
+		draining := newTarget("b")
+		draining.Draining = true
+		d.update(func(d *fakeDirectory) {
+			d.targets = append(d.targets, platform.TargetNews{Known: 2, Present: []serving.Target{draining}, Gone: []string{"a"}})
 		})
 		time.Sleep(time.Second)
 		left := v.Targets()
@@ -327,20 +334,20 @@
 			t.Errorf("targets %v", left)
 		}
 		if _, ok := v.StartOnline("s", nil); ok {
-			t.Error("a draining target got a request")
+			t.Error("a draining target received a request")
 		}
 	})
 }
 
-// startOf is the n-th start of a target.
-func startOf(name string, n int64) serving.Target {
-	t := target(name)
+// newStart returns the n-th start of a target.
+func newStart(name string, n int64) serving.Target {
+	t := newTarget(name)
 	t.ID, t.Started = fmt.Sprintf("%s/%d", name, n), n
 	return t
 }
 
-// ids of the targets that may be used.
-func ids(v *fleetview.View) string {
+// targetIDs returns the sorted ids of the targets on the list.
+func targetIDs(v *fleetview.View) string {
 	var list []string
 	for _, t := range v.Targets() {
 		list = append(list, t.ID)
@@ -349,14 +356,15 @@
 	return strings.Join(list, " ")
 }
 
-// A stalled stream: the next start of a target is taken for the one before.
-func TestANewStartEndsTheOneBefore(t *testing.T) {
-	run(t, func(d *fakeDirectory, _ *Watch, v *fleetview.View) {
-		say := func(news platform.TargetNews) {
-			d.set(func(d *fakeDirectory) { d.targets = append(d.targets, news) })
+// Guards against a stalled stream: the new start of a target is treated as the previous one, so that runs
+// of the previous start never end.
+func TestNewStartEndsPreviousStart(t *testing.T) {
+	runWatch(t, func(d *fakeDirectory, _ *Watch, v *fleetview.View) {
+		publish := func(news platform.TargetNews) {
+			d.update(func(d *fakeDirectory) { d.targets = append(d.targets, news) })
 			time.Sleep(time.Second)
 		}
-		say(platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{startOf("a", 1), startOf("b", 1)}})
+		publish(platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{newStart("a", 1), newStart("b", 1)}})
 		var mu sync.Mutex
 		ended := make(map[string]int)
 		for range 2 {
@@ -371,95 +379,95 @@
 			})
 			defer r.Done()
 		}
-		say(platform.TargetNews{Known: 2, Present: []serving.Target{startOf("a", 2)}})
-		if got := ids(v); got != "a/2 b/1" {
+		publish(platform.TargetNews{Known: 2, Present: []serving.Target{newStart("a", 2)}})
+		if got := targetIDs(v); got != "a/2 b/1" {
 			t.Errorf("targets %s", got)
 		}
 		mu.Lock()
 		if ended["a/1"] != 1 || ended["b/1"] != 0 {
-			t.Errorf("runs that were told that their target's start is over: %v", ended)
+			t.Errorf("runs notified that the start of their target is over: %v", ended)
 		}
 		mu.Unlock()
 		if _, ok := v.Report().Loads["a/2"]; ok {
-			t.Error("the new start has the load of the one before")
+			t.Error("the new start has the load of the previous one")
 		}
-		say(platform.TargetNews{Known: 3, Present: []serving.Target{startOf("a", 1)}})
-		if got := ids(v); got != "a/2 b/1" {
-			t.Errorf("targets after an older start's entry: %s", got)
+		publish(platform.TargetNews{Known: 3, Present: []serving.Target{newStart("a", 1)}})
+		if got := targetIDs(v); got != "a/2 b/1" {
+			t.Errorf("targets after an entry of an older start: %s", got)
 		}
-		say(platform.TargetNews{Known: 4, Gone: []string{"a"}})
-		say(platform.TargetNews{Known: 5, Present: []serving.Target{startOf("a", 1)}})
-		if got := ids(v); got != "b/1" {
-			t.Errorf("an older start's entry after the last start has gone: %s", got)
+		publish(platform.TargetNews{Known: 4, Gone: []string{"a"}})
+		publish(platform.TargetNews{Known: 5, Present: []serving.Target{newStart("a", 1)}})
+		if got := targetIDs(v); got != "b/1" {
+			t.Errorf("targets after an entry of an older start, with the last start removed: %s", got)
 		}
-		say(platform.TargetNews{Known: 6, Whole: true, Present: []serving.Target{startOf("a", 2), startOf("b", 1)}})
-		if got := ids(v); got != "a/2 b/1" {
-			t.Errorf("targets after the same start's entry is back: %s", got)
+		publish(platform.TargetNews{Known: 6, Whole: true, Present: []serving.Target{newStart("a", 2), newStart("b", 1)}})
+		if got := targetIDs(v); got != "a/2 b/1" {
+			t.Errorf("targets after the entry of the last start is written again: %s", got)
 		}
 	})
 }
 
-// Misrouting: requests go to a target whose entry another writer has overwritten.
-func TestAnUnusableEntryTakesItsTargetOff(t *testing.T) {
-	lines := &lockedBuffer{}
-	runLogging(t, hclog.New(&hclog.LoggerOptions{Output: lines}), func(d *fakeDirectory, _ *Watch, v *fleetview.View) {
-		say := func(news platform.TargetNews) {
-			d.set(func(d *fakeDirectory) { d.targets = append(d.targets, news) })
+// Guards against misrouting: requests go to a target whose entry another writer has overwritten.
+func TestUnusableEntryRemovesTarget(t *testing.T) {
+	logBuffer := &lockedBuffer{}
+	runWatchWithLog(t, hclog.New(&hclog.LoggerOptions{Output: logBuffer}), func(d *fakeDirectory, _ *Watch, v *fleetview.View) {
+		publish := func(news platform.TargetNews) {
+			d.update(func(d *fakeDirectory) { d.targets = append(d.targets, news) })
 			time.Sleep(time.Second)
 		}
-		bad := []platform.UnusableEntry{{Name: "a", Err: errs.New(errs.BadRequest, "no text")}}
-		say(platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{target("a"), target("b")}})
-		d.set(func(d *fakeDirectory) { d.down = true })
+		unusable := []platform.UnusableEntry{{Name: "a", Err: errs.New(errs.BadRequest, "no text")}}
+		publish(platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{newTarget("a"), newTarget("b")}})
+		d.update(func(d *fakeDirectory) { d.isDown = true })
 		time.Sleep(time.Second)
-		d.set(func(d *fakeDirectory) { d.down = false })
-		// Right after an outage a missing entry may have lapsed; one that is there and unusable has not.
-		say(platform.TargetNews{Known: 2, Unusable: bad})
-		if got := ids(v); got != "b" {
+		d.update(func(d *fakeDirectory) { d.isDown = false })
+		// Right after an outage a missing entry may have expired; one that is present but unusable has not.
+		publish(platform.TargetNews{Known: 2, Unusable: unusable})
+		if got := targetIDs(v); got != "b" {
 			t.Errorf("targets %s", got)
 		}
-		say(platform.TargetNews{Known: 3, Whole: true, Present: []serving.Target{target("b")}, Unusable: bad})
-		say(platform.TargetNews{Known: 4, Unusable: bad})
-		if n := strings.Count(lines.String(), "names no target"); n != 1 {
-			t.Errorf("%d lines for one change", n)
+		publish(platform.TargetNews{Known: 3, Whole: true, Present: []serving.Target{newTarget("b")}, Unusable: unusable})
+		publish(platform.TargetNews{Known: 4, Unusable: unusable})
+		if n := strings.Count(logBuffer.String(), "names no target"); n != 1 {
+			t.Errorf("%d log lines for one change", n)
 		}
-		say(platform.TargetNews{Known: 5, Present: []serving.Target{target("a")}})
-		if got := ids(v); got != "a b" {
-			t.Errorf("targets after a good entry: %s", got)
+		publish(platform.TargetNews{Known: 5, Present: []serving.Target{newTarget("a")}})
+		if got := targetIDs(v); got != "a b" {
+			t.Errorf("targets after a usable entry: %s", got)
 		}
-		say(platform.TargetNews{Known: 6, Unusable: bad})
-		if n := strings.Count(lines.String(), "names no target"); n != 2 {
-			t.Errorf("%d lines for two changes", n)
+		publish(platform.TargetNews{Known: 6, Unusable: unusable})
+		if n := strings.Count(logBuffer.String(), "names no target"); n != 2 {
+			t.Errorf("%d log lines for two changes", n)
 		}
 	})
 }
 
-// Names that have gone must not fill the memory of a process that runs for years.
-func TestRememberedStartsAreBounded(t *testing.T) {
+// Names of removed targets must not exhaust the memory of a process that runs for years.
+func TestRemovedNamesAreBounded(t *testing.T) {
 	l := newTargetList()
-	for i := range 3 * maxRemembered {
+	for i := range 3 * maxRemovedNames {
 		name := fmt.Sprint(i)
-		l.take(time.Time{}, platform.TargetNews{Present: []serving.Target{startOf(name, 1)}})
-		l.take(time.Time{}, platform.TargetNews{Gone: []string{name}})
+		l.update(time.Time{}, platform.TargetNews{Present: []serving.Target{newStart(name, 1)}})
+		l.update(time.Time{}, platform.TargetNews{Gone: []string{name}})
 	}
-	if len(l.started) > maxRemembered {
-		t.Errorf("%d starts are remembered", len(l.started))
+	if len(l.lastStart) > maxRemovedNames {
+		t.Errorf("%d starts are kept", len(l.lastStart))
 	}
 }
 
-// lockedBuffer is a log that is read while it is written.
+// lockedBuffer is a log output that can be read while it is written.
 type lockedBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
 func (b *lockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.Write(p)
+	return b.buffer.Write(p)
 }
 
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.String()
+	return b.buffer.String()
 }
