--- a/internal/storepath/message.go
+++ b/internal/storepath/message.go
@@ -7,7 +7,7 @@
 	"arbutusramp/core/platform"
 )
 
-// request is one call of the store; exactly one field is set.
+// request is one call of the store. Exactly one field is set.
 type request struct {
 	Append *platform.Append     `cbor:"1,keyasint,omitempty"`
 	Read   *platform.Read       `cbor:"2,keyasint,omitempty"`
@@ -16,27 +16,29 @@
 	Leave  *leaveRequest        `cbor:"5,keyasint,omitempty"`
 }
 
+// newestRequest holds the arguments of platform.Store.Newest.
 type newestRequest struct {
 	Partition platform.Partition `cbor:"1,keyasint"`
 	After     string             `cbor:"2,keyasint"`
 }
 
+// leaveRequest holds the arguments of platform.Store.Leave.
 type leaveRequest struct {
 	Group  string `cbor:"1,keyasint"`
 	Member string `cbor:"2,keyasint"`
 }
 
-// answer is what the store has said to a request: the field of the call, or why there is none.
-type answer struct {
+// response is the result of a request: the field of the call, or Failure.
+type response struct {
 	Appended   platform.Appended   `cbor:"1,keyasint,omitempty"`
 	Records    platform.Records    `cbor:"2,keyasint,omitempty"`
 	Page       platform.NewestPage `cbor:"3,keyasint,omitempty"`
 	Assignment platform.Assignment `cbor:"4,keyasint,omitempty"`
-	Failure    *failure            `cbor:"5,keyasint,omitempty"`
+	Failure    *storeError         `cbor:"5,keyasint,omitempty"`
 }
 
-// failure carries the store's errors between processes; one field is set.
-type failure struct {
+// storeError carries an error of the store between processes. Exactly one field is set.
+type storeError struct {
 	EndMoved      *platform.EndMoved      `cbor:"1,keyasint,omitempty"`
 	Fenced        *platform.Fenced        `cbor:"2,keyasint,omitempty"`
 	OutOfSequence *platform.OutOfSequence `cbor:"3,keyasint,omitempty"`
@@ -44,35 +46,35 @@
 	Other         *errs.Error             `cbor:"5,keyasint,omitempty"`
 }
 
-// failureOf encodes an error; nil stays nil.
-func failureOf(err error) *failure {
+// encodeError returns the encoded form of err, nil for nil.
+func encodeError(err error) *storeError {
 	if err == nil {
 		return nil
 	}
-	var f failure
+	var e storeError
 	switch {
-	case errors.As(err, &f.EndMoved), errors.As(err, &f.Fenced), errors.As(err, &f.OutOfSequence), errors.As(err, &f.Expired):
+	case errors.As(err, &e.EndMoved), errors.As(err, &e.Fenced), errors.As(err, &e.OutOfSequence), errors.As(err, &e.Expired):
 	default:
-		f.Other = errs.As(err)
+		e.Other = errs.As(err)
 	}
-	return &f
+	return &e
 }
 
-// err is the error that f carries.
-func (f *failure) err() error {
+// decode returns the error that e carries, nil for a nil e.
+func (e *storeError) decode() error {
 	switch {
-	case f == nil:
+	case e == nil:
 		return nil
-	case f.EndMoved != nil:
-		return f.EndMoved
-	case f.Fenced != nil:
-		return f.Fenced
-	case f.OutOfSequence != nil:
-		return f.OutOfSequence
-	case f.Expired != nil:
-		return f.Expired
-	case f.Other != nil:
-		return f.Other
+	case e.EndMoved != nil:
+		return e.EndMoved
+	case e.Fenced != nil:
+		return e.Fenced
+	case e.OutOfSequence != nil:
+		return e.OutOfSequence
+	case e.Expired != nil:
+		return e.Expired
+	case e.Other != nil:
+		return e.Other
 	}
-	return errs.New(errs.BadFrame, "a failure without a reason")
+	return errs.New(errs.BadFrame, "store error without content")
 }
--- a/internal/storepath/peer.go
+++ b/internal/storepath/peer.go
@@ -14,26 +14,28 @@
 )
 
 const (
-	// peerTimeout is how long a peer may take. The store answers within 4 ms as a rule and within 300 ms while
-	// it is slow; a peer whose own call hangs is of no use.
+	// peerTimeout bounds a call through a peer. The store usually answers within 4 ms, and within 300 ms
+	// while it is slow; a peer whose own call hangs cannot help.
 	peerTimeout = 600 * time.Millisecond
-	// peerReadTimeout is the same for reads, beyond the wait that the store was asked for: a page of 1 MB takes 0.3 s on each
-	// of two links of 30 Mbit/s.
+	// peerReadTimeout is the same for reads, in addition to the wait that the store is asked for: a page of
+	// 1 MB takes 0.3 s on each of two links of 30 Mbit/s.
 	peerReadTimeout = 1500 * time.Millisecond
-	// peerPageTimeout is the most that a page of the newest records may take; callers say how long they wait.
+	// peerPageTimeout is the upper bound for a page of the newest records; the context of the caller sets
+	// the actual one.
 	peerPageTimeout = 10 * time.Second
 )
 
-// peerStore is the store as reached through one peer. It implements platform.Store.
+// peerStore is the store as reached through the relay of one peer. It implements platform.Store.
 type peerStore struct{ client *httpclient.Client }
 
+// newPeerStore returns a client for the relay at addr (IP:port).
 func newPeerStore(addr string) *peerStore { return &peerStore{httpclient.New("http://" + addr)} }
 
-// call sends one request. writes says that without an answer it may have been done.
-func (p *peerStore) call(ctx context.Context, r request, timeout time.Duration, writes bool) (answer, error) {
+// call sends one request. isWrite means that a call without an answer may have been executed.
+func (p *peerStore) call(ctx context.Context, r request, timeout time.Duration, isWrite bool) (response, error) {
 	data, err := cbor.Marshal(r)
 	if err != nil {
-		return answer{}, errs.Newf(errs.Internal, "call of the store: %v", err)
+		return response{}, errs.Newf(errs.Internal, "encode call of the store: %v", err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -44,22 +46,23 @@
 	req.Header.SetContentType(mediaType)
 	req.SetBodyRaw(data)
 	if err := p.client.Do(ctx, req, resp); err != nil {
-		return answer{}, unanswered(err, writes)
+		return response{}, unansweredError(err, isWrite)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return answer{}, unanswered(errors.Errorf("the peer answers %d", resp.StatusCode()), writes)
+		return response{}, unansweredError(errors.Errorf("peer answered with status %d", resp.StatusCode()), isWrite)
 	}
-	var a answer
-	if err := cbor.Unmarshal(resp.Body(), &a); err != nil {
-		return answer{}, unanswered(err, writes)
+	var decoded response
+	if err := cbor.Unmarshal(resp.Body(), &decoded); err != nil {
+		return response{}, unansweredError(err, isWrite)
 	}
-	return a, a.Failure.err()
+	return decoded, decoded.Failure.decode()
 }
 
-// unanswered is the error of a call without an answer.
-func unanswered(err error, writes bool) error {
+// unansweredError returns the error of a call without an answer: errs.AppendUnknown for a write that may
+// have been sent, else errs.LogDown.
+func unansweredError(err error, isWrite bool) error {
 	var e *httpclient.Error
-	if writes && !(errors.As(err, &e) && !e.Sent) {
+	if isWrite && !(errors.As(err, &e) && !e.Sent) {
 		return errs.Newf(errs.AppendUnknown, "through a peer: %v", err)
 	}
 	return errs.Newf(errs.LogDown, "through a peer: %v", err)
@@ -67,26 +70,26 @@
 
 // Append implements platform.Store.
 func (p *peerStore) Append(ctx context.Context, a platform.Append) (platform.Appended, error) {
-	ans, err := p.call(ctx, request{Append: &a}, peerTimeout, true)
-	return ans.Appended, err
+	resp, err := p.call(ctx, request{Append: &a}, peerTimeout, true)
+	return resp.Appended, err
 }
 
 // Read implements platform.Store.
 func (p *peerStore) Read(ctx context.Context, r platform.Read) (platform.Records, error) {
-	ans, err := p.call(ctx, request{Read: &r}, r.Wait+peerReadTimeout, false)
-	return ans.Records, err
+	resp, err := p.call(ctx, request{Read: &r}, r.Wait+peerReadTimeout, false)
+	return resp.Records, err
 }
 
 // Newest implements platform.Store.
 func (p *peerStore) Newest(ctx context.Context, part platform.Partition, after string) (platform.NewestPage, error) {
-	ans, err := p.call(ctx, request{Newest: &newestRequest{Partition: part, After: after}}, peerPageTimeout, false)
-	return ans.Page, err
+	resp, err := p.call(ctx, request{Newest: &newestRequest{Partition: part, After: after}}, peerPageTimeout, false)
+	return resp.Page, err
 }
 
 // Join implements platform.Store.
 func (p *peerStore) Join(ctx context.Context, m platform.Membership) (platform.Assignment, error) {
-	ans, err := p.call(ctx, request{Join: &m}, peerTimeout, false)
-	return ans.Assignment, err
+	resp, err := p.call(ctx, request{Join: &m}, peerTimeout, false)
+	return resp.Assignment, err
 }
 
 // Leave implements platform.Store.
--- a/internal/storepath/relay.go
+++ b/internal/storepath/relay.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// relayPath is where a relay takes calls.
+	// relayPath is the URL path at which a relay accepts calls.
 	relayPath = "/store"
-	// mediaType is that of calls and answers.
+	// mediaType is the content type of calls and responses.
 	mediaType = "application/cbor"
-	// maxRequest bounds a call: the largest append of the store is 2 MB.
-	maxRequest = 4 << 20
+	// maxRequestBytes bounds an encoded call: the largest append that the store accepts is 2 MB.
+	maxRequestBytes = 4 << 20
 )
 
-// Relay serves peers that can't reach the store themselves.
+// Relay forwards calls of peers that cannot reach the store directly.
 type Relay struct {
 	store platform.Store
 	log   hclog.Logger
 }
 
-// NewRelay returns a relay to store, which must be this process's own way to it: a call that went on to
-// another peer could travel in a circle.
+// NewRelay returns a relay to store, which must be the direct path of this process: a call that is
+// forwarded to another peer could loop.
 func NewRelay(store platform.Store, log hclog.Logger) *Relay { return &Relay{store: store, log: log} }
 
 // ServeHTTP implements http.Handler.
@@ -37,43 +37,43 @@
 		http.NotFound(w, req)
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(req.Body, maxRequest))
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxRequestBytes))
 	if err != nil {
-		return // the caller has gone
+		return // the caller has closed the connection
 	}
 	var call request
 	if err := cbor.Unmarshal(body, &call); err != nil {
-		r.log.Warn("relayed call can't be read", "from", req.RemoteAddr, "error", err)
-		http.Error(w, "not a call of the store", http.StatusBadRequest)
+		r.log.Warn("relayed call unreadable", "from", req.RemoteAddr, "error", err)
+		http.Error(w, "not a valid store call", http.StatusBadRequest)
 		return
 	}
-	data, err := cbor.Marshal(r.pass(req.Context(), call))
+	data, err := cbor.Marshal(r.forward(req.Context(), call))
 	if err != nil {
-		r.log.Error("answer to a relayed call can't be encoded", "error", err)
+		r.log.Error("response to a relayed call not encoded", "error", err)
 		http.Error(w, "internal", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", mediaType)
-	_, _ = w.Write(data) // a caller that has gone asks again elsewhere
+	_, _ = w.Write(data) // a caller that has closed the connection retries through another peer
 }
 
-// pass makes one call of the store.
-func (r *Relay) pass(ctx context.Context, c request) (a answer) {
+// forward makes one call of the store.
+func (r *Relay) forward(ctx context.Context, c request) (resp response) {
 	var err error
 	switch {
 	case c.Append != nil:
-		a.Appended, err = r.store.Append(ctx, *c.Append)
+		resp.Appended, err = r.store.Append(ctx, *c.Append)
 	case c.Read != nil:
-		a.Records, err = r.store.Read(ctx, *c.Read)
+		resp.Records, err = r.store.Read(ctx, *c.Read)
 	case c.Newest != nil:
-		a.Page, err = r.store.Newest(ctx, c.Newest.Partition, c.Newest.After)
+		resp.Page, err = r.store.Newest(ctx, c.Newest.Partition, c.Newest.After)
 	case c.Join != nil:
-		a.Assignment, err = r.store.Join(ctx, *c.Join)
+		resp.Assignment, err = r.store.Join(ctx, *c.Join)
 	case c.Leave != nil:
 		err = r.store.Leave(ctx, c.Leave.Group, c.Leave.Member)
 	default:
-		err = errs.New(errs.BadFrame, "no call of the store")
+		err = errs.New(errs.BadFrame, "request contains no store call")
 	}
-	a.Failure = failureOf(err)
-	return a
+	resp.Failure = encodeError(err)
+	return resp
 }
--- a/internal/storepath/relay_test.go
+++ b/internal/storepath/relay_test.go
@@ -15,25 +15,25 @@
 	"arbutusramp/standin/keyedlog"
 )
 
-// through is a store as seen through a relay, over a real connection.
-func through(t *testing.T, s platform.Store) (platform.Store, *httptest.Server) {
+// newRelayedStore returns s as seen through a relay over a real connection, and the server of the relay.
+func newRelayedStore(t *testing.T, s platform.Store) (platform.Store, *httptest.Server) {
 	t.Helper()
 	server := httptest.NewServer(NewRelay(s, hclog.NewNullLogger()))
 	t.Cleanup(server.Close)
 	return newPeerStore(strings.TrimPrefix(server.URL, "http://")), server
 }
 
-func TestEveryCallPassesTheRelay(t *testing.T) {
+func TestRelayForwardsEveryCall(t *testing.T) {
 	view := keyedlog.New(2).View()
-	s, _ := through(t, view)
+	s, _ := newRelayedStore(t, view)
 	ctx := t.Context()
-	if done, err := s.Append(ctx, write("a")); err != nil || done.First != 0 || done.End != 1 {
+	if done, err := s.Append(ctx, newWrite("a")); err != nil || done.First != 0 || done.End != 1 {
 		t.Errorf("append: %+v, %v", done, err)
 	}
-	if page, err := s.Read(ctx, platform.Read{Partition: part, Wait: time.Millisecond}); err != nil || len(page.Records) != 1 || page.Records[0].Key != "a" {
+	if page, err := s.Read(ctx, platform.Read{Partition: testPartition, Wait: time.Millisecond}); err != nil || len(page.Records) != 1 || page.Records[0].Key != "a" {
 		t.Errorf("read: %+v, %v", page, err)
 	}
-	if page, err := s.Newest(ctx, part, ""); err != nil || len(page.Records) != 1 || page.End != 1 {
+	if page, err := s.Newest(ctx, testPartition, ""); err != nil || len(page.Records) != 1 || page.End != 1 {
 		t.Errorf("newest: %+v, %v", page, err)
 	}
 	m := platform.Membership{Group: "g", Member: "m", Topics: []string{"s"}, TTL: time.Second}
@@ -45,66 +45,67 @@
 	}
 }
 
-func TestTheStoresErrorsPassTheRelay(t *testing.T) {
+func TestRelayForwardsStoreErrors(t *testing.T) {
 	store := keyedlog.New(2)
 	view := store.View()
-	s, _ := through(t, view)
+	s, _ := newRelayedStore(t, view)
 	ctx := t.Context()
-	fenced := func(epoch, seq uint64) platform.Append {
-		a := write("a")
+	newFencedWrite := func(epoch, seq uint64) platform.Append {
+		a := newWrite("a")
 		a.Producer = &platform.Producer{Name: "p", Epoch: epoch, Seq: seq}
 		return a
 	}
 	at := uint64(7)
-	conditional := write("a")
+	conditional := newWrite("a")
 	conditional.At = &at
 	var moved *platform.EndMoved
 	if _, err := s.Append(ctx, conditional); !errors.As(err, &moved) || moved.End != 0 {
 		t.Errorf("condition: %v", err)
 	}
-	if _, err := s.Append(ctx, fenced(2, 1)); err != nil {
+	if _, err := s.Append(ctx, newFencedWrite(2, 1)); err != nil {
 		t.Fatal(err)
 	}
 	var old *platform.Fenced
-	if _, err := s.Append(ctx, fenced(1, 1)); !errors.As(err, &old) {
+	if _, err := s.Append(ctx, newFencedWrite(1, 1)); !errors.As(err, &old) {
 		t.Errorf("old epoch: %v", err)
 	}
 	var gap *platform.OutOfSequence
-	if _, err := s.Append(ctx, fenced(2, 9)); !errors.As(err, &gap) || gap.Expected != 2 {
+	if _, err := s.Append(ctx, newFencedWrite(2, 9)); !errors.As(err, &gap) || gap.Expected != 2 {
 		t.Errorf("gap: %v", err)
 	}
 	store.Forget()
 	var expired *platform.Expired
-	if _, err := s.Read(ctx, platform.Read{Partition: part}); !errors.As(err, &expired) || expired.First != 1 {
-		t.Errorf("history gone: %v", err)
+	if _, err := s.Read(ctx, platform.Read{Partition: testPartition}); !errors.As(err, &expired) || expired.First != 1 {
+		t.Errorf("discarded history: %v", err)
 	}
 	view.Set(keyedlog.Faults{Refuse: true})
-	if _, err := s.Append(ctx, write("a")); !errs.Is(err, errs.LogDown) {
+	if _, err := s.Append(ctx, newWrite("a")); !errs.Is(err, errs.LogDown) {
 		t.Errorf("refused: %v", err)
 	}
 }
 
-// A peer that dies under a write leaves its outcome open; one that can't be reached has not got it.
-func TestAWriteWithoutAnAnswerIsUnknownOnlyIfItWasSent(t *testing.T) {
+// A peer that dies during a write leaves the outcome unknown; one that cannot be reached has not received
+// the write.
+func TestUnansweredWriteIsUnknownOnlyIfSent(t *testing.T) {
 	dying := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	defer dying.Close()
 	s := newPeerStore(strings.TrimPrefix(dying.URL, "http://"))
-	if _, err := s.Append(t.Context(), write("a")); !errs.Is(err, errs.AppendUnknown) {
-		t.Errorf("cut off: %v", err)
+	if _, err := s.Append(t.Context(), newWrite("a")); !errs.Is(err, errs.AppendUnknown) {
+		t.Errorf("aborted write: %v", err)
 	}
-	if _, err := s.Read(t.Context(), platform.Read{Partition: part}); !errs.Is(err, errs.LogDown) {
-		t.Errorf("a read that is cut off: %v", err)
+	if _, err := s.Read(t.Context(), platform.Read{Partition: testPartition}); !errs.Is(err, errs.LogDown) {
+		t.Errorf("aborted read: %v", err)
 	}
-	_, gone := through(t, keyedlog.New(1).View())
+	_, gone := newRelayedStore(t, keyedlog.New(1).View())
 	addr := strings.TrimPrefix(gone.URL, "http://")
 	gone.Close()
-	if _, err := newPeerStore(addr).Append(t.Context(), write("a")); !errs.Is(err, errs.LogDown) {
-		t.Errorf("not reached: %v", err)
+	if _, err := newPeerStore(addr).Append(t.Context(), newWrite("a")); !errs.Is(err, errs.LogDown) {
+		t.Errorf("unreachable peer: %v", err)
 	}
 }
 
-func TestTheRelayRefusesWhatIsNoCall(t *testing.T) {
-	_, server := through(t, keyedlog.New(1).View())
+func TestRelayRejectsInvalidCalls(t *testing.T) {
+	_, server := newRelayedStore(t, keyedlog.New(1).View())
 	cases := []struct {
 		method, path, body string
 		want               int
@@ -127,9 +128,9 @@
 			t.Errorf("%s %s %q: %d, want %d", c.method, c.path, c.body, resp.StatusCode, c.want)
 		}
 	}
-	// An empty call is readable, and no call of the store.
+	// An empty request can be decoded but contains no store call.
 	s := newPeerStore(strings.TrimPrefix(server.URL, "http://"))
 	if _, err := s.call(t.Context(), request{}, time.Second, false); !errs.Is(err, errs.BadFrame) {
-		t.Errorf("an empty call: %v", err)
+		t.Errorf("empty request: %v", err)
 	}
 }
