--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -1,5 +1,5 @@
-// Package quotas keeps the quotas of workspaces under one lock for all who use them: the path of requests, the reports of peers
-// and the configuration.
+// Package quotas keeps the quotas of workspaces under one lock. The request path, the reports of peers and
+// the configuration share them.
 package quotas
 
 import (
@@ -14,24 +14,25 @@
 
 // Quotas is a quota.Ledger with a lock. It is safe for concurrent use.
 type Quotas struct {
-	start    string // names this start of this process
+	startID  string // identifies this start of the process
 	admitted metrics.Counter
 	rejected metrics.Counter
 	refunded metrics.Counter
 
 	mu     sync.Mutex
 	ledger *quota.Ledger
-	// reports is how many reports have been made.
-	reports int
+	// reportsMade is the number of reports that Report has returned.
+	reportsMade int
 }
 
-// firstReports is how many reports of a start count as its first ones: peers that hear one of them have missed few admissions.
-const firstReports = 20
+// maxFirstReports is how many reports of a start count as its first ones: a peer that receives one of them
+// has missed only few admissions.
+const maxFirstReports = 20
 
-// New returns quotas without workspaces for the start of a process that has this name.
-func New(start string, o quota.Options, reg metrics.Registry) *Quotas {
+// New returns quotas without workspaces. startID identifies the start of the process.
+func New(startID string, o quota.Options, reg metrics.Registry) *Quotas {
 	q := &Quotas{
-		start: start, ledger: quota.New(time.Now(), o),
+		startID: startID, ledger: quota.New(time.Now(), o),
 		admitted: metrics.GetOrRegisterCounter("quota.admitted", reg),
 		rejected: metrics.GetOrRegisterCounter("quota.rejected", reg),
 		refunded: metrics.GetOrRegisterCounter("quota.refunded", reg),
@@ -40,14 +41,14 @@
 	return q
 }
 
-// SetWorkspaces puts the quotas of a configuration into force.
+// SetWorkspaces puts the quotas of a configuration in force.
 func (q *Quotas) SetWorkspaces(list []workspace.Workspace) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.SetQuotas(time.Now(), list)
 }
 
-// Admit takes the allowance for one request of a workspace.
+// Admit decides whether a request of a workspace is admitted, and charges its quota if so.
 func (q *Quotas) Admit(name string) quota.Decision {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -60,7 +61,7 @@
 	return d
 }
 
-// Refund gives the allowance of a request back that no target has run.
+// Refund returns the charge of a request that no target has run.
 func (q *Quotas) Refund(name string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -68,43 +69,43 @@
 	q.refunded.Inc(1)
 }
 
-// AddPeer makes the address of a peer known that has not reported yet.
+// AddPeer adds a peer, by address, that has not reported yet.
 func (q *Quotas) AddPeer(addr string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.AddPeer(time.Now(), quota.Peer(addr))
 }
 
-// Forget drops a peer that is known to have stopped.
+// Forget removes a peer that is known to have stopped.
 func (q *Quotas) Forget(addr string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.Forget(time.Now(), quota.Peer(addr))
 }
 
-// Apply takes in the report of the peer at an address.
+// Apply applies the report of the peer at addr.
 func (q *Quotas) Apply(addr string, r quota.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.Apply(time.Now(), quota.Peer(addr), r)
 }
 
-// Report returns what this gateway tells its peers.
+// Report returns the next report of this gateway to its peers.
 func (q *Quotas) Report() quota.Report {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.reports++
-	return quota.Report{Start: q.start, IsFirst: q.reports <= firstReports, Counts: q.ledger.Counts()}
+	q.reportsMade++
+	return quota.Report{Start: q.startID, IsFirst: q.reportsMade <= maxFirstReports, Counts: q.ledger.Counts()}
 }
 
-// Share is the part of the quotas that this gateway may use.
+// Share returns the fraction of the quotas that this gateway may use, from 0 to 1.
 func (q *Quotas) Share() float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.ledger.Share(time.Now())
 }
 
-// Usage returns the state of a workspace's quota; ok is false without a limit.
+// Usage returns the state of the quota of a workspace; ok is false if it has no limit.
 func (q *Quotas) Usage(name string) (u quota.Usage, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
