--- a/internal/keyring/certificate.go
+++ b/internal/keyring/certificate.go
@@ -7,7 +7,7 @@
 	"arbutusramp/core/errs"
 )
 
-// readCertificate returns nil without a file.
+// readCertificate reads a certificate and its key; nil if no file is set. Error: errs.BadSettings.
 func readCertificate(cert, key string) (*tls.Certificate, error) {
 	if cert == "" {
 		return nil, nil
@@ -19,7 +19,8 @@
 	return &pair, nil
 }
 
-func sameCertificate(a, b *tls.Certificate) bool {
+// equalCertificates reports whether two certificate chains are equal; nil equals only nil.
+func equalCertificates(a, b *tls.Certificate) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
@@ -28,26 +29,27 @@
 
 // CallerTLS returns the TLS settings of the callers' listener, nil for plain HTTP.
 func (k *Keyring) CallerTLS() *tls.Config {
-	return k.tlsConfig(func(v *Values) *tls.Certificate { return v.Callers })
+	return k.newTLSConfig(func(v *Values) *tls.Certificate { return v.Callers })
 }
 
 // AdminTLS returns the TLS settings of the administration listener, nil for plain HTTP.
 func (k *Keyring) AdminTLS() *tls.Config {
-	return k.tlsConfig(func(v *Values) *tls.Certificate { return v.Admin })
+	return k.newTLSConfig(func(v *Values) *tls.Certificate { return v.Admin })
 }
 
-// tlsConfig asks for the certificate at each handshake, so that a new one is in force for the next.
-func (k *Keyring) tlsConfig(get func(*Values) *tls.Certificate) *tls.Config {
-	if get(&k.now.Load().Values) == nil {
+// newTLSConfig returns TLS settings that select the certificate at each handshake, so that a new one takes
+// effect with the next handshake.
+func (k *Keyring) newTLSConfig(get func(*Values) *tls.Certificate) *tls.Config {
+	if get(&k.current.Load().Values) == nil {
 		return nil
 	}
 	return &tls.Config{
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return get(&k.now.Load().Values), nil
+			return get(&k.current.Load().Values), nil
 		},
 		MinVersion: tls.VersionTLS12,
-		// A resumed session shows no certificate: a client would go on under the one that
-		// was replaced, which may have been replaced because its key leaked.
+		// A resumed session does not present a certificate: a client would continue under the replaced one,
+		// which may have been replaced because its key leaked.
 		SessionTicketsDisabled: true,
 	}
 }
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -1,6 +1,6 @@
-// Package keyring holds the keys and certificates that a running process goes by, and
-// replaces them as a whole without a restart. Connections that are open stay open: a key is
-// looked at when a session opens, a call comes in or a TLS handshake begins.
+// Package keyring holds the keys and certificates that are in force in a running process, and replaces all
+// of them at once without a restart. Open connections stay open: a key is checked when a session opens, a
+// call arrives or a TLS handshake starts.
 package keyring
 
 import (
@@ -16,22 +16,23 @@
 	"arbutusramp/internal/settings"
 )
 
-// Values are keys and certificates as the settings have them.
+// Values are the keys and certificates from the settings.
 type Values struct {
-	// PeerKeys are the keys between own processes; the first is used for new sessions.
+	// PeerKeys are the keys between processes of this system; the first is used for new sessions.
 	PeerKeys []settings.PeerKey
-	// RetiredPeerKeys are IDs of peer keys that were valid once.
+	// RetiredPeerKeys are the IDs of peer keys that are no longer valid.
 	RetiredPeerKeys []string
-	// Operators maps an operator's name to the SHA-256 sum of the key (hex).
+	// Operators maps the name of an operator to the SHA-256 sum of the operator's key (hex).
 	Operators map[string]string
-	// RevokedOperators are operators' keys that were valid once.
+	// RevokedOperators maps the name of an operator to the SHA-256 sum of a key that is no longer valid
+	// (hex).
 	RevokedOperators map[string]string
-	// Callers and Admin are the certificates of the two listeners; nil is plain HTTP.
+	// Callers and Admin are the certificates of the two listeners; nil means plain HTTP.
 	Callers, Admin *tls.Certificate
 }
 
-// EntryValues takes the values of an entry from its settings and reads the certificate
-// files. Error: errs.BadSettings with every fault, one a line.
+// EntryValues returns the values of an entry from its settings, and reads the certificate files. Error:
+// errs.BadSettings, which lists every fault on a line of its own.
 func EntryValues(s settings.Entry) (Values, error) {
 	callers, callersErr := readCertificate(s.CallerCert, s.CallerKey)
 	admin, adminErr := readCertificate(s.AdminCert, s.AdminKey)
@@ -43,46 +44,46 @@
 		Callers:          callers,
 		Admin:            admin,
 	}
-	return v, faults(callersErr, adminErr)
+	return v, joinErrors(callersErr, adminErr)
 }
 
-// SideValues takes the values of a side from its settings.
+// SideValues returns the values of a side from its settings.
 func SideValues(s settings.Side) Values {
 	return Values{PeerKeys: s.PeerKeys, RetiredPeerKeys: s.RetiredPeerKeys}
 }
 
 // Keyring holds the values that are in force. It is safe for concurrent use.
 type Keyring struct {
-	mu  sync.Mutex // one Replace at a time
-	now atomic.Pointer[snapshot]
+	mu      sync.Mutex // serializes Replace
+	current atomic.Pointer[snapshot]
 }
 
-// snapshot is never changed once it is in force.
+// snapshot is the immutable state of a Keyring.
 type snapshot struct {
 	Values
-	// retired are IDs of peer keys that were valid once, by the settings or by
-	// what this process has seen.
+	// retired holds the IDs of peer keys that are no longer valid, by the settings or by an earlier
+	// Replace.
 	retired map[string]struct{}
-	// revoked maps sums of operators' keys that were valid once to the operator's name.
+	// revoked maps the sums of operators' keys that are no longer valid to the names of the operators.
 	revoked map[string]string
 }
 
 // New returns a Keyring in which v is in force.
 func New(v Values) *Keyring {
 	k := &Keyring{}
-	k.now.Store(newSnapshot(v, &snapshot{}))
+	k.current.Store(newSnapshot(v, &snapshot{}))
 	return k
 }
 
-// newSnapshot remembers what was in force before, so that whoever still uses an old key
-// is told that it is old, and not that it is unknown.
-func newSnapshot(v Values, before *snapshot) *snapshot {
-	s := &snapshot{Values: v, retired: maps.Clone(before.retired), revoked: maps.Clone(before.revoked)}
+// newSnapshot returns a snapshot of v that keeps the keys of the previous one as retired or revoked, so
+// that the error for an old key differs from that for an unknown key.
+func newSnapshot(v Values, previous *snapshot) *snapshot {
+	s := &snapshot{Values: v, retired: maps.Clone(previous.retired), revoked: maps.Clone(previous.revoked)}
 	if s.retired == nil {
 		s.retired = make(map[string]struct{})
 		s.revoked = make(map[string]string)
 	}
-	for _, key := range before.PeerKeys {
+	for _, key := range previous.PeerKeys {
 		s.retired[key.ID] = struct{}{}
 	}
 	for _, id := range v.RetiredPeerKeys {
@@ -91,7 +92,7 @@
 	for _, key := range v.PeerKeys {
 		delete(s.retired, key.ID)
 	}
-	for _, m := range []map[string]string{before.Operators, v.RevokedOperators} {
+	for _, m := range []map[string]string{previous.Operators, v.RevokedOperators} {
 		for name, sum := range m {
 			s.revoked[sum] = name
 		}
@@ -102,74 +103,75 @@
 	return s
 }
 
-// Replace puts v into force and returns what changed, in words. Error: errs.BadSettings with
-// every fault, one a line; nothing has changed then.
+// Replace puts v in force and returns a description of each change. Error: errs.BadSettings, which lists
+// every fault on a line of its own; nothing has changed in that case.
 func (k *Keyring) Replace(v Values) ([]string, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	before := k.now.Load()
-	if err := check(before, v); err != nil {
+	previous := k.current.Load()
+	if err := checkReplacement(previous, v); err != nil {
 		return nil, err
 	}
-	k.now.Store(newSnapshot(v, before))
-	return changes(&before.Values, &v), nil
+	k.current.Store(newSnapshot(v, previous))
+	return describeChanges(&previous.Values, &v), nil
 }
 
-// check finds what can't be put into force in a running process.
-func check(before *snapshot, v Values) error {
-	var found []error
+// checkReplacement returns an error for values that cannot be put in force in a running process.
+func checkReplacement(previous *snapshot, v Values) error {
+	var problems []error
 	if len(v.PeerKeys) == 0 {
-		found = append(found, errs.New(errs.BadSettings, "[peer_keys]: no key is left, and the process would be alone; allowed: at least one"))
+		problems = append(problems, errs.New(errs.BadSettings, "[peer_keys]: no key is left, and no peer could connect; allowed: at least one"))
 	}
 	for _, key := range v.PeerKeys {
-		i := slices.IndexFunc(before.PeerKeys, func(old settings.PeerKey) bool { return old.ID == key.ID })
-		// With one ID for two secrets no overlap is possible: until the last process
-		// has the new secret, those with and those without it refuse each other.
-		if i >= 0 && string(before.PeerKeys[i].Secret) != string(key.Secret) {
-			found = append(found, errs.Newf(errs.BadSettings, "[peer_keys] %s: another secret than before; allowed: a new ID for a new secret", key.ID))
+		i := slices.IndexFunc(previous.PeerKeys, func(old settings.PeerKey) bool { return old.ID == key.ID })
+		// With one ID for two secrets, no overlap is possible: until all processes have the new secret,
+		// those with and those without it reject each other.
+		if i >= 0 && string(previous.PeerKeys[i].Secret) != string(key.Secret) {
+			problems = append(problems, errs.Newf(errs.BadSettings, "[peer_keys] %s: another secret than before; allowed: a new ID for a new secret", key.ID))
 		}
 	}
-	if (before.Callers == nil) != (v.Callers == nil) {
-		found = append(found, errs.New(errs.BadSettings, "[tls] caller_cert: turning TLS on or off needs a restart"))
+	if (previous.Callers == nil) != (v.Callers == nil) {
+		problems = append(problems, errs.New(errs.BadSettings, "[tls] caller_cert: turning TLS on or off needs a restart"))
 	}
-	if (before.Admin == nil) != (v.Admin == nil) {
-		found = append(found, errs.New(errs.BadSettings, "[tls] admin_cert: turning TLS on or off needs a restart"))
+	if (previous.Admin == nil) != (v.Admin == nil) {
+		problems = append(problems, errs.New(errs.BadSettings, "[tls] admin_cert: turning TLS on or off needs a restart"))
 	}
-	return faults(found...)
+	return joinErrors(problems...)
 }
 
-// changes names what differs, without any secret.
-func changes(a, b *Values) []string {
+// describeChanges returns a description of each difference, without any secret.
+func describeChanges(previous, next *Values) []string {
 	var list []string
-	oldIDs, newIDs := peerIDs(a.PeerKeys), peerIDs(b.PeerKeys)
+	oldIDs, newIDs := peerIDs(previous.PeerKeys), peerIDs(next.PeerKeys)
 	if !slices.Equal(oldIDs, newIDs) {
 		list = append(list, fmt.Sprintf("peer keys %s in place of %s", strings.Join(newIDs, ","), strings.Join(oldIDs, ",")))
 	}
-	if !slices.Equal(a.RetiredPeerKeys, b.RetiredPeerKeys) {
+	if !slices.Equal(previous.RetiredPeerKeys, next.RetiredPeerKeys) {
 		list = append(list, "retired peer keys")
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.Operators)) {
-		if a.Operators[name] != b.Operators[name] {
+	for _, name := range slices.Sorted(maps.Keys(next.Operators)) {
+		if previous.Operators[name] != next.Operators[name] {
 			list = append(list, "key of operator "+name)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(a.Operators)) {
-		if _, ok := b.Operators[name]; !ok {
+	for _, name := range slices.Sorted(maps.Keys(previous.Operators)) {
+		if _, ok := next.Operators[name]; !ok {
 			list = append(list, "operator "+name+" removed")
 		}
 	}
-	if !maps.Equal(a.RevokedOperators, b.RevokedOperators) {
+	if !maps.Equal(previous.RevokedOperators, next.RevokedOperators) {
 		list = append(list, "revoked operators")
 	}
-	if !sameCertificate(a.Callers, b.Callers) {
+	if !equalCertificates(previous.Callers, next.Callers) {
 		list = append(list, "certificate of the callers' listener")
 	}
-	if !sameCertificate(a.Admin, b.Admin) {
+	if !equalCertificates(previous.Admin, next.Admin) {
 		list = append(list, "certificate of the administration listener")
 	}
 	return list
 }
 
+// peerIDs returns the IDs of keys, in order.
 func peerIDs(keys []settings.PeerKey) []string {
 	ids := make([]string, len(keys))
 	for i, key := range keys {
@@ -178,8 +180,8 @@
 	return ids
 }
 
-// faults joins errors of type errs.BadSettings into one; nil for none.
-func faults(list ...error) error {
+// joinErrors joins errors of type errs.BadSettings into one, one line each; nil if there are none.
+func joinErrors(list ...error) error {
 	var lines []string
 	for _, err := range list {
 		if err != nil {
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -8,7 +8,8 @@
 	"arbutusramp/internal/settings"
 )
 
-func peerKeys(ids ...string) []settings.PeerKey {
+// newPeerKeys returns one key for each ID.
+func newPeerKeys(ids ...string) []settings.PeerKey {
 	var list []settings.PeerKey
 	for _, id := range ids {
 		list = append(list, settings.PeerKey{ID: id, Secret: []byte("secret of " + id)})
@@ -16,7 +17,8 @@
 	return list
 }
 
-func operators(namesAndKeys ...string) map[string]string {
+// newOperators returns the sums of keys, given as pairs of name and key.
+func newOperators(namesAndKeys ...string) map[string]string {
 	m := make(map[string]string)
 	for i := 0; i < len(namesAndKeys); i += 2 {
 		m[namesAndKeys[i]] = settings.KeySum(namesAndKeys[i+1])
@@ -24,7 +26,8 @@
 	return m
 }
 
-func replace(t *testing.T, k *Keyring, v Values) []string {
+// mustReplace puts v in force and returns the described changes.
+func mustReplace(t *testing.T, k *Keyring, v Values) []string {
 	t.Helper()
 	changed, err := k.Replace(v)
 	if err != nil {
@@ -33,8 +36,8 @@
 	return changed
 }
 
-// refusal returns why key id is refused.
-func refusal(t *testing.T, k *Keyring, id string) string {
+// rejectionText returns the error text for the peer key with this id.
+func rejectionText(t *testing.T, k *Keyring, id string) string {
 	t.Helper()
 	_, err := FindPeerKey(k.PeerKeys(), k.RetiredPeerKey, id)
 	if !errs.Is(err, errs.Unauthenticated) {
@@ -43,19 +46,19 @@
 	return err.Error()
 }
 
-// Symptom: an operator looks for a typing error, while a process was left out of a
-// rotation. An old key must be told from one that was never valid, also one that was removed two
-// rotations ago, and also one that only the settings know as retired.
-func TestEachBadPeerKeyHasItsOwnRefusal(t *testing.T) {
-	k := New(Values{PeerKeys: peerKeys("k1"), RetiredPeerKeys: []string{"k0"}})
-	replace(t, k, Values{PeerKeys: peerKeys("k1", "k2")})
+// Guards against a misleading error: the operator looks for a typing error while a process was left out of
+// a rotation. An old key must be distinguishable from one that was never valid, including a key that was
+// removed two rotations ago and one that only the settings list as retired.
+func TestRejectionDistinguishesOldPeerKey(t *testing.T) {
+	k := New(Values{PeerKeys: newPeerKeys("k1"), RetiredPeerKeys: []string{"k0"}})
+	mustReplace(t, k, Values{PeerKeys: newPeerKeys("k1", "k2")})
 	if _, err := FindPeerKey(k.PeerKeys(), k.RetiredPeerKey, "k1"); err != nil {
-		t.Errorf("the old key during the rotation: %v", err)
+		t.Errorf("old key during the rotation: %v", err)
 	}
-	replace(t, k, Values{PeerKeys: peerKeys("k2", "k3")})
-	replace(t, k, Values{PeerKeys: peerKeys("k3")})
-	for id, says := range map[string]string{"k0": "old one", "k1": "old one", "k2": "old one", "k9": "not known", "": "names no key"} {
-		if got := refusal(t, k, id); !strings.Contains(got, says) {
+	mustReplace(t, k, Values{PeerKeys: newPeerKeys("k2", "k3")})
+	mustReplace(t, k, Values{PeerKeys: newPeerKeys("k3")})
+	for id, wantText := range map[string]string{"k0": "old one", "k1": "old one", "k2": "old one", "k9": "not known", "": "sent no key ID"} {
+		if got := rejectionText(t, k, id); !strings.Contains(got, wantText) {
 			t.Errorf("key %q: %s", id, got)
 		}
 	}
@@ -64,11 +67,11 @@
 	}
 }
 
-// Symptom: the operator goes back to the key before, and it stays refused as old.
-func TestARetiredKeyCanComeBack(t *testing.T) {
-	k := New(Values{PeerKeys: peerKeys("k1"), Operators: operators("ann", "one")})
-	replace(t, k, Values{PeerKeys: peerKeys("k2"), Operators: operators("ann", "two")})
-	replace(t, k, Values{PeerKeys: peerKeys("k1"), Operators: operators("ann", "one")})
+// Guards against a key that stays rejected as old after the operator has put it in force again.
+func TestRetiredKeyCanBeRestored(t *testing.T) {
+	k := New(Values{PeerKeys: newPeerKeys("k1"), Operators: newOperators("ann", "one")})
+	mustReplace(t, k, Values{PeerKeys: newPeerKeys("k2"), Operators: newOperators("ann", "two")})
+	mustReplace(t, k, Values{PeerKeys: newPeerKeys("k1"), Operators: newOperators("ann", "one")})
 	if _, err := FindPeerKey(k.PeerKeys(), k.RetiredPeerKey, "k1"); err != nil {
 		t.Error(err)
 	}
@@ -80,38 +83,38 @@
 	}
 }
 
-func TestOperatorsKeys(t *testing.T) {
-	k := New(Values{PeerKeys: peerKeys("k"), Operators: operators("ann", "a1", "ben", "b1"), RevokedOperators: operators("ann", "a0")})
-	changed := replace(t, k, Values{PeerKeys: peerKeys("k"), Operators: operators("ann", "a2")})
+func TestOperatorKeys(t *testing.T) {
+	k := New(Values{PeerKeys: newPeerKeys("k"), Operators: newOperators("ann", "a1", "ben", "b1"), RevokedOperators: newOperators("ann", "a0")})
+	changed := mustReplace(t, k, Values{PeerKeys: newPeerKeys("k"), Operators: newOperators("ann", "a2")})
 	if want := "key of operator ann; operator ben removed; revoked operators"; strings.Join(changed, "; ") != want {
 		t.Errorf("changed %q", changed)
 	}
 	if name, err := k.Operator("a2"); name != "ann" || err != nil {
 		t.Errorf("%q, %v", name, err)
 	}
-	for key, says := range map[string]string{"a0": "old one of operator ann", "a1": "old one of operator ann", "b1": "old one of operator ben", "x": "not known"} {
+	for key, wantText := range map[string]string{"a0": "old one of operator ann", "a1": "old one of operator ann", "b1": "old one of operator ben", "x": "not known"} {
 		_, err := k.Operator(key)
-		if !errs.Is(err, errs.Unauthenticated) || !strings.Contains(err.Error(), says) {
+		if !errs.Is(err, errs.Unauthenticated) || !strings.Contains(err.Error(), wantText) {
 			t.Errorf("key %q: %v", key, err)
 		}
 	}
 }
 
-// Symptom: half of a rotation is in force after a mistake. Sequence: the file has good new
-// operators' keys and, under the ID of the present peer key, another secret. Cause: values that are put
-// into force one by one. Under one ID, processes with and without the new secret refuse each other.
-func TestAFaultChangesNothing(t *testing.T) {
-	k := New(Values{PeerKeys: peerKeys("k1"), Operators: operators("ann", "a1")})
-	bad := Values{
+// Guards against a rotation that is half in force after a mistake: the settings file has valid new
+// operators' keys, and another secret under the ID of the current peer key. This happens if values are put
+// in force one by one. Processes with and without the new secret under one ID reject each other.
+func TestRejectedReplacementChangesNothing(t *testing.T) {
+	k := New(Values{PeerKeys: newPeerKeys("k1"), Operators: newOperators("ann", "a1")})
+	invalid := Values{
 		PeerKeys:  []settings.PeerKey{{ID: "k1", Secret: []byte("another")}},
-		Operators: operators("ann", "a2"),
+		Operators: newOperators("ann", "a2"),
 	}
-	_, err := k.Replace(bad)
+	_, err := k.Replace(invalid)
 	if !errs.Is(err, errs.BadSettings) || !strings.Contains(err.Error(), "[peer_keys] k1") || strings.Contains(err.Error(), "another secret of") {
 		t.Errorf("error %v", err)
 	}
-	if _, err := k.Replace(Values{Operators: operators("ann", "a2")}); !errs.Is(err, errs.BadSettings) {
-		t.Errorf("no peer key at all: %v", err)
+	if _, err := k.Replace(Values{Operators: newOperators("ann", "a2")}); !errs.Is(err, errs.BadSettings) {
+		t.Errorf("no peer key: %v", err)
 	}
 	if got := k.PeerKeys(); string(got[0].Secret) != "secret of k1" {
 		t.Error("the peer key was replaced")
--- a/internal/keyring/operators.go
+++ b/internal/keyring/operators.go
@@ -8,26 +8,26 @@
 	"arbutusramp/core/errs"
 )
 
-// Operator returns the name of the operator whose key it is. Error: errs.Unauthenticated,
-// which says whether the key is an old one or not known.
+// Operator returns the name of the operator who holds key. Error: errs.Unauthenticated, which says whether
+// the key is an old one or unknown.
 func (k *Keyring) Operator(key string) (string, error) {
-	now := k.now.Load()
+	current := k.current.Load()
 	sum := sha256.Sum256([]byte(key))
-	for name, want := range now.Operators {
-		if sameSum(want, sum[:]) {
+	for name, want := range current.Operators {
+		if equalSums(want, sum[:]) {
 			return name, nil
 		}
 	}
-	for want, name := range now.revoked {
-		if sameSum(want, sum[:]) {
+	for want, name := range current.revoked {
+		if equalSums(want, sum[:]) {
 			return "", errs.Newf(errs.Unauthenticated, "the key is an old one of operator %s; use the new one", name)
 		}
 	}
 	return "", errs.New(errs.Unauthenticated, "the operator's key is not known")
 }
 
-// sameSum compares in constant time.
-func sameSum(want string, sum []byte) bool {
+// equalSums compares a sum in hex with a raw one, in constant time.
+func equalSums(want string, sum []byte) bool {
 	raw, err := hex.DecodeString(want)
 	return err == nil && subtle.ConstantTimeCompare(raw, sum) == 1
 }
--- a/internal/keyring/peers.go
+++ b/internal/keyring/peers.go
@@ -6,20 +6,20 @@
 )
 
 // PeerKeys returns the peer keys that are valid now; the first is for new sessions.
-func (k *Keyring) PeerKeys() []settings.PeerKey { return k.now.Load().PeerKeys }
+func (k *Keyring) PeerKeys() []settings.PeerKey { return k.current.Load().PeerKeys }
 
-// RetiredPeerKey says whether the peer key id was valid once and is no longer.
+// RetiredPeerKey reports whether the peer key with this id was valid once and no longer is.
 func (k *Keyring) RetiredPeerKey(id string) bool {
-	_, ok := k.now.Load().retired[id]
+	_, ok := k.current.Load().retired[id]
 	return ok
 }
 
-// FindPeerKey returns the key id among those that are valid. retired tells of keys that were valid
-// once; nil knows none. Error: errs.Unauthenticated, which says whether the key is missing, an
-// old one or not known.
+// FindPeerKey returns the valid key with this id. retired reports whether a key was valid once; nil stands
+// for no retired keys. Error: errs.Unauthenticated, which says whether the id is missing, that of an old
+// key or unknown.
 func FindPeerKey(valid []settings.PeerKey, retired func(id string) bool, id string) (settings.PeerKey, error) {
 	if id == "" {
-		return settings.PeerKey{}, errs.New(errs.Unauthenticated, "the peer names no key")
+		return settings.PeerKey{}, errs.New(errs.Unauthenticated, "the peer sent no key ID")
 	}
 	for _, key := range valid {
 		if key.ID == id {
