--- a/core/events/events.go
+++ b/core/events/events.go
@@ -9,40 +9,40 @@
 	"github.com/pkg/errors"
 )
 
-// maxEventBytes bounds one event.
+// maxEventBytes bounds the raw size of one event.
 const maxEventBytes = 1 << 20
 
 // Event is one event of a stream.
 type Event struct {
-	Raw  []byte // all its bytes, with the blank line that ends it
-	ID   string // empty when it has none
-	Data []byte // its data lines, joined by line feeds
+	Raw  []byte // all bytes of the event, including the blank line that ends it
+	ID   string // empty if the event has none
+	Data []byte // the values of the data lines, joined by line feeds
 }
 
-// Reader reads events one by one.
+// Reader reads the events of a stream. It is not safe for concurrent use.
 type Reader struct{ r *bufio.Reader }
 
-// NewReader returns a reader of the stream r.
+// NewReader returns a reader of the events in r.
 func NewReader(r io.Reader) *Reader { return &Reader{bufio.NewReader(r)} }
 
-// Next returns the next event. Errors: io.EOF at the end of the stream between two events,
-// io.ErrUnexpectedEOF where it ends inside of one, else the stream's own.
+// Next returns the next event. Errors: io.EOF if the stream ends between two events, io.ErrUnexpectedEOF if
+// it ends inside an event, an error for an event that is too large, else the error of the stream.
 func (r *Reader) Next() (Event, error) {
 	var e Event
 	hasData := false
 	for {
 		line, err := r.r.ReadSlice('\n')
 		if err != nil && err != bufio.ErrBufferFull {
-			return Event{}, endOf(err, len(e.Raw)+len(line))
+			return Event{}, endError(err, len(e.Raw)+len(line))
 		}
 		e.Raw = append(e.Raw, line...)
 		if len(e.Raw) > maxEventBytes {
-			return Event{}, errors.Errorf("an event of over %d bytes", maxEventBytes)
+			return Event{}, errors.Errorf("event exceeds %d bytes", maxEventBytes)
 		}
 		if err == bufio.ErrBufferFull {
 			rest, err := r.r.ReadBytes('\n')
 			if err != nil {
-				return Event{}, endOf(err, len(e.Raw)+len(rest))
+				return Event{}, endError(err, len(e.Raw)+len(rest))
 			}
 			e.Raw = append(e.Raw, rest...)
 			line = e.Raw[bytes.LastIndexByte(e.Raw[:len(e.Raw)-1], '\n')+1:]
@@ -51,20 +51,22 @@
 		if len(line) == 0 {
 			return e, nil
 		}
-		hasData = e.field(line, hasData)
+		hasData = e.addLine(line, hasData)
 	}
 }
 
-// endOf tells an end between two events from one inside of an event.
-func endOf(err error, read int) error {
-	if err == io.EOF && read > 0 {
+// endError returns io.ErrUnexpectedEOF for an end inside an event, of which bytesRead bytes have been read,
+// else err.
+func endError(err error, bytesRead int) error {
+	if err == io.EOF && bytesRead > 0 {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// field takes in one line. It reports whether the event has data by now.
-func (e *Event) field(line []byte, hasData bool) bool {
+// addLine adds one line of the event. hasData says whether an earlier line carried data; addLine returns
+// whether any line has by now.
+func (e *Event) addLine(line []byte, hasData bool) bool {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
