--- a/core/sleep/sleep.go
+++ b/core/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits for a while, unless a context ends first.
+// Package sleep waits for a duration or until a context ends.
 package sleep
 
 import (
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// For waits for d and reports whether ctx still holds.
+// For waits for d. It reports whether ctx is still active, and returns early if ctx ends.
 func For(ctx context.Context, d time.Duration) bool { return Or(ctx, d, nil) }
 
-// Or waits as For does; a value on wake ends the wait too.
-func Or(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
+// Or waits as For does, and also returns early, with true, when interrupt receives a value or is closed. A
+// nil interrupt never ends the wait.
+func Or(ctx context.Context, d time.Duration, interrupt <-chan struct{}) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -19,7 +20,7 @@
 	select {
 	case <-t.C:
 		return true
-	case <-wake:
+	case <-interrupt:
 		return true
 	case <-ctx.Done():
 		return false
--- a/core/sleep/sleep_test.go
+++ b/core/sleep/sleep_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestForWaitsTheWholeTime(t *testing.T) {
+func TestForWaitsFullDuration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		if !For(t.Context(), time.Hour) || time.Since(start) != time.Hour {
@@ -16,9 +16,9 @@
 	})
 }
 
-// Symptom: a process that is told to stop takes as long as its longest pause. Events: a loop
-// waits, its context ends. Cause: the wait does not look at the context.
-func TestForEndsWithItsContext(t *testing.T) {
+// Guards against a process that takes as long as its longest pause to stop, because a wait in a loop
+// ignores the end of its context.
+func TestForEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
@@ -27,7 +27,7 @@
 			t.Fatalf("waited %v", time.Since(start))
 		}
 		if For(ctx, 0) {
-			t.Fatal("a context that has ended is said to hold")
+			t.Fatal("an ended context is reported as active")
 		}
 	})
 }
--- a/core/sleep/timer.go
+++ b/core/sleep/timer.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// soonest is the shortest wait that a timer is given: see AfterFunc.
-const soonest = time.Nanosecond
+// minWait is the shortest wait that a timer is given; see AfterFunc.
+const minWait = time.Nanosecond
 
 // AfterFunc is time.AfterFunc with a wait that is never zero.
 //
-// What goes wrong without it: in a synctest bubble a timer that is due at once, or one with a channel that
-// passes while its reader is busy, fires on the thread of whoever sets or reads it. The race detector of
-// Go 1.26 gives all timers of a bubble one context, so that this firing and one of the bubble's clock,
-// on another thread, spoil each other's call stacks. It is noticed as a test process that dies of a
-// segmentation fault inside the detector. A timer with a function and a wait above zero fires only where the
-// bubble's clock is advanced, one at a time.
+// In a synctest bubble, a timer that is due at once, or one with a channel that expires while its reader is
+// busy, fires on the thread of the goroutine that sets or reads it. The race detector of Go 1.26 gives all
+// timers of a bubble one context, so that this firing and one by the clock of the bubble, on another
+// thread, corrupt each other's call stacks. The test process then dies of a segmentation fault inside the
+// detector. A timer with a function and a wait above zero fires only where the clock of the bubble is
+// advanced, one at a time.
 func AfterFunc(d time.Duration, f func()) *time.Timer {
-	return time.AfterFunc(max(d, soonest), f)
+	return time.AfterFunc(max(d, minWait), f)
 }
 
 // Reset is t.Reset for a timer of AfterFunc.
-func Reset(t *time.Timer, d time.Duration) { t.Reset(max(d, soonest)) }
+func Reset(t *time.Timer, d time.Duration) { t.Reset(max(d, minWait)) }
 
-// Timer delivers on C once its time has passed, also when nobody waits at that moment. It stands in for
+// Timer sends on C when its wait has passed, even if no receiver is ready at that moment. It replaces
 // time.Timer and time.Ticker, whose channels are not safe in a bubble (see AfterFunc).
 type Timer struct {
-	// C gets one value each time the timer fires, unless one lies there already.
+	// C receives one value each time the timer fires, unless one is pending.
 	C     <-chan struct{}
 	fired chan struct{}
 	timer *time.Timer
@@ -37,6 +37,7 @@
 	return t
 }
 
+// fire sends a value unless one is pending.
 func (t *Timer) fire() {
 	select {
 	case t.fired <- struct{}{}:
@@ -44,8 +45,8 @@
 	}
 }
 
-// Reset makes the timer fire after d from now, in place of what it had before. A firing that is under
-// way at that moment may still arrive, so a reader must bear one that is early.
+// Reset makes the timer fire after d from now, and cancels its earlier wait. A firing that is in progress
+// may still arrive, so a receiver must tolerate an early one.
 func (t *Timer) Reset(d time.Duration) {
 	t.timer.Stop()
 	select {
@@ -55,5 +56,5 @@
 	Reset(t.timer, d)
 }
 
-// Stop ends the timer. A value that lies in C stays there.
+// Stop cancels the timer. A pending value stays in C.
 func (t *Timer) Stop() { t.timer.Stop() }
--- a/core/sleep/timer_test.go
+++ b/core/sleep/timer_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestTimerFiresWhileNobodyWaits(t *testing.T) {
+func TestTimerFiresWithoutReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timer := NewTimer(time.Second)
 		defer timer.Stop()
@@ -19,7 +19,7 @@
 	})
 }
 
-func TestResetForgetsAnOldFiring(t *testing.T) {
+func TestResetDiscardsPreviousFiring(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timer := NewTimer(time.Second)
 		defer timer.Stop()
@@ -33,7 +33,7 @@
 	})
 }
 
-func TestAStoppedTimerDoesNotFire(t *testing.T) {
+func TestStoppedTimerDoesNotFire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timer := NewTimer(time.Second)
 		timer.Stop()
@@ -45,30 +45,30 @@
 	})
 }
 
-// Symptom: a test process dies of a segmentation fault inside the race detector. Events: several
-// loops set timers that are due at once, or are busy while their timers pass, in one bubble, while the
-// bubble's clock starts functions at the same moment. Cause: such timers fire on the thread of the loop, with the
-// same context of the detector as the bubble's clock. With time.NewTicker in place of NewTimer this
-// test died in 4 of 4 runs under the race detector, with time.AfterFunc in place of AfterFunc too.
-func TestTimersOfBusyLoopsLeaveTheRaceDetectorWhole(t *testing.T) {
+// Guards against a test process that dies of a segmentation fault inside the race detector. Several loops
+// in one bubble set timers that are due at once, or are busy while their timers expire, and the clock of
+// the bubble starts functions at the same moment. Such timers fire on the thread of the loop, with the same
+// detector context as the clock. With time.NewTicker in place of NewTimer this test died in 4 of 4 runs
+// under the race detector, and with time.AfterFunc in place of AfterFunc as well.
+func TestTimersOfBusyLoopsDoNotCrashRaceDetector(t *testing.T) {
 	const (
 		loops     = 16
 		functions = 64
-		busy      = 5 * time.Millisecond
-		lasts     = 20 * time.Second
+		busyTime  = 5 * time.Millisecond
+		runTime   = 20 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		for range loops {
 			go func() {
-				timer := NewTimer(busy / 2)
+				timer := NewTimer(busyTime / 2)
 				defer timer.Stop()
-				for For(ctx, busy) {
+				for For(ctx, busyTime) {
 					now := AfterFunc(0, func() {})
 					now.Stop()
 					select {
 					case <-timer.C:
-						timer.Reset(busy / 2)
+						timer.Reset(busyTime / 2)
 					default:
 					}
 				}
@@ -77,12 +77,12 @@
 		for range functions {
 			go func() {
 				started := make(chan struct{})
-				for For(ctx, busy) {
-					AfterFunc(busy, func() { started <- struct{}{} })
+				for For(ctx, busyTime) {
+					AfterFunc(busyTime, func() { started <- struct{}{} })
 					<-started
 				}
 			}()
 		}
-		time.Sleep(lasts)
+		time.Sleep(runTime)
 	})
 }
