--- a/core/events/events_test.go
+++ b/core/events/events_test.go
@@ -36,10 +36,10 @@
 
 // A stream that ends inside an event must not be treated as one that ends after it.
 func TestStreamEndInsideEventIsUnexpected(t *testing.T) {
-	const whole = "id: 1\ndata: a\n\n"
-	for n := 1; n < len(whole); n++ {
-		if _, err := NewReader(strings.NewReader(whole[:n])).Next(); err != io.ErrUnexpectedEOF {
-			t.Errorf("%d of %d bytes: %v", n, len(whole), err)
+	const event = "id: 1\ndata: a\n\n"
+	for n := 1; n < len(event); n++ {
+		if _, err := NewReader(strings.NewReader(event[:n])).Next(); err != io.ErrUnexpectedEOF {
+			t.Errorf("%d of %d bytes: %v", n, len(event), err)
 		}
 	}
 	errReset := errors.New("reset")
--- a/internal/fleetview/run.go
+++ b/internal/fleetview/run.go
@@ -148,8 +148,8 @@
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	if r.firstEventAt.IsZero() {
-		whole := time.Since(r.startedAt)
-		return whole, whole
+		elapsed := time.Since(r.startedAt)
+		return elapsed, elapsed
 	}
 	return r.firstEventAt.Sub(r.startedAt), time.Since(r.lastEventAt)
 }
--- a/internal/keyring/operators.go
+++ b/internal/keyring/operators.go
@@ -13,21 +13,22 @@
 func (k *Keyring) Operator(key string) (string, error) {
 	current := k.current.Load()
 	sum := sha256.Sum256([]byte(key))
-	for name, want := range current.Operators {
-		if equalSums(want, sum[:]) {
+	for name, hexSum := range current.Operators {
+		if equalSums(hexSum, sum[:]) {
 			return name, nil
 		}
 	}
-	for want, name := range current.revoked {
-		if equalSums(want, sum[:]) {
+	for hexSum, name := range current.revoked {
+		if equalSums(hexSum, sum[:]) {
 			return "", errs.Newf(errs.Unauthenticated, "the key is an old one of operator %s; use the new one", name)
 		}
 	}
 	return "", errs.New(errs.Unauthenticated, "the operator's key is not known")
 }
 
-// equalSums compares a sum in hex with a raw one, in constant time.
-func equalSums(want string, sum []byte) bool {
-	raw, err := hex.DecodeString(want)
+// equalSums reports whether two sums are equal, in constant time. hexSum is in hex; one that cannot be
+// decoded equals none.
+func equalSums(hexSum string, sum []byte) bool {
+	raw, err := hex.DecodeString(hexSum)
 	return err == nil && subtle.ConstantTimeCompare(raw, sum) == 1
 }
--- a/internal/storepath/paths_test.go
+++ b/internal/storepath/paths_test.go
@@ -146,8 +146,8 @@
 	})
 }
 
-// Nothing was done where the store refuses, so a conditional write may go another way at once.
-func TestARefusedConditionalWriteGoesThroughThePeer(t *testing.T) {
+// A refused write was not executed, so a conditional write may use another path at once.
+func TestRefusedConditionalWriteIsSentThroughPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost()
 		h.direct.Set(keyedlog.Faults{Refuse: true})
--- a/internal/storepath/relay_test.go
+++ b/internal/storepath/relay_test.go
@@ -96,9 +96,9 @@
 	if _, err := s.Read(t.Context(), platform.Read{Partition: testPartition}); !errs.Is(err, errs.LogDown) {
 		t.Errorf("aborted read: %v", err)
 	}
-	_, gone := newRelayedStore(t, keyedlog.New(1).View())
-	addr := strings.TrimPrefix(gone.URL, "http://")
-	gone.Close()
+	_, stoppedServer := newRelayedStore(t, keyedlog.New(1).View())
+	addr := strings.TrimPrefix(stoppedServer.URL, "http://")
+	stoppedServer.Close()
 	if _, err := newPeerStore(addr).Append(t.Context(), newWrite("a")); !errs.Is(err, errs.LogDown) {
 		t.Errorf("unreachable peer: %v", err)
 	}
--- a/internal/watch/targets.go
+++ b/internal/watch/targets.go
@@ -132,7 +132,7 @@
 }
 
 // timeToGraceEnd returns how long the list stays valid without news, at most pollWait. A target whose grace
-// period ends while a read waits for news would otherwise receive requests until the next news.
+// period ends while a read waits for news would otherwise receive requests until the next change.
 func (l *targetList) timeToGraceEnd(now time.Time) time.Duration {
 	next := pollWait
 	for _, until := range l.graceUntil {
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -206,8 +206,8 @@
 			t.Errorf("after the first part: target found %v, ready %v", ok, w.Ready())
 		}
 		d.update(func(d *fakeDirectory) {
-			whole := platform.TargetNews{Known: 9, Whole: true, Present: []serving.Target{newTarget("b"), newTarget("c")}}
-			d.targets = append(d.targets, newPart("b"), whole)
+			complete := platform.TargetNews{Known: 9, Whole: true, Present: []serving.Target{newTarget("b"), newTarget("c")}}
+			d.targets = append(d.targets, newPart("b"), complete)
 		})
 		time.Sleep(20 * time.Millisecond)
 		if listed := v.Targets(); len(listed) != 2 {
