--- a/core/quarantine/broken.go
+++ b/core/quarantine/broken.go
@@ -9,28 +9,29 @@
 // Broken describes a run of a request that a target broke off (its connection ended before the response was
 // complete) or that was in progress when its target was found to have crashed.
 type Broken struct {
-	Content *Content
-	Target  serving.Target
-	// Start identifies the process start of the target that had the run; empty if it is unknown.
+	Content *Content       // content of the request
+	Target  serving.Target // target that had the run
+	// Start is the id of the target's process, which changes with each restart; empty if it is unknown.
 	Start string
 	// Began is when the request was sent to the target.
 	Began time.Time
-	// From is the id of the event after which the run resumed; empty if it began at the start. To is the id
-	// of the last event received; empty if there is none.
+	// From is the id of the event of an earlier run after which this run resumed; empty if it did not resume
+	// one. To is the id of the last event received from the target; empty if none was received.
 	From, To string
 	// HasPassed reports whether the run continued for PassTime after its first event.
 	HasPassed bool
-	// HasCrashed reports whether the target is known to have crashed.
+	// HasCrashed reports whether the target was known to have crashed when the run was noted.
 	HasCrashed bool
 	// Err is the error with which the run ended.
 	Err error
 }
 
-// PassTime is how long a run must continue after its first event to pass, that is, to show that its content
-// does not crash a target at the start of a run. A target may send a few events before it crashes.
+// PassTime is how long a run must continue after its first event to pass. A run that has passed shows that its
+// content does not crash targets at the start of a run. The first event alone does not show this: a target may
+// send a few events before it crashes.
 const PassTime = 250 * time.Millisecond
 
 // Counts reports whether a crash of the target counts against the request. It does not if the run resumed an
-// earlier one and advanced past it: a request that causes crashes crashes every run at the same event at the
-// latest.
+// earlier one and received further events: a request that causes crashes does so in every run, at the latest
+// after the same event.
 func (b Broken) Counts() bool { return b.From == "" || b.From == b.To }
--- a/core/quarantine/contain_sim_test.go
+++ b/core/quarantine/contain_sim_test.go
@@ -8,57 +8,62 @@
 	"time"
 )
 
-// containmentRules are the rules that limit the crashes caused by crashing items, each of which has a content
-// of its own.
+// containmentRules are the rules that limit the crashes caused by items that each have another content, beyond
+// the quarantine of each content. The simulation compares variants of them.
 type containmentRules struct {
-	hasScopes    bool
-	isSequential bool // suspects run one at a time
+	hasScopes bool // scopes are quarantined as well
+	isSerial  bool // suspect items of the same resource or job run one at a time
 }
 
-// jobLoad describes the jobs that arrive. A share of their items crash targets.
+// jobLoad describes the targets and the batch jobs that arrive.
 type jobLoad struct {
-	targets       int
-	crashingShare float64
-	// clients submit jobs in turn, one job every two seconds. The crashing items of each client share a resource.
+	targets       int     // number of targets
+	crashingShare float64 // share of the items that crash their target
+	// clients is the number of clients. They submit jobs in turn, one job every two seconds. The crashing
+	// items of a client share a resource.
 	clients      int
 	hasSharedURI bool // all items of a client share a resource
 	hasLosses    bool // a target is lost every four seconds for an unrelated reason
 }
 
 const (
-	containJobItems        = 10
-	containJobInterval     = 2 * time.Second
-	containLossInterval    = 4 * time.Second
-	containRunDuration     = time.Second // duration of an item's run
-	containRecheckInterval = time.Second // time until a quarantined item is checked again
+	containJobItems        = 10              // items of a job
+	containJobInterval     = 2 * time.Second // between two jobs
+	containLossInterval    = 4 * time.Second // between two losses of a target for an unrelated reason
+	containRunDuration     = time.Second     // of the run of a harmless item
+	containRecheckInterval = time.Second     // until a quarantined item is checked again
 )
 
-// maxLateCrashes is how many targets may crash during requests of a resource that were sent after the third
-// crash: the trials of the resource.
+// maxLateCrashes is how many targets the items of a client may crash in runs that began after the client's
+// third crash. These runs are trials of the resource that the items share.
 const maxLateCrashes = 3
 
+// containItem is a batch item.
 type containItem struct {
 	subject    Subject
-	isCrashing bool
-	client     int
+	isCrashing bool // each run crashes its target
+	client     int  // index of the client that submitted the item
 	arrivedAt  time.Time
-	hasRun     bool
-	recheckAt  time.Time
+	hasRun     bool      // a run has begun
+	recheckAt  time.Time // the item is not started until then
 }
 
+// containRun is a run of an item at a target.
 type containRun struct {
 	item      *containItem
 	beganAt   time.Time
-	hasPassed bool
+	hasPassed bool // see PassTime
 }
 
+// containTarget is a target of a containFleet.
 type containTarget struct {
-	instance string
-	runs     []*containRun
-	upAt     time.Time
+	id   string // new after each crash
+	runs []*containRun
+	upAt time.Time // the target is down until then
 }
 
-// containFleet runs items at targets. A single registry stands for gateways with identical information.
+// containFleet is a simulated fleet that runs the items of batch jobs at targets. One registry stands for all
+// gateways, which thus have identical records.
 type containFleet struct {
 	rules    containmentRules
 	load     jobLoad
@@ -69,34 +74,34 @@
 	now      time.Time
 	restarts int
 
-	crashes, served, harmless int
-	crashesByClient           []int           // crashes caused by the crashing items of each client
-	thirdCrashAt              []time.Time     // time of the third of them
-	lateCrashes               []int           // those in runs that began after the third
-	firstRunWaits             []time.Duration // of the harmless items, until their first run
+	crashes, served, harmless int             // crashes by items, harmless items that were served, harmless items that arrived
+	crashesByClient           []int           // crashes caused by the items of each client
+	thirdCrashAt              []time.Time     // time of each client's third crash
+	lateCrashes               []int           // crashes of each client in runs that began after its third crash
+	firstRunWaits             []time.Duration // times from the arrival of harmless items to their first run
 }
 
 func newContainFleet(rules containmentRules, load jobLoad, seed uint64) *containFleet {
 	f := &containFleet{rules: rules, load: load, rng: rand.New(rand.NewPCG(seed, 2)), registry: NewRegistry(Options{Threshold: DefaultThreshold, Hold: DefaultHold})}
 	f.crashesByClient, f.thirdCrashAt, f.lateCrashes = make([]int, load.clients), make([]time.Time, load.clients), make([]int, load.clients)
 	for i := range load.targets {
-		f.targets = append(f.targets, &containTarget{instance: fmt.Sprint("t", i)})
+		f.targets = append(f.targets, &containTarget{id: fmt.Sprint("t", i)})
 	}
 	return f
 }
 
-// submitJob submits a job of a client.
-func (f *containFleet) submitJob(n int) {
-	client := n % f.load.clients
+// submitJob queues the items of a job. The index of the job determines its client.
+func (f *containFleet) submitJob(job int) {
+	client := job % f.load.clients
 	for i := range containJobItems {
 		item := &containItem{client: client, arrivedAt: f.now, isCrashing: f.rng.Float64() < f.load.crashingShare}
 		uri := fmt.Sprint("uri", client)
 		if !item.isCrashing && !f.load.hasSharedURI {
-			uri = fmt.Sprint("uri", client, "/", n, "/", i)
+			uri = fmt.Sprint("uri", client, "/", job, "/", i)
 		}
 		item.subject = Subject{
-			Content: hashParts(nil, fmt.Sprint(n, "/", i)),
-			Scopes:  []Fingerprint{hashParts(nil, uri), hashParts(nil, fmt.Sprint("job", n)), hashParts(nil, "route")},
+			Content: hashParts(nil, fmt.Sprint(job, "/", i)),
+			Scopes:  []Fingerprint{hashParts(nil, uri), hashParts(nil, fmt.Sprint("job", job)), hashParts(nil, "route")},
 			Narrow:  2,
 		}
 		if !item.isCrashing {
@@ -106,17 +111,19 @@
 	}
 }
 
-// isQuarantined reports whether an item is quarantined.
+// isQuarantined reports whether an item must not be sent now because of its content or, with the rule, a
+// scope.
 func (f *containFleet) isQuarantined(item *containItem) bool {
 	return f.registry.Check(f.now, item.subject.Content) || f.rules.hasScopes && f.registry.CheckScopes(f.now, item.subject)
 }
 
-// mustWait reports whether an item has to wait until the run of another item has passed.
+// mustWait reports whether an item has to wait until the run of a related item has passed.
 func (f *containFleet) mustWait(item *containItem) bool {
-	return f.rules.isSequential && f.registry.IsSuspect(item.subject) && f.hasUnpassedRelatedRun(item)
+	return f.rules.isSerial && f.registry.IsSuspect(item.subject) && f.hasUnpassedRelatedRun(item)
 }
 
-// hasUnpassedRelatedRun reports whether a run of another item of the same resource or job has not passed yet.
+// hasUnpassedRelatedRun reports whether a run of an item of the same resource or job is in progress and has
+// not passed yet.
 func (f *containFleet) hasUnpassedRelatedRun(item *containItem) bool {
 	for _, t := range f.targets {
 		for _, r := range t.runs {
@@ -129,17 +136,18 @@
 	return false
 }
 
+// startItem starts a run of an item at the target with the most free slots, and reports whether it could.
 func (f *containFleet) startItem(item *containItem) bool {
 	if f.now.Before(item.recheckAt) {
 		return false
 	}
-	var best *containTarget
+	var leastLoaded *containTarget
 	for _, t := range f.targets {
-		if !f.now.Before(t.upAt) && len(t.runs) < simSlots && (best == nil || len(t.runs) < len(best.runs)) {
-			best = t
+		if !f.now.Before(t.upAt) && len(t.runs) < simSlots && (leastLoaded == nil || len(t.runs) < len(leastLoaded.runs)) {
+			leastLoaded = t
 		}
 	}
-	if best == nil {
+	if leastLoaded == nil {
 		return false
 	}
 	if f.isQuarantined(item) {
@@ -157,14 +165,15 @@
 		f.firstRunWaits = append(f.firstRunWaits, f.now.Sub(item.arrivedAt))
 	}
 	item.hasRun = true
-	best.runs = append(best.runs, &containRun{item: item, beganAt: f.now})
+	leastLoaded.runs = append(leastLoaded.runs, &containRun{item: item, beganAt: f.now})
 	return true
 }
 
-// crashTarget stops a target and all its runs.
+// crashTarget breaks off all runs of a target, counts the crash against their items and starts the restart of
+// the target.
 func (f *containFleet) crashTarget(t *containTarget) {
 	for _, r := range t.runs {
-		crash := NewCrash(t.instance, t.instance, r.beganAt, f.now)
+		crash := NewCrash(t.id, t.id, r.beganAt, f.now)
 		f.registry.NoteCrash(f.now, r.item.subject.Content, crash)
 		if f.rules.hasScopes && !r.hasPassed {
 			f.registry.NoteScopeCrash(f.now, r.item.subject, crash)
@@ -172,28 +181,29 @@
 		f.waiting = append(f.waiting, r.item)
 	}
 	f.restarts++
-	t.instance, t.runs, t.upAt = fmt.Sprint("restart-", f.restarts), nil, f.now.Add(simRestartTime)
+	t.id, t.runs, t.upAt = fmt.Sprint("restart-", f.restarts), nil, f.now.Add(simRestartTime)
 }
 
-// noteCrash counts the crash of a target that one of its runs has caused.
+// noteCrash counts a crash that an item has caused, for the item's client.
 func (f *containFleet) noteCrash(t *containTarget) {
 	f.crashes++
 	for _, r := range t.runs {
 		if !r.item.isCrashing || f.now.Sub(r.beganAt) < simCrashDelay {
 			continue
 		}
-		c := r.item.client
-		f.crashesByClient[c]++
-		if f.crashesByClient[c] == DefaultThreshold {
-			f.thirdCrashAt[c] = f.now
+		client := r.item.client
+		f.crashesByClient[client]++
+		if f.crashesByClient[client] == DefaultThreshold {
+			f.thirdCrashAt[client] = f.now
 		}
-		if f.crashesByClient[c] > DefaultThreshold && r.beganAt.After(f.thirdCrashAt[c]) {
-			f.lateCrashes[c]++
+		if f.crashesByClient[client] > DefaultThreshold && r.beganAt.After(f.thirdCrashAt[client]) {
+			f.lateCrashes[client]++
 		}
 		return
 	}
 }
 
+// step ends the runs that are complete at f.now, crashes the targets that run crashing items and starts items.
 func (f *containFleet) step() {
 	for _, t := range f.targets {
 		hasCrashed := false
@@ -222,6 +232,7 @@
 	f.waiting = slices.DeleteFunc(f.waiting, f.startItem)
 }
 
+// run simulates simDuration.
 func (f *containFleet) run() {
 	for at := time.Duration(0); at < simDuration; at += simStep {
 		f.now = testStart.Add(at)
@@ -235,11 +246,12 @@
 	}
 }
 
-// Guards against jobs with many items each of which crashes a target or more: the scopes that the items share
-// must be quarantined, and harmless items must still be served. The test logs the totals of the compared
-// variants.
+// Guards against jobs with many items that each have another content and crash a target: after three crashes,
+// the resource that the items share must be quarantined, so that only its trials crash further targets. The
+// test logs the mean results of the compared variants of the rules, among them how many harmless items are
+// served.
 func TestContainmentOfCrashingItems(t *testing.T) {
-	production := containmentRules{hasScopes: true, isSequential: true}
+	production := containmentRules{hasScopes: true, isSerial: true}
 	variants := []struct {
 		name string
 		containmentRules
@@ -260,21 +272,22 @@
 				f.run()
 				crashes, served, harmless, waits = crashes+f.crashes, served+f.served, harmless+f.harmless, append(waits, f.firstRunWaits...)
 				if variant.containmentRules == production && !load.hasSharedURI && slices.Max(f.lateCrashes) > maxLateCrashes {
-					t.Errorf("%+v, seed %d: crashes in late runs by client: %d", load, seed, f.lateCrashes)
+					t.Errorf("load %+v, seed %d: crashes by each client in runs that began after its third crash: %d, want at most 3", load, seed, f.lateCrashes)
 				}
 			}
 			slices.Sort(waits)
 			n := float64(*simSeeds)
-			t.Logf("%+v: %-28s crashes %5.1f, harmless served %.3f, wait mean %4.0f ms, 99th percentile %5d ms", load, variant.name,
+			t.Logf("load %+v: rules %-28s mean crashes %5.1f, harmless items served (share) %.3f, wait for the first run: mean %4.0f ms, 99th percentile %5d ms", load, variant.name,
 				float64(crashes)/n, float64(served)/float64(harmless), meanMillis(waits), waits[len(waits)*99/100].Milliseconds())
 		}
 	}
 }
 
-func meanMillis(list []time.Duration) float64 {
+// meanMillis returns the mean of the durations in milliseconds.
+func meanMillis(durations []time.Duration) float64 {
 	var sum time.Duration
-	for _, d := range list {
+	for _, d := range durations {
 		sum += d
 	}
-	return float64(sum.Milliseconds()) / float64(len(list))
+	return float64(sum.Milliseconds()) / float64(len(durations))
 }
--- a/core/quarantine/fingerprint.go
+++ b/core/quarantine/fingerprint.go
@@ -1,6 +1,12 @@
-// Package quarantine decides which requests are no longer sent to any target because targets have crashed
-// while running them. Without it, retries by the caller, by other gateways or by the backlog send such a
-// request to one target after another until none is left. The package does no I/O.
+// Package quarantine decides which requests must not be sent to any target because several targets have
+// crashed while running them. Without it, retries by the caller, by other gateways or by the backlog send
+// such a request to one target after another until none is left. The package does no I/O; package
+// internal/quarantine detects the crashes, exchanges the records between processes and checks requests before
+// they are sent.
+//
+// A content is what a request and its repeats have in common; a scope is a resource, a batch job or a route
+// that several contents share. A record lists the crashes of one content or scope. A trial is a request that
+// is sent although its content or one of its scopes is quarantined, to find out whether it crashes a target.
 package quarantine
 
 import (
@@ -16,50 +22,54 @@
 	"arbutusramp/core/serving"
 )
 
-// Fingerprint identifies the content of a request: its workspace, method, host, path and body. Repeats of a
-// request share these; their ids differ and their headers may.
+// Fingerprint identifies a content by a hash of the request's workspace, method, host, path and body, or
+// identifies a scope. Repeats of a request have the same fingerprint, although their ids and possibly their
+// headers differ.
 type Fingerprint [16]byte
 
-// FingerprintOf returns the fingerprint of r. The hash is collision-resistant: otherwise a caller could craft
-// a request with the fingerprint of another one and have that one quarantined.
+// FingerprintOf returns the fingerprint of the content of r. The hash is collision-resistant: otherwise a
+// caller could craft a request with the fingerprint of another one and have that one quarantined.
 func FingerprintOf(r *serving.Request) Fingerprint {
 	return hashParts(r.Body, r.Caller.Workspace, r.Method, r.Host, r.URI)
 }
 
-// hashParts hashes length-prefixed parts and a body.
+// hashParts returns the first 16 bytes of the SHA-256 hash of the parts and the body. Each part is preceded by
+// its length, so that different lists of parts never hash the same bytes.
 func hashParts(body []byte, parts ...string) Fingerprint {
-	h := sha256.New()
+	hash := sha256.New()
 	var size [8]byte
 	for _, part := range parts {
 		binary.BigEndian.PutUint64(size[:], uint64(len(part)))
-		_, _ = h.Write(size[:]) // a write to a hash never returns an error
-		_, _ = io.WriteString(h, part)
+		_, _ = hash.Write(size[:]) // a write to a hash never returns an error
+		_, _ = io.WriteString(hash, part)
 	}
-	_, _ = h.Write(body)
+	_, _ = hash.Write(body)
 	var f Fingerprint
-	copy(f[:], h.Sum(nil))
+	copy(f[:], hash.Sum(nil))
 	return f
 }
 
-// Content is what a request and its repeats have in common. It is safe for concurrent use.
+// Content is what a request and its repeats have in common: the workspace, method, host, path and body. It is
+// safe for concurrent use.
 type Content struct {
 	// Request is the request, or one of its repeats.
 	Request *serving.Request
-	// route is the name of the request's route, job the id of its batch job; each is empty if there is none.
+	// route is the name of the request's route, job the id of its batch job; each is empty if the request has
+	// none.
 	route, job string
 
-	subjectOnce sync.Once
+	subjectOnce sync.Once // guards the computation of subject
 	subject     Subject
 
-	digestOnce sync.Once
+	digestOnce sync.Once // guards the computation of digest
 	digest     uint64
 }
 
 // NewContent returns the content of r. The caller must not change r afterwards.
 func NewContent(r *serving.Request) *Content { return &Content{Request: r} }
 
-// In sets the name of the request's route and the id of its batch job, which is empty if it has none. It
-// returns c and must be called before c is shared.
+// In sets the name of the request's route and the id of its batch job, which is empty if the request has none.
+// It returns c and must be called before other goroutines use c.
 func (c *Content) In(route, job string) *Content {
 	c.route, c.job = route, job
 	return c
@@ -75,26 +85,27 @@
 	return c.digest
 }
 
+// digestOf returns the digest of the content of r; see Content.Digest.
 func digestOf(r *serving.Request) uint64 {
-	d := xxhash.New()
+	hash := xxhash.New()
 	for _, part := range []string{r.Caller.Workspace, r.Method, r.Host, r.URI} {
-		_, _ = d.WriteString(part) // a write to a hash never returns an error
-		_, _ = d.Write([]byte{0})
+		_, _ = hash.WriteString(part) // a write to a hash never returns an error
+		_, _ = hash.Write([]byte{0})
 	}
-	_, _ = d.Write(r.Body)
-	return d.Sum64()
+	_, _ = hash.Write(r.Body)
+	return hash.Sum64()
 }
 
-// Kinds of scopes, the first part of a scope's fingerprint. None is a valid workspace, which is the first
-// part of a content's fingerprint.
+// First parts of the fingerprints of scopes, one for each kind of scope. None is the name of a workspace,
+// which is the first part of a content's fingerprint, so that a scope never has the fingerprint of a content.
 const (
 	resourceScope = "\x00resource"
 	jobScope      = "\x00job"
 	routeScope    = "\x00route"
 )
 
-// Subject returns the fingerprints of the request's content and of its scopes: its resource, its job and its
-// route, each within its workspace. They are computed once, on the first call.
+// Subject returns the fingerprints of the content and of its scopes: the resource (method, host and path), the
+// batch job and the route, each within the workspace. They are computed once, on the first call.
 func (c *Content) Subject() Subject {
 	c.subjectOnce.Do(func() {
 		r := c.Request
@@ -112,9 +123,9 @@
 	return c.subject
 }
 
-// IsRelated reports whether two requests have the same resource or the same job.
-func (c *Content) IsRelated(o *Content) bool {
-	a, b := c.Subject(), o.Subject()
+// IsRelated reports whether the requests of two contents have the same resource or the same batch job.
+func (c *Content) IsRelated(other *Content) bool {
+	a, b := c.Subject(), other.Subject()
 	return slices.ContainsFunc(a.Scopes[:a.Narrow], func(f Fingerprint) bool { return slices.Contains(b.Scopes[:b.Narrow], f) })
 }
 
--- a/core/quarantine/fingerprint_test.go
+++ b/core/quarantine/fingerprint_test.go
@@ -7,8 +7,8 @@
 	"arbutusramp/core/serving"
 )
 
-// A repeat with another id has the same fingerprint; a request that differs in any other part has a different
-// one.
+// A repeat that differs only in its id, its headers and the event after which it resumes has the same
+// fingerprint; a request that differs in its workspace, method, host, path or body has a different one.
 func TestFingerprintIdentifiesRepeats(t *testing.T) {
 	fingerprintWith := func(modify func(*serving.Request)) Fingerprint {
 		r := &serving.Request{
@@ -21,7 +21,7 @@
 	first := fingerprintWith(func(*serving.Request) {})
 	repeat := fingerprintWith(func(r *serving.Request) { r.ID, r.Header, r.ResumeAfter = "2", nil, "7" })
 	if first != repeat {
-		t.Errorf("a repeat has fingerprint %s, the request had %s", repeat, first)
+		t.Errorf("fingerprint of a repeat with another id and header: %s, want that of the request, %s", repeat, first)
 	}
 	others := map[string]func(*serving.Request){
 		"workspace": func(r *serving.Request) { r.Caller.Workspace = "v" },
@@ -29,11 +29,11 @@
 		"host":      func(r *serving.Request) { r.Host = "g" },
 		"path":      func(r *serving.Request) { r.URI = "/a/c" },
 		"body":      func(r *serving.Request) { r.Body = []byte("other") },
-		"parts":     func(r *serving.Request) { r.Host, r.URI = "h/a", "/b" },
+		"parts":     func(r *serving.Request) { r.Host, r.URI = "h/a", "/b" }, // host and path joined are the same
 	}
 	for name, modify := range others {
 		if fingerprintWith(modify) == first {
-			t.Errorf("another %s has the same fingerprint", name)
+			t.Errorf("request that differs in its %s: same fingerprint as the first request, want a different one", name)
 		}
 	}
 }
--- a/core/quarantine/message.go
+++ b/core/quarantine/message.go
@@ -8,48 +8,49 @@
 	"arbutusramp/core/errs"
 )
 
-// Message is a record as gateways send it to each other and keep it in the store. Times are in milliseconds
-// since 1970.
+// Message is the encoded form of a Record, in which gateways send it to each other and keep it in the store.
+// Times are in milliseconds since the start of 1970 (UTC).
 type Message struct {
-	Content []byte         `cbor:"1,keyasint"`
-	Crashes []CrashMessage `cbor:"2,keyasint,omitempty"`
+	Content []byte         `cbor:"1,keyasint"`           // fingerprint of the content or scope
+	Crashes []CrashMessage `cbor:"2,keyasint,omitempty"` // newest first
 	Cleared int64          `cbor:"3,keyasint,omitempty"` // 0: never
 	Seen    int64          `cbor:"4,keyasint,omitempty"` // 0: never
 	Tried   int64          `cbor:"5,keyasint,omitempty"` // 0: never
-	IsScope bool           `cbor:"6,keyasint,omitempty"`
-	// Details holds the remaining fields of each crash, in the order of Crashes. It is empty if the sender's
-	// version has no such fields.
+	IsScope bool           `cbor:"6,keyasint,omitempty"` // Content identifies a scope
+	// Details holds the fields of each crash that CrashMessage lacks, in the order of Crashes. It is empty if
+	// the software version of the sender does not have these fields.
 	Details []CrashDetails `cbor:"7,keyasint,omitempty"`
 }
 
-// CrashMessage is the encoded form of a Crash. Its fields are encoded as an array, so their order is fixed.
+// CrashMessage is the encoded form of the fields of a Crash that every software version sends. The fields are
+// encoded as an array, so their order is fixed.
 type CrashMessage struct {
 	_      struct{} `cbor:",toarray"`
-	Target uint64
-	Began  int64
-	At     int64
+	Target uint64   // digest of the target's id
+	Began  int64    // when the run began
+	At     int64    // when the target broke off the run
 }
 
-// CrashDetails holds the fields of a Crash that CrashMessage lacks. Its fields are encoded as an array, so
-// their order is fixed.
+// CrashDetails is the encoded form of the fields of a Crash that CrashMessage lacks. The fields are encoded as
+// an array, so their order is fixed.
 type CrashDetails struct {
 	_         struct{} `cbor:",toarray"`
-	Start     uint64
-	Preceding int
-	By        uint64
+	Start     uint64   // digest of the id of the target's process; 0 if unknown
+	Preceding int      // crashes that the sending gateway had received when the run began
+	By        uint64   // digest of the content that was run; 0 except in the record of a scope
 }
 
-// Message returns r in the form in which it is sent and stored.
+// Message returns the encoded form of r.
 func (r Record) Message() Message {
 	m := Message{Content: r.Content[:], Cleared: toMillis(r.Cleared), Seen: toMillis(r.Seen), Tried: toMillis(r.Tried), IsScope: r.IsScope}
-	for _, e := range r.Crashes {
-		m.Crashes = append(m.Crashes, CrashMessage{Target: e.Target, Began: toMillis(e.Began), At: toMillis(e.At)})
-		m.Details = append(m.Details, CrashDetails{Start: e.Start, Preceding: e.Preceding, By: e.By})
+	for _, c := range r.Crashes {
+		m.Crashes = append(m.Crashes, CrashMessage{Target: c.Target, Began: toMillis(c.Began), At: toMillis(c.At)})
+		m.Details = append(m.Details, CrashDetails{Start: c.Start, Preceding: c.Preceding, By: c.By})
 	}
 	return m
 }
 
-// Record decodes the message. Error: errs.BadFrame.
+// Record returns the record of which m is the encoded form. Error: errs.BadFrame.
 func (m Message) Record() (Record, error) {
 	var r Record
 	if len(m.Content) != len(r.Content) {
@@ -57,39 +58,40 @@
 	}
 	copy(r.Content[:], m.Content)
 	if len(m.Details) > 0 && len(m.Details) != len(m.Crashes) {
-		return r, errs.Newf(errs.BadFrame, "details for %d crashes, want %d", len(m.Details), len(m.Crashes))
+		return r, errs.Newf(errs.BadFrame, "message has details of %d crashes, want %d", len(m.Details), len(m.Crashes))
 	}
 	r.IsScope = m.IsScope
 	r.Cleared, r.Seen, r.Tried = fromMillis(m.Cleared), fromMillis(m.Seen), fromMillis(m.Tried)
-	for i, e := range m.Crashes {
-		crash := Crash{Target: e.Target, Began: fromMillis(e.Began), At: fromMillis(e.At)}
+	for i, c := range m.Crashes {
+		crash := Crash{Target: c.Target, Began: fromMillis(c.Began), At: fromMillis(c.At)}
 		if len(m.Details) > 0 {
-			d := m.Details[i]
-			crash.Start, crash.Preceding, crash.By = d.Start, d.Preceding, d.By
+			details := m.Details[i]
+			crash.Start, crash.Preceding, crash.By = details.Start, details.Preceding, details.By
 		}
 		r.addCrash(crash)
 	}
 	return r, nil
 }
 
-// Encode returns r as it is kept in the store. Error: errs.Internal.
+// Encode returns r as a CBOR message for the store. Error: errs.Internal.
 func (r Record) Encode() ([]byte, error) {
 	data, err := cbor.Marshal(r.Message())
 	if err != nil {
-		return nil, errs.Newf(errs.Internal, "record can't be encoded: %v", err)
+		return nil, errs.Newf(errs.Internal, "quarantine record can't be encoded: %v", err)
 	}
 	return data, nil
 }
 
-// Decode decodes a record that Encode has encoded. Error: errs.BadFrame.
+// Decode returns the record that Encode has encoded as data. Error: errs.BadFrame.
 func Decode(data []byte) (Record, error) {
 	var m Message
 	if err := cbor.Unmarshal(data, &m); err != nil {
-		return Record{}, errs.Newf(errs.BadFrame, "record can't be decoded: %v", err)
+		return Record{}, errs.Newf(errs.BadFrame, "quarantine record can't be decoded: %v", err)
 	}
 	return m.Record()
 }
 
+// toMillis returns a time as milliseconds since the start of 1970 (UTC), and 0 for the zero time.
 func toMillis(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -97,6 +99,7 @@
 	return t.UnixMilli()
 }
 
+// fromMillis is the inverse of toMillis.
 func fromMillis(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
--- a/core/quarantine/registry_test.go
+++ b/core/quarantine/registry_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// testStart is the time at which the tests and simulations begin.
 var testStart = time.Date(2030, 1, 2, 3, 4, 5, 0, time.UTC)
 
 func newTestRegistry() *Registry {
@@ -17,236 +18,239 @@
 // runDuration is how long a run takes until its target crashes.
 const runDuration = 100 * time.Millisecond
 
-// noteTestCrash adds a crash at the end of a run of runDuration.
-func noteTestCrash(g *Registry, at time.Time, f Fingerprint, target string) bool {
-	return g.NoteCrash(at, f, NewCrash(target, "", at.Add(-runDuration), at))
+// noteTestCrash adds the crash of a target at the end of a run that took runDuration, and reports whether it
+// is new. The process of the target is not identified.
+func noteTestCrash(reg *Registry, at time.Time, f Fingerprint, target string) bool {
+	return reg.NoteCrash(at, f, NewCrash(target, "", at.Add(-runDuration), at))
 }
 
-func noteTestCrashes(g *Registry, f Fingerprint, n int) {
+// noteTestCrashes adds the crashes of n targets, a second apart.
+func noteTestCrashes(reg *Registry, f Fingerprint, n int) {
 	for i := range n {
-		noteTestCrash(g, testStart.Add(time.Duration(i)*time.Second), f, fmt.Sprintf("t%d", i))
+		noteTestCrash(reg, testStart.Add(time.Duration(i)*time.Second), f, fmt.Sprintf("t%d", i))
 	}
 }
 
 // A content is quarantined at the third target that crashes while running it, and each target counts once.
 func TestContentIsQuarantinedAtThreshold(t *testing.T) {
-	g, f := newTestRegistry(), testFingerprint(1)
-	noteTestCrashes(g, f, 2)
-	if noteTestCrash(g, testStart.Add(50*time.Millisecond), f, "t0") {
-		t.Error("a crash that is already known is reported as new")
+	reg, f := newTestRegistry(), testFingerprint(1)
+	noteTestCrashes(reg, f, 2)
+	if noteTestCrash(reg, testStart.Add(50*time.Millisecond), f, "t0") {
+		t.Error("second report of the crash of target t0: reported as new, want known")
 	}
-	if n, _ := g.Quarantined(); g.Check(testStart.Add(6*time.Second), f) || n != 0 {
-		t.Error("quarantined after two targets")
+	if n, _ := reg.Quarantined(); reg.Check(testStart.Add(6*time.Second), f) || n != 0 {
+		t.Error("content is quarantined after the crashes of 2 targets, want only after 3")
 	}
-	isNew := noteTestCrash(g, testStart.Add(7*time.Second), f, "t2")
-	if n, _ := g.Quarantined(); !isNew || !g.Check(testStart.Add(8*time.Second), f) || n != 1 {
-		t.Error("not quarantined after three targets")
+	isNew := noteTestCrash(reg, testStart.Add(7*time.Second), f, "t2")
+	if n, _ := reg.Quarantined(); !isNew || !reg.Check(testStart.Add(8*time.Second), f) || n != 1 {
+		t.Error("crash of the third target: not reported as new, or the content is not the 1 quarantined one, want both")
 	}
-	if g.Check(testStart, testFingerprint(2)) {
-		t.Error("a different content is quarantined")
+	if reg.Check(testStart, testFingerprint(2)) {
+		t.Error("a content without crashes is quarantined")
 	}
 }
 
 // Guards against the quarantine of a harmless content that many callers send: it is in progress
 // wherever a target crashes.
 func TestServedContentIsNotQuarantined(t *testing.T) {
-	g, f := newTestRegistry(), testFingerprint(1)
+	reg, f := newTestRegistry(), testFingerprint(1)
 	for i := range 9 {
 		now := testStart.Add(time.Duration(i) * time.Second)
-		noteTestCrash(g, now, f, fmt.Sprintf("t%d", i))
-		if i%2 == 1 && !g.NoteServed(now.Add(time.Millisecond), f) {
-			t.Error("no crashes were cleared")
+		noteTestCrash(reg, now, f, fmt.Sprintf("t%d", i))
+		if i%2 == 1 && !reg.NoteServed(now.Add(time.Millisecond), f) {
+			t.Error("NoteServed after two crashes: reports that none were cleared, want true")
 		}
-		if g.Check(now, f) {
-			t.Fatalf("quarantined at crash %d", i)
+		if reg.Check(now, f) {
+			t.Fatalf("content that is served after every second crash is quarantined at crash %d, want never", i)
 		}
 	}
 }
 
-// Gateways that observe one crash each reach the same result in any order of exchange, and a clearance
-// removes the crashes before it.
+// Gateways that observe one crash each reach the same result in whatever order they exchange records, and a
+// clearance removes the crashes before it even if a peer sends them again.
 func TestRecordsMergeInAnyOrder(t *testing.T) {
 	f := testFingerprint(1)
 	var records []Record
 	for i := range DefaultThreshold {
-		g := newTestRegistry()
-		noteTestCrash(g, testStart.Add(time.Duration(i)*time.Second), f, fmt.Sprintf("t%d", i))
-		records = append(records, g.ToTell(testStart.Add(time.Minute), 1)...)
+		reg := newTestRegistry()
+		noteTestCrash(reg, testStart.Add(time.Duration(i)*time.Second), f, fmt.Sprintf("t%d", i))
+		records = append(records, reg.ToTell(testStart.Add(time.Minute), 1)...)
 	}
 	for first := range records {
-		g := newTestRegistry()
+		reg := newTestRegistry()
 		now := testStart.Add(time.Minute)
 		for i := range records {
-			g.ApplyPeer(now, records[(first+i)%len(records)], now)
+			reg.ApplyPeer(now, records[(first+i)%len(records)], now)
 		}
-		if !g.Check(now, f) {
-			t.Errorf("not quarantined with record %d applied first", first)
+		if !reg.Check(now, f) {
+			t.Errorf("content is not quarantined after three records with one crash each, record %d applied first", first)
 		}
-		if g.ApplyPeer(now, records[first], now) {
-			t.Error("a known record is reported as new")
+		if reg.ApplyPeer(now, records[first], now) {
+			t.Error("record that was applied before is reported as new")
 		}
 		cleared := Record{Content: f, Cleared: now}
-		if !g.ApplyPeer(now, cleared, now) || g.Check(now, f) || g.ApplyPeer(now, records[0], now) && g.Crashes(f) > 0 {
-			t.Error("not cleared permanently")
+		if !reg.ApplyPeer(now, cleared, now) || reg.Check(now, f) || reg.ApplyPeer(now, records[0], now) && reg.Crashes(f) > 0 {
+			t.Error("clearance is not reported as new, or the content still has crashes after it, want 0")
 		}
 	}
 }
 
-// Guards against the permanent rejection of a content that many callers send, after several targets that are
-// lost together have crashed while running it: one request is sent as a trial, and a successful response
-// clears the content.
+// Guards against the permanent rejection of a harmless content that many callers send, after several targets
+// that are lost together have crashed while running it: one request is sent as a trial, and a successful
+// response clears the content. A content that causes crashes gets a limited number of trials.
 func TestSimultaneousCrashesAdmitTrials(t *testing.T) {
-	noteSimultaneousCrashes := func(g *Registry, f Fingerprint, at time.Time, n int) {
+	noteSimultaneousCrashes := func(reg *Registry, f Fingerprint, at time.Time, n int) {
 		for i := range n {
-			g.NoteCrash(at, f, NewCrash(fmt.Sprint(at, i), "", at.Add(-runDuration), at))
+			reg.NoteCrash(at, f, NewCrash(fmt.Sprint(at, i), "", at.Add(-runDuration), at))
 		}
 	}
-	g, f := newTestRegistry(), testFingerprint(1)
-	noteSimultaneousCrashes(g, f, testStart, DefaultThreshold)
-	if !g.Check(testStart.Add(trialDelay/2), f) {
-		t.Error("not quarantined")
+	reg, f := newTestRegistry(), testFingerprint(1)
+	noteSimultaneousCrashes(reg, f, testStart, DefaultThreshold)
+	if !reg.Check(testStart.Add(trialDelay/2), f) {
+		t.Error("content is not quarantined after three simultaneous crashes")
 	}
 	now := testStart.Add(trialDelay)
-	if isQuarantined, isTrial := g.Admit(now, f); isQuarantined || !isTrial {
-		t.Error("no trial was admitted")
+	if isQuarantined, isTrial := reg.Admit(now, f); isQuarantined || !isTrial {
+		t.Error("request after the trial delay is not admitted as a trial")
 	}
-	if isQuarantined, _ := g.Admit(now.Add(time.Millisecond), f); !isQuarantined || !g.Check(now.Add(trialTimeout/2), f) {
-		t.Error("a second trial was admitted")
+	if isQuarantined, _ := reg.Admit(now.Add(time.Millisecond), f); !isQuarantined || !reg.Check(now.Add(trialTimeout/2), f) {
+		t.Error("second request is admitted while the result of the trial is not known, want it rejected")
 	}
 	peer := newTestRegistry()
-	for _, r := range g.ToTell(now, 1) {
+	for _, r := range reg.ToTell(now, 1) {
 		peer.ApplyPeer(now, r, now)
 	}
 	if !peer.Check(now.Add(trialDelay), f) {
-		t.Error("a peer that received the trial admits another trial")
+		t.Error("peer that received the record with the trial admits another trial")
 	}
-	g.NoteServed(now.Add(time.Second), f)
-	if isQuarantined, isTrial := g.Admit(now.Add(time.Second), f); isQuarantined || isTrial {
-		t.Error("not cleared")
+	reg.NoteServed(now.Add(time.Second), f)
+	if isQuarantined, isTrial := reg.Admit(now.Add(time.Second), f); isQuarantined || isTrial {
+		t.Error("content that the trial has served is still quarantined")
 	}
 	crashing := testFingerprint(2)
-	noteSimultaneousCrashes(g, crashing, testStart, 5)
+	noteSimultaneousCrashes(reg, crashing, testStart, 5)
 	trials := 0
 	for at := testStart; at.Before(testStart.Add(10 * time.Minute)); at = at.Add(100 * time.Millisecond) {
-		if _, isTrial := g.Admit(at, crashing); isTrial {
+		if _, isTrial := reg.Admit(at, crashing); isTrial {
 			trials++
-			g.NoteCrash(at.Add(runDuration), crashing, NewCrash(fmt.Sprint("try", trials), "", at, at.Add(runDuration)))
+			reg.NoteCrash(at.Add(runDuration), crashing, NewCrash(fmt.Sprint("try", trials), "", at, at.Add(runDuration)))
 		}
 	}
 	if trials != DefaultThreshold-1 {
-		t.Errorf("%d trials of a content that crashes each target, want %d", trials, DefaultThreshold-1)
+		t.Errorf("content that crashes each target: %d trials, want %d", trials, DefaultThreshold-1)
 	}
 }
 
-// Guards against a host whose clock is far ahead: its clearance would hide all later crashes.
+// Guards against a host whose clock is far ahead: if its clearance kept its time, it would remove all crashes
+// until then.
 func TestTimesAheadOfTheClockAreClamped(t *testing.T) {
-	g, f := newTestRegistry(), testFingerprint(1)
-	g.ApplyPeer(testStart, Record{Content: f, Cleared: testStart.Add(time.Hour), Seen: testStart.Add(time.Hour)}, testStart)
+	reg, f := newTestRegistry(), testFingerprint(1)
+	reg.ApplyPeer(testStart, Record{Content: f, Cleared: testStart.Add(time.Hour), Seen: testStart.Add(time.Hour)}, testStart)
 	for i := range DefaultThreshold {
-		noteTestCrash(g, testStart.Add(time.Duration(i+1)*time.Second), f, fmt.Sprintf("t%d", i))
+		noteTestCrash(reg, testStart.Add(time.Duration(i+1)*time.Second), f, fmt.Sprintf("t%d", i))
 	}
-	if !g.Check(testStart.Add(time.Minute), f) {
-		t.Error("a clearance with a time in the future hides later crashes")
+	if !reg.Check(testStart.Add(time.Minute), f) {
+		t.Error("content is not quarantined after three crashes that follow a clearance with a time an hour ahead")
 	}
 }
 
-// A content stays quarantined as long as requests with it arrive, and for the hold after the last one.
+// A content stays quarantined as long as requests with it arrive, and for DefaultHold after the last one.
 func TestQuarantineIsExtendedWhileContentIsSeen(t *testing.T) {
-	g, f := newTestRegistry(), testFingerprint(1)
-	noteTestCrashes(g, f, DefaultThreshold)
+	reg, f := newTestRegistry(), testFingerprint(1)
+	noteTestCrashes(reg, f, DefaultThreshold)
 	now := testStart
 	for range 5 {
 		now = now.Add(DefaultHold - time.Minute)
-		if !g.Check(now, f) {
-			t.Fatalf("not quarantined %v after it was last seen", DefaultHold-time.Minute)
+		if !reg.Check(now, f) {
+			t.Fatalf("content is not quarantined %v after the last request, want the whole hold", DefaultHold-time.Minute)
 		}
 	}
-	if now = now.Add(DefaultHold + time.Second); g.Check(now, f) {
-		t.Error("still quarantined after the hold")
+	if now = now.Add(DefaultHold + time.Second); reg.Check(now, f) {
+		t.Error("content is still quarantined later than the hold after the last request")
 	}
-	g.Expire(now.Add(DefaultHold))
-	if g.Len() != 0 {
-		t.Error("an expired record is not discarded")
+	reg.Expire(now.Add(DefaultHold))
+	if reg.Len() != 0 {
+		t.Error("record is not discarded after it has expired")
 	}
 }
 
 // Guards against unbounded memory, and against the eviction of quarantined contents by many contents with one
 // crash each.
 func TestRecordsAreBounded(t *testing.T) {
-	g, quarantined := newTestRegistry(), testFingerprint(0)
-	noteTestCrashes(g, quarantined, DefaultThreshold)
+	reg, quarantined := newTestRegistry(), testFingerprint(0)
+	noteTestCrashes(reg, quarantined, DefaultThreshold)
 	for i := range 3 * maxRecords {
-		noteTestCrash(g, testStart.Add(time.Duration(i)*time.Millisecond), testFingerprint(i+1), "t")
+		noteTestCrash(reg, testStart.Add(time.Duration(i)*time.Millisecond), testFingerprint(i+1), "t")
 	}
-	if g.Len() > maxRecords || !g.Check(testStart.Add(time.Minute), quarantined) {
-		t.Errorf("%d records, quarantined %v", g.Len(), g.Check(testStart.Add(time.Minute), quarantined))
+	if reg.Len() > maxRecords || !reg.Check(testStart.Add(time.Minute), quarantined) {
+		t.Errorf("%d records after three times the maximum, content with three crashes quarantined: %v, want at most the maximum and true", reg.Len(), reg.Check(testStart.Add(time.Minute), quarantined))
 	}
 }
 
 // A record is sent to peers at once and then at growing intervals.
 func TestRecordsAreSentWithGrowingIntervals(t *testing.T) {
-	g := newTestRegistry()
-	noteTestCrash(g, testStart, testFingerprint(1), "t")
-	sent := 0
+	reg := newTestRegistry()
+	noteTestCrash(reg, testStart, testFingerprint(1), "t")
+	sendCount := 0
 	for at := time.Duration(0); at < 10*time.Minute; at += 100 * time.Millisecond {
-		sent += len(g.ToTell(testStart.Add(at), 8))
+		sendCount += len(reg.ToTell(testStart.Add(at), 8))
 	}
-	if first := g.ToTell(testStart, 8); sent < 10 || sent > 20 || len(first) != 0 {
-		t.Errorf("sent %d times in 10 minutes", sent)
+	if first := reg.ToTell(testStart, 8); sendCount < 10 || sendCount > 20 || len(first) != 0 {
+		t.Errorf("record was sent %d times in 10 minutes, want 10 to 20 and none due at the end of them", sendCount)
 	}
 }
 
-// Guards against uncounted crashes and unlimited trials where a target restarts under the same id.
+// Guards against uncounted crashes, and thus unlimited trials, if a target restarts under the same id.
 func TestRestartedTargetWithSameIDCountsAgain(t *testing.T) {
-	g, f := newTestRegistry(), testFingerprint(1)
+	reg, f := newTestRegistry(), testFingerprint(1)
 	for i := range DefaultThreshold {
-		noteTestCrash(g, testStart.Add(time.Duration(i)*(minRestartDelay+runDuration)), f, "t")
+		noteTestCrash(reg, testStart.Add(time.Duration(i)*(minRestartDelay+runDuration)), f, "t")
 	}
-	if g.Crashes(f) != DefaultThreshold || !g.Check(testStart.Add(time.Minute), f) {
-		t.Errorf("%d crashes", g.Crashes(f))
+	if reg.Crashes(f) != DefaultThreshold || !reg.Check(testStart.Add(time.Minute), f) {
+		t.Errorf("%d crashes counted of a target that crashed and restarted three times, want 3 and a quarantine", reg.Crashes(f))
 	}
 }
 
-// Guards against a process that starts while the store is unavailable and receives the quarantined contents
-// only when their next send is due.
+// Guards against a process that starts while the store is unavailable and receives the records of quarantined
+// contents only after up to maxSendInterval, when they are next sent.
 func TestQuarantinedRecordsAreResentToNewPeer(t *testing.T) {
-	g := newTestRegistry()
-	noteTestCrashes(g, testFingerprint(1), DefaultThreshold)
-	noteTestCrashes(g, testFingerprint(2), 1)
+	reg := newTestRegistry()
+	noteTestCrashes(reg, testFingerprint(1), DefaultThreshold)
+	noteTestCrashes(reg, testFingerprint(2), 1)
 	now := testStart.Add(time.Hour - time.Minute)
-	g.ToTell(now, 8)
-	g.TellAgain(now)
-	if sent := g.ToTell(now, 8); len(sent) != 1 || sent[0].Content != testFingerprint(1) {
-		t.Errorf("sent %+v, want the quarantined content", sent)
+	reg.ToTell(now, 8)
+	reg.TellAgain(now)
+	if sent := reg.ToTell(now, 8); len(sent) != 1 || sent[0].Content != testFingerprint(1) {
+		t.Errorf("sent %+v to a peer that has started, want only the record of the quarantined content", sent)
 	}
 }
 
 // Guards against a message to peers for each rejected request.
 func TestRejectionsAreNotAnnouncedEachTime(t *testing.T) {
-	g, f := newTestRegistry(), testFingerprint(1)
-	noteTestCrashes(g, f, DefaultThreshold)
-	sent := 0
+	reg, f := newTestRegistry(), testFingerprint(1)
+	noteTestCrashes(reg, f, DefaultThreshold)
+	sendCount := 0
 	for at := time.Minute; at < 2*time.Minute; at += 10 * time.Millisecond {
 		now := testStart.Add(at)
-		g.Check(now, f)
-		sent += len(g.ToTell(now, 8))
+		reg.Check(now, f)
+		sendCount += len(reg.ToTell(now, 8))
 	}
-	if sent > 10 {
-		t.Errorf("sent %d times in a minute", sent)
+	if sendCount > 10 {
+		t.Errorf("record was sent %d times in a minute with 6000 rejected requests, want at most 10", sendCount)
 	}
 }
 
 // Guards against a crash that peers never receive: the gateway that observed it receives a record of another
 // crash before it has sent its own.
 func TestReceivedRecordDoesNotSuppressOwnAnnouncement(t *testing.T) {
-	g, peer := newTestRegistry(), newTestRegistry()
-	noteTestCrash(g, testStart, testFingerprint(1), "own")
+	reg, peer := newTestRegistry(), newTestRegistry()
+	noteTestCrash(reg, testStart, testFingerprint(1), "own")
 	noteTestCrash(peer, testStart, testFingerprint(1), "other")
 	for _, r := range peer.ToTell(testStart, 8) {
-		g.ApplyPeer(testStart, r, testStart)
+		reg.ApplyPeer(testStart, r, testStart)
 	}
-	if sent := g.ToTell(testStart, 8); len(sent) != 1 || len(sent[0].Crashes) != 2 {
-		t.Errorf("sent %+v, want both crashes", sent)
+	if sent := reg.ToTell(testStart, 8); len(sent) != 1 || len(sent[0].Crashes) != 2 {
+		t.Errorf("sent %+v, want one record with 2 crashes: the own and the received one", sent)
 	}
 }
 
@@ -260,56 +264,56 @@
 	}
 	for at := time.Duration(0); at < 10*time.Minute; at += time.Second {
 		if sent := peer.ToTell(testStart.Add(time.Minute+at), 8); len(sent) > 0 {
-			t.Fatalf("forwarded after %v", at)
+			t.Fatalf("record from a peer is sent to other peers after %v, want never", at)
 		}
 	}
 	peer.TellAgain(testStart.Add(11 * time.Minute))
 	if len(peer.ToTell(testStart.Add(11*time.Minute), 8)) != 1 {
-		t.Error("not sent to a peer that starts")
+		t.Error("record from a peer is not sent to a peer that has started")
 	}
 }
 
 // A record that the store lacks is written at once if this gateway observed the crash, later if a peer sent
 // it, and not at all once the store has it.
 func TestMissingRecordsAreWrittenToStore(t *testing.T) {
-	g, f := newTestRegistry(), testFingerprint(1)
-	noteTestCrash(g, testStart, f, "t0")
-	due, _ := g.ToStore(testStart, 8)
+	reg, f := newTestRegistry(), testFingerprint(1)
+	noteTestCrash(reg, testStart, f, "t0")
+	due, _ := reg.ToStore(testStart, 8)
 	if len(due) != 1 {
-		t.Fatalf("%d records to store", len(due))
+		t.Fatalf("%d records due for the store after an own crash, want 1", len(due))
 	}
-	g.NoteStored(due[0])
-	if due, next := g.ToStore(testStart, 8); len(due) != 0 || !next.IsZero() {
-		t.Error("written twice")
+	reg.NoteStored(due[0])
+	if due, next := reg.ToStore(testStart, 8); len(due) != 0 || !next.IsZero() {
+		t.Error("record that was just written is due for the store again")
 	}
-	peer := Record{Content: f, Seen: testStart, Crashes: []Crash{{Target: 7, At: testStart}}}
+	peerRecord := Record{Content: f, Seen: testStart, Crashes: []Crash{{Target: 7, At: testStart}}}
 	storeBy := testStart.Add(5 * time.Second)
-	g.ApplyPeer(testStart, peer, storeBy)
-	if due, next := g.ToStore(testStart, 8); len(due) != 0 || !next.Equal(storeBy) {
-		t.Errorf("%d records due now, next at %v", len(due), next)
+	reg.ApplyPeer(testStart, peerRecord, storeBy)
+	if due, next := reg.ToStore(testStart, 8); len(due) != 0 || !next.Equal(storeBy) {
+		t.Errorf("record with a crash from a peer: %d records due for the store now, next at %v, want 0 now and the next in 5 s", len(due), next)
 	}
-	peer.Crashes = append(peer.Crashes, due[0].Crashes...)
-	g.ApplyStored(testStart, peer, testStart)
-	if due, next := g.ToStore(storeBy, 8); len(due) != 0 || !next.IsZero() {
-		t.Error("scheduled for writing although the store has it")
+	peerRecord.Crashes = append(peerRecord.Crashes, due[0].Crashes...)
+	reg.ApplyStored(testStart, peerRecord, testStart)
+	if due, next := reg.ToStore(storeBy, 8); len(due) != 0 || !next.IsZero() {
+		t.Error("record that was read from the store is due for the store")
 	}
-	g.DropStored(f, testStart)
-	if due, _ := g.ToStore(testStart, 8); len(due) != 1 || len(due[0].Crashes) != 2 {
-		t.Error("a record that another gateway removed too early is not written again")
+	reg.DropStored(f, testStart)
+	if due, _ := reg.ToStore(testStart, 8); len(due) != 1 || len(due[0].Crashes) != 2 {
+		t.Error("record that another gateway removed from the store too early is not due for the store with both crashes")
 	}
-	if stored := g.Expire(testStart.Add(2 * suspectRetention)); len(stored) != 0 {
-		t.Errorf("%d expired records to remove from the store, which does not hold them", len(stored))
+	if stored := reg.Expire(testStart.Add(2 * suspectRetention)); len(stored) != 0 {
+		t.Errorf("%d expired records to remove from the store, want 0, as it does not hold them", len(stored))
 	}
 }
 
-// Guards against a clearance that is written again each time it is read, because its time is encoded with
-// less precision than it is kept.
+// Guards against a clearance that is written to the store again each time it is read from there: its encoded
+// time has a precision of a millisecond, and a time kept here with more precision would always be later.
 func TestClearanceIsStoredOnce(t *testing.T) {
-	g, f := newTestRegistry(), testFingerprint(1)
-	now := testStart.Add(123456 * time.Nanosecond)
-	noteTestCrash(g, now, f, "t")
-	g.NoteServed(now.Add(time.Second), f)
-	due, _ := g.ToStore(now.Add(time.Second), 1)
+	reg, f := newTestRegistry(), testFingerprint(1)
+	now := testStart.Add(123456 * time.Nanosecond) // not a whole millisecond
+	noteTestCrash(reg, now, f, "t")
+	reg.NoteServed(now.Add(time.Second), f)
+	due, _ := reg.ToStore(now.Add(time.Second), 1)
 	data, err := due[0].Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -318,27 +322,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.ApplyStored(now.Add(time.Second), stored, now)
-	if due, next := g.ToStore(now.Add(time.Minute), 1); len(due) != 0 || !next.IsZero() {
-		t.Error("scheduled for writing again")
+	reg.ApplyStored(now.Add(time.Second), stored, now)
+	if due, next := reg.ToStore(now.Add(time.Minute), 1); len(due) != 0 || !next.IsZero() {
+		t.Error("clearance that was read from the store is due for the store again")
 	}
 }
 
+// A record is the same after it was encoded and decoded, and invalid data is rejected.
 func TestRecordEncodingRoundTrip(t *testing.T) {
-	g, f := newTestRegistry(), testFingerprint(1)
-	noteTestCrashes(g, f, 2)
-	r := g.ToTell(testStart.Add(time.Minute), 1)[0]
+	reg, f := newTestRegistry(), testFingerprint(1)
+	noteTestCrashes(reg, f, 2)
+	r := reg.ToTell(testStart.Add(time.Minute), 1)[0]
 	data, err := r.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := Decode(data)
-	if err != nil || !got.covers(r, 0) || !r.covers(got, 0) || got.Content != f {
-		t.Errorf("%+v, want %+v: %v", got, r, err)
+	decoded, err := Decode(data)
+	if err != nil || !decoded.covers(r, 0) || !r.covers(decoded, 0) || decoded.Content != f {
+		t.Errorf("decoded record %+v, want %+v; error: %v", decoded, r, err)
 	}
 	for _, invalid := range [][]byte{nil, {0xa0}, []byte("text")} {
 		if _, err := Decode(invalid); err == nil {
-			t.Errorf("%q is decoded without an error", invalid)
+			t.Errorf("invalid record %q is decoded without an error", invalid)
 		}
 	}
 }
--- a/core/quarantine/share.go
+++ b/core/quarantine/share.go
@@ -2,15 +2,17 @@
 
 import "time"
 
-// scheduleAnnouncement schedules an entry to be sent to peers and written to the store immediately.
-func (g *Registry) scheduleAnnouncement(now time.Time, e *entry) {
-	e.sendAt, e.sendInterval, e.announcedSeen = now, minSendInterval, e.Seen
-	g.nextSendAt = time.Time{}
-	g.scheduleWrite(e, now)
+// scheduleAnnouncement schedules the record of an entry to be sent to peers and written to the store at once.
+func (reg *Registry) scheduleAnnouncement(now time.Time, e *entry) {
+	e.sendAt, e.sendInterval, e.announcedLastSeen = now, minSendInterval, e.Seen
+	reg.nextSendAt = time.Time{}
+	reg.scheduleWrite(e, now)
 }
 
-func (g *Registry) scheduleWrite(e *entry, at time.Time) {
-	if e.stored.covers(e.Record, g.renewInterval()) {
+// scheduleWrite schedules the record of an entry to be written to the store at a time, or earlier if it
+// already was. If the store holds all of it, nothing is written.
+func (reg *Registry) scheduleWrite(e *entry, at time.Time) {
+	if e.stored.covers(e.Record, reg.renewInterval()) {
 		e.writeAt = time.Time{}
 		return
 	}
@@ -19,18 +21,19 @@
 	}
 }
 
-// ToTell returns up to n records that are due to be sent to peers, those of quarantined contents first.
-func (g *Registry) ToTell(now time.Time, n int) []Record {
-	if now.Before(g.nextSendAt) {
+// ToTell returns up to n records that are due to be sent to peers, the quarantined ones first, and schedules
+// the next time that each is sent.
+func (reg *Registry) ToTell(now time.Time, n int) []Record {
+	if now.Before(reg.nextSendAt) {
 		return nil
 	}
 	var list []Record
-	for _, isQuarantinedPass := range []bool{true, false} {
-		for _, e := range g.entries {
+	for _, wantsQuarantined := range []bool{true, false} {
+		for _, e := range reg.entries {
 			if len(list) == n {
 				return list
 			}
-			if g.isQuarantined(e) != isQuarantinedPass || e.sendAt.IsZero() || now.Before(e.sendAt) {
+			if reg.isQuarantined(e) != wantsQuarantined || e.sendAt.IsZero() || now.Before(e.sendAt) {
 				continue
 			}
 			e.sendAt = now.Add(e.sendInterval)
@@ -38,14 +41,15 @@
 			list = append(list, e.Record.clone())
 		}
 	}
-	g.nextSendAt = g.earliestSend(now)
+	reg.nextSendAt = reg.earliestSend(now)
 	return list
 }
 
-// earliestSend returns when the next entry is due to be sent, at most maxSendInterval after now.
-func (g *Registry) earliestSend(now time.Time) time.Time {
+// earliestSend returns when the next record is due to be sent to peers, or maxSendInterval after now if that
+// is earlier.
+func (reg *Registry) earliestSend(now time.Time) time.Time {
 	earliest := now.Add(maxSendInterval)
-	for _, e := range g.entries {
+	for _, e := range reg.entries {
 		if !e.sendAt.IsZero() && e.sendAt.Before(earliest) {
 			earliest = e.sendAt
 		}
@@ -53,20 +57,20 @@
 	return earliest
 }
 
-// TellAgain schedules the records of quarantined contents to be sent again because a peer has started.
-func (g *Registry) TellAgain(now time.Time) {
-	for _, e := range g.entries {
-		if g.isQuarantined(e) {
+// TellAgain schedules all quarantined records to be sent to peers at once, for a peer that has just started.
+func (reg *Registry) TellAgain(now time.Time) {
+	for _, e := range reg.entries {
+		if reg.isQuarantined(e) {
 			e.sendAt, e.sendInterval = now, minSendInterval
 		}
 	}
-	g.nextSendAt = time.Time{}
+	reg.nextSendAt = time.Time{}
 }
 
-// ToStore returns up to n records that are due to be written to the store, and when the next one is due; zero
-// if there is none.
-func (g *Registry) ToStore(now time.Time, n int) (due []Record, next time.Time) {
-	for _, e := range g.entries {
+// ToStore returns up to n records that are due to be written to the store, and when the next of the other
+// records is due; next is zero if none is scheduled.
+func (reg *Registry) ToStore(now time.Time, n int) (due []Record, next time.Time) {
+	for _, e := range reg.entries {
 		switch {
 		case e.writeAt.IsZero():
 		case !now.Before(e.writeAt) && len(due) < n:
@@ -78,13 +82,14 @@
 	return due, next
 }
 
-// NoteStored notes that the store holds a record that ToStore has returned.
-func (g *Registry) NoteStored(r Record) {
-	e, ok := g.entries[r.Content]
+// NoteStored notes that a record that ToStore has returned was written to the store. If the record has changed
+// since, it stays due.
+func (reg *Registry) NoteStored(r Record) {
+	e, ok := reg.entries[r.Content]
 	if !ok {
 		return
 	}
 	at := e.writeAt
 	e.stored, e.writeAt = r.clone(), time.Time{}
-	g.scheduleWrite(e, at)
+	reg.scheduleWrite(e, at)
 }
--- a/core/quarantine/sim_test.go
+++ b/core/quarantine/sim_test.go
@@ -9,20 +9,22 @@
 	"time"
 )
 
-var simSeeds = flag.Int("quarantine.seeds", 6, "number of simulated fleets for each scenario; -v runs all variants")
+var simSeeds = flag.Int("quarantine.seeds", 6, "number of simulated fleets for each scenario; -v simulates all variants of the rules")
 
-// simOptions are the attribution rules that the simulation compares.
+// simOptions are the rules by which crashes are counted against contents. The simulation compares variants of
+// them.
 type simOptions struct {
-	threshold int
-	// hasClearance clears contents that are served; hasProgress ignores crashes during runs that advance;
-	// hasTrials admits trials of contents whose crashes may have been simultaneous.
+	threshold int // crashes after which a content is quarantined
+	// hasClearance: a content that is served is cleared. hasProgress: crashes during runs that resume an item
+	// and advance it do not count. hasTrials: trials are admitted of contents whose crashes may have been
+	// simultaneous.
 	hasClearance, hasProgress, hasTrials bool
 }
 
-// simScenario describes what crashes targets.
+// simScenario describes for what reasons targets crash.
 type simScenario struct {
-	hasCrashingContent bool          // a content that crashes each target
-	lossInterval       time.Duration // between two losses of a third of the targets at once
+	hasCrashingContent bool          // requests arrive whose content crashes each target
+	lossInterval       time.Duration // time between two events that each crash a third of the targets at once
 }
 
 // Durations and sizes of the simulated fleet.
@@ -30,16 +32,16 @@
 	simStep               = 10 * time.Millisecond
 	simDuration           = 60 * time.Second
 	simTargetCount        = 9
-	simSlots              = 8
-	simRestartTime        = 3 * time.Second // until a crashed target is up again
-	simCrashDelay         = 150 * time.Millisecond
-	simFirstEventDelay    = 70 * time.Millisecond
-	simStreamDuration     = 700 * time.Millisecond
-	simItemDuration       = 4700 * time.Millisecond
-	simRepeatInterval     = 500 * time.Millisecond // between two repeats of the crashing content
-	simArrivalProbability = 0.35                   // probability that a stream arrives in a step
-	simPopularShare       = 0.2                    // share of streams with the popular content
-	simItemCount          = 30                     // items that run or wait
+	simSlots              = 8                       // concurrent runs of a target
+	simRestartTime        = 3 * time.Second         // from the crash of a target until it is up again
+	simCrashDelay         = 150 * time.Millisecond  // from the start of a run until it crashes its target
+	simFirstEventDelay    = 70 * time.Millisecond   // from the start of a run until its first event
+	simStreamDuration     = 700 * time.Millisecond  // of the run of a stream
+	simItemDuration       = 4700 * time.Millisecond // of all runs of an item together
+	simRepeatInterval     = 500 * time.Millisecond  // between two repeats of the crashing content
+	simArrivalProbability = 0.35                    // probability that a stream arrives in a step
+	simPopularShare       = 0.2                     // share of streams with the popular content
+	simItemCount          = 30                      // items in the fleet, running or queued
 )
 
 // simRun is a run of a request at a target.
@@ -48,24 +50,26 @@
 	beganAt    time.Time
 	duration   time.Duration
 	item       *simItem // nil for streams
-	retries    int      // remaining retries of a stream
+	retries    int      // how often a stream may still be retried
 	isCrashing bool
 }
 
-// simItem is a batch item, which resumes where its last run ended.
+// simItem is a batch item, whose next run resumes where the last one was broken off.
 type simItem struct {
 	content  Fingerprint
-	progress time.Duration
+	progress time.Duration // time for which earlier runs have advanced the item
 	isQueued bool
 }
 
+// simTarget is a target of a simFleet.
 type simTarget struct {
-	id   string
+	id   string // new after each crash
 	runs []simRun
 	upAt time.Time // the target is down until then
 }
 
-// simFleet is a fleet whose gateways have identical information.
+// simFleet is a simulated fleet of targets. One registry stands for all gateways, which thus have identical
+// records.
 type simFleet struct {
 	opts     simOptions
 	scenario simScenario
@@ -77,22 +81,23 @@
 	idCount  int
 
 	crashes, brokenStreams, rejectedStreams, served, quarantinedItems int
-	// popularRejectedSince is when the popular content began to be rejected, longestRejection the longest
-	// time for which it was.
+	// popularRejectedSince is when requests with the popular content began to be rejected, zero if they are
+	// not. longestRejection is the longest time for which they were.
 	popularRejectedSince time.Time
 	longestRejection     time.Duration
 }
 
-// popularContent is sent by many callers, crashingContent crashes each target.
+// popularContent is a harmless content that many callers send; crashingContent crashes each target.
 var popularContent, crashingContent = Fingerprint{2}, Fingerprint{3}
 
+// newContent returns a content that the fleet has not run before.
 func (f *simFleet) newContent() Fingerprint {
 	f.idCount++
 	return Fingerprint{1, byte(f.idCount), byte(f.idCount >> 8), byte(f.idCount >> 16)}
 }
 
-func newSimFleet(o simOptions, s simScenario, seed uint64) *simFleet {
-	f := &simFleet{opts: o, scenario: s, rng: rand.New(rand.NewPCG(seed, 1)), registry: NewRegistry(Options{Threshold: o.threshold, Hold: DefaultHold}), now: testStart}
+func newSimFleet(opts simOptions, scenario simScenario, seed uint64) *simFleet {
+	f := &simFleet{opts: opts, scenario: scenario, rng: rand.New(rand.NewPCG(seed, 1)), registry: NewRegistry(Options{Threshold: opts.threshold, Hold: DefaultHold}), now: testStart}
 	for i := range simTargetCount {
 		f.targets = append(f.targets, &simTarget{id: fmt.Sprint("t", i)})
 	}
@@ -102,6 +107,7 @@
 	return f
 }
 
+// isQuarantined reports whether a request with the content must not be sent now.
 func (f *simFleet) isQuarantined(content Fingerprint) bool {
 	if f.opts.hasTrials {
 		return f.registry.Check(f.now, content)
@@ -110,29 +116,29 @@
 	return ok && f.registry.isQuarantined(e)
 }
 
-// startRun starts a run at the target with the most free slots among those that are up, and reports whether
-// there was one.
+// startRun starts a run at the target with the most free slots, and reports whether any target that is up had
+// one.
 func (f *simFleet) startRun(r simRun) bool {
-	var best *simTarget
+	var leastLoaded *simTarget
 	for _, i := range f.rng.Perm(len(f.targets)) {
 		t := f.targets[i]
 		if f.now.Before(t.upAt) || len(t.runs) >= simSlots {
 			continue
 		}
-		if best == nil || len(t.runs) < len(best.runs) {
-			best = t
+		if leastLoaded == nil || len(t.runs) < len(leastLoaded.runs) {
+			leastLoaded = t
 		}
 	}
-	if best == nil {
+	if leastLoaded == nil {
 		return false
 	}
 	f.registry.Admit(f.now, r.content)
 	r.beganAt = f.now
-	best.runs = append(best.runs, r)
+	leastLoaded.runs = append(leastLoaded.runs, r)
 	return true
 }
 
-// crashTarget crashes a target and breaks off its runs.
+// crashTarget breaks off all runs of a target and starts its restart.
 func (f *simFleet) crashTarget(t *simTarget) {
 	for _, r := range t.runs {
 		f.noteBroken(t, r)
@@ -141,6 +147,8 @@
 	t.id, t.runs, t.upAt = fmt.Sprint("t", f.idCount), nil, f.now.Add(simRestartTime)
 }
 
+// noteBroken counts the crash of a target against the content of a run that it broke off, and queues the item
+// or retries the stream of the run.
 func (f *simFleet) noteBroken(t *simTarget, r simRun) {
 	ran := max(0, f.now.Sub(r.beganAt)-simFirstEventDelay)
 	hasAdvanced := r.item != nil && r.item.progress > 0 && ran > 0
@@ -161,7 +169,7 @@
 	}
 }
 
-// sendStream sends a stream with a harmless content.
+// sendStream sends a stream with a harmless content unless the content is quarantined.
 func (f *simFleet) sendStream(content Fingerprint, retries int) {
 	if f.isQuarantined(content) {
 		f.rejectedStreams++
@@ -177,8 +185,8 @@
 	return slices.ContainsFunc(f.targets, func(t *simTarget) bool { return !f.now.Before(t.upAt) && len(t.runs) < simSlots })
 }
 
-// trackPopular notes whether the popular content is rejected or sent. Time without a free slot does not
-// count.
+// trackPopular updates longestRejection after a request was rejected or sent, if its content is the popular
+// one. Time in which no target has a free slot does not count.
 func (f *simFleet) trackPopular(content Fingerprint, isRejected bool) {
 	switch {
 	case content != popularContent:
@@ -194,6 +202,7 @@
 	}
 }
 
+// step ends the runs that are complete at f.now and crashes the targets that run the crashing content.
 func (f *simFleet) step() {
 	for _, t := range f.targets {
 		running := t.runs[:0:0]
@@ -221,6 +230,8 @@
 	}
 }
 
+// sendArrivals sends a stream that arrives in this step, if there is one, and starts the queued items. An item
+// whose content is quarantined is replaced by a new one.
 func (f *simFleet) sendArrivals() {
 	if f.rng.Float64() < simArrivalProbability {
 		content, retries := popularContent, 0
@@ -242,8 +253,8 @@
 	}
 }
 
-// run simulates a minute with one content that crashes targets, if the scenario has it, and with losses for
-// other reasons.
+// run simulates simDuration with requests of the crashing content, if the scenario has them, and with targets
+// that are lost for other reasons.
 func (f *simFleet) run() {
 	for at := time.Duration(0); at < simDuration; at += simStep {
 		f.now = testStart.Add(at)
@@ -262,12 +273,13 @@
 	}
 }
 
-// maxRejection is how long a harmless content may be rejected after it was in progress at targets that were
-// lost together.
+// maxRejection is the maximum time for which requests with a harmless content may be rejected after several
+// targets that ran it were lost together.
 const maxRejection = 2 * time.Second
 
-// Guards against attribution rules that let a crashing content crash more targets than the platform allows,
-// or that reject harmless requests for long. The test logs the totals of the compared variants.
+// Guards against rules that let a crashing content crash more than twice DefaultThreshold targets, that reject
+// harmless requests for longer than maxRejection, or that quarantine harmless items. The test logs the mean
+// results of the compared variants of the rules.
 func TestCrashAttribution(t *testing.T) {
 	production := simOptions{threshold: DefaultThreshold, hasClearance: true, hasProgress: true, hasTrials: true}
 	variants := []struct {
@@ -284,9 +296,9 @@
 		{"none", simOptions{MaxCrashes + 1, true, true, true}},
 	}
 	for name, scenario := range map[string]simScenario{
-		"a crashing content, losses each 10 s": {true, 10 * time.Second},
-		"losses each 10 s":                     {false, 10 * time.Second},
-		"losses each 4 s":                      {false, 4 * time.Second},
+		"a crashing content, targets lost together each 10 s": {true, 10 * time.Second},
+		"targets lost together each 10 s":                     {false, 10 * time.Second},
+		"targets lost together each 4 s":                      {false, 4 * time.Second},
 	} {
 		for _, variant := range variants {
 			var total simFleet
@@ -298,21 +310,21 @@
 				f.run()
 				total.add(f)
 				if variant.simOptions == production && (f.crashes > 2*DefaultThreshold || f.longestRejection > maxRejection || f.quarantinedItems > 0) {
-					t.Errorf("%s, seed %d: %d crashes, popular content rejected for %v, %d items quarantined", name, seed, f.crashes, f.longestRejection, f.quarantinedItems)
+					t.Errorf("%s, seed %d: %d crashes, popular content rejected for %v, %d items quarantined, want at most 6, 2s and 0", name, seed, f.crashes, f.longestRejection, f.quarantinedItems)
 				}
 			}
 			mean := func(n int) float64 { return float64(n) / float64(*simSeeds) }
-			t.Logf("%s: %-12s crashes %5.1f, streams broken off %6.1f, rejected %6.1f, items quarantined %5.1f, served %7.1f",
+			t.Logf("%s: rules %-12s mean per fleet: crashes %5.1f, streams broken off %6.1f and rejected %6.1f, items quarantined %5.1f, requests served %7.1f",
 				name, variant.name, mean(total.crashes), mean(total.brokenStreams), mean(total.rejectedStreams), mean(total.quarantinedItems), mean(total.served))
 		}
 	}
 }
 
-// add adds the counts of another fleet.
-func (f *simFleet) add(o *simFleet) {
-	f.crashes += o.crashes
-	f.brokenStreams += o.brokenStreams
-	f.rejectedStreams += o.rejectedStreams
-	f.quarantinedItems += o.quarantinedItems
-	f.served += o.served
+// add adds the counts of another fleet to those of f.
+func (f *simFleet) add(other *simFleet) {
+	f.crashes += other.crashes
+	f.brokenStreams += other.brokenStreams
+	f.rejectedStreams += other.rejectedStreams
+	f.quarantinedItems += other.quarantinedItems
+	f.served += other.served
 }
