--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -12,14 +12,14 @@
 	"arbutusramp/core/serving"
 )
 
-// BenchmarkRequest measures the cost of a request that is served: it is checked on arrival and before it is
-// sent, and then noted as served. While there are no records, nothing is hashed.
+// BenchmarkRequest measures what the quarantine adds to a request that is served: the request is checked on
+// arrival and before it is sent, and then noted as served. Without records, no fingerprint is computed.
 func BenchmarkRequest(b *testing.B) {
 	for _, size := range []int{1500, 15000} {
-		for _, contents := range []int{0, 1000} {
-			b.Run(fmt.Sprintf("%d bytes, %d records", size, contents), func(b *testing.B) {
+		for _, recordCount := range []int{0, 1000} {
+			b.Run(fmt.Sprintf("%d bytes, %d records", size, recordCount), func(b *testing.B) {
 				q := newTestQuarantine(&testFleet{result: platform.ProbeGone})
-				for i := range contents {
+				for i := range recordCount {
 					q.BrokenOff(quarantine.Broken{
 						Content: testContent(fmt.Sprint(i)), Target: serving.Target{ID: "t"}, Began: time.Now(), HasCrashed: true, Err: errors.New("EOF"),
 					})
@@ -29,7 +29,7 @@
 				for b.Loop() {
 					c := quarantine.NewContent(req)
 					if q.Check(c) != nil || q.AdmitRequest(c) != nil {
-						b.Fatal("quarantined")
+						b.Fatal("request without crashes is rejected, want it admitted")
 					}
 					q.Served(c)
 				}
--- a/internal/quarantine/interrupted.go
+++ b/internal/quarantine/interrupted.go
@@ -9,69 +9,70 @@
 )
 
 const (
-	// interruptionWindow is the maximum time between the end of a run by this process and the first sign that
-	// its target has crashed: until the cancellation has reached the target, the run may still crash it.
+	// interruptionWindow is the maximum time between the end of a run by this process and the end of another run
+	// that its target breaks off, for the ended run to be suspect as well. Until the cancellation has reached
+	// the target, the ended run may still crash it.
 	interruptionWindow = 50 * time.Millisecond
-	// maxInterruptions bounds the runs that are kept during interruptionWindow.
+	// maxInterruptions bounds the number of ended runs that are kept for interruptionWindow.
 	maxInterruptions = 1024
 )
 
-// interruption is a run that this process has ended.
-type interruption struct {
+// suspectAtTarget is a suspect with the target that had the run.
+type suspectAtTarget struct {
 	suspect
 	target serving.Target
 }
 
 // interruptions are the runs that this process has ended within interruptionWindow, oldest first.
-type interruptions []interruption
+type interruptions []suspectAtTarget
 
-// prune removes the runs that were ended too early to be related to a crash that is detected now.
-func (l interruptions) prune(now time.Time) interruptions {
-	firstRecent := slices.IndexFunc(l, func(i interruption) bool { return now.Sub(i.brokenAt) <= interruptionWindow })
+// prune removes the runs that were ended more than interruptionWindow before now.
+func (list interruptions) prune(now time.Time) interruptions {
+	firstRecent := slices.IndexFunc(list, func(run suspectAtTarget) bool { return now.Sub(run.brokenAt) <= interruptionWindow })
 	if firstRecent < 0 {
-		return l[:0]
+		return list[:0]
 	}
-	return slices.Delete(l, 0, firstRecent)
+	return slices.Delete(list, 0, firstRecent)
 }
 
-// add adds a run. If there are too many, it removes the oldest.
-func (l interruptions) add(i interruption) interruptions {
-	l = l.prune(i.brokenAt)
-	if len(l) >= maxInterruptions {
-		l = slices.Delete(l, 0, 1)
+// add adds a run that was just ended. If there are maxInterruptions already, it removes the oldest.
+func (list interruptions) add(run suspectAtTarget) interruptions {
+	list = list.prune(run.brokenAt)
+	if len(list) >= maxInterruptions {
+		list = slices.Delete(list, 0, 1)
 	}
-	return append(l, i)
+	return append(list, run)
 }
 
-// splitByTarget separates the runs at a target from the rest.
-func (l interruptions) splitByTarget(now time.Time, target string) (rest, atTarget interruptions) {
-	for _, i := range l.prune(now) {
-		if i.target.ID == target {
-			atTarget = append(atTarget, i)
+// splitByTarget prunes the list and separates the runs at a target from the rest.
+func (list interruptions) splitByTarget(now time.Time, target string) (rest, atTarget interruptions) {
+	for _, run := range list.prune(now) {
+		if run.target.ID == target {
+			atTarget = append(atTarget, run)
 		} else {
-			rest = append(rest, i)
+			rest = append(rest, run)
 		}
 	}
 	return rest, atTarget
 }
 
-// Interrupted notes a run that this process has ended, such as a batch item whose slot an online request
-// needs. If its target breaks off other runs at about that time, the run is as suspect as they are: the first
-// stream that breaks off makes the target suspect, and the other runs there are ended by this process before
-// the target breaks them off.
+// Interrupted notes a run that this process has ended, such as that of a batch item whose slot an online
+// request needs. If the target breaks off another run within interruptionWindow before or after, the ended
+// run is as suspect as that one: when a target crashes, this process may end some of its runs before the
+// target breaks them off, because the first broken-off run already makes the target suspect.
 func (q *Quarantine) Interrupted(b quarantine.Broken) {
 	if !q.isOn || !b.Counts() {
 		return
 	}
 	now := time.Now()
-	i := interruption{suspect: newSuspect(b, now), target: b.Target}
+	run := suspectAtTarget{suspect: newSuspect(b, now), target: b.Target}
 	q.mu.Lock()
 	hasBrokenOff := q.suspects.hasBrokenSince(b.Target.ID, now.Add(-interruptionWindow))
 	if !hasBrokenOff {
-		q.recentInterruptions = q.recentInterruptions.add(i)
+		q.recentInterruptions = q.recentInterruptions.add(run)
 	}
 	q.mu.Unlock()
 	if hasBrokenOff {
-		q.checkForCrash(i)
+		q.checkForCrash(run)
 	}
 }
--- a/internal/quarantine/logstore.go
+++ b/internal/quarantine/logstore.go
@@ -11,33 +11,35 @@
 	"arbutusramp/core/structs"
 )
 
-// logStore keeps the records in a stream of the log service, one entry per record. Entries that the service
-// eventually drops are older than any record that still counts.
+// logStore is a Store that keeps the records in a stream of the log service, one entry per record. The service
+// eventually drops old entries; by then, the records in them have expired.
 type logStore struct{ log platform.Log }
 
-// NewLogStore returns a store that keeps its records in a log.
+// NewLogStore returns a Store that keeps the records in the stream structs.QuarantineStream of a log.
 func NewLogStore(log platform.Log) Store { return &logStore{log} }
 
-// logRecord is a record in the stream. An empty Value removes the record of the key.
+// logRecord is the body of an entry in the stream: a record and its key. An empty Value removes the record
+// with the key.
 type logRecord struct {
 	Key   string `cbor:"1,keyasint"`
 	Value []byte `cbor:"2,keyasint,omitempty"`
 }
 
 const (
-	// logPageEntries is the maximum number of entries that one read returns.
+	// logPageEntries is the maximum number of entries that one read of the log returns.
 	logPageEntries = 256
 	// firstOffset is the offset of the first entry of a stream.
 	firstOffset = 1
 )
 
-// Append implements Store. It ignores conditions and producers: no writer of these records needs them.
+// Append implements Store. It ignores the conditions and the producer of a, which no writer of quarantine
+// records sets.
 func (s *logStore) Append(ctx context.Context, a platform.Append) (platform.Appended, error) {
 	var appended platform.Appended
 	for i, rec := range a.Records {
 		body, err := cbor.Marshal(logRecord{Key: rec.Key, Value: rec.Value})
 		if err != nil {
-			return appended, errs.Newf(errs.Internal, "record can't be encoded: %v", err)
+			return appended, errs.Newf(errs.Internal, "entry for a quarantine record can't be encoded: %v", err)
 		}
 		offset, err := s.log.Append(ctx, structs.QuarantineStream, body)
 		if err != nil {
@@ -63,7 +65,7 @@
 	return platform.Records{End: uint64(page.Next), Records: decodeEntries(page.Entries)}, nil
 }
 
-// Newest implements Store. It reads the whole stream.
+// Newest implements Store. It reads the whole stream and returns all records in one page.
 func (s *logStore) Newest(ctx context.Context, _ platform.Partition, _ string) (platform.NewestPage, error) {
 	newest := make(map[string]platform.StoredRecord)
 	for from := structs.Offset(firstOffset); ; {
@@ -85,6 +87,7 @@
 	}
 }
 
+// recordsWithValue returns the records that were not removed by an empty value, in no particular order.
 func recordsWithValue(newest map[string]platform.StoredRecord) []platform.StoredRecord {
 	var list []platform.StoredRecord
 	for _, rec := range newest {
@@ -95,8 +98,8 @@
 	return list
 }
 
-// decodeEntries decodes entries. An entry that can't be decoded is returned with its body as the value; the
-// reader skips it as an invalid record.
+// decodeEntries returns the records in entries of the stream. An entry that can't be decoded is returned with
+// its body as the value, which the reader of the store then skips as an invalid record.
 func decodeEntries(entries []structs.LogEntry) []platform.StoredRecord {
 	var list []platform.StoredRecord
 	for _, e := range entries {
--- a/internal/quarantine/logstore_test.go
+++ b/internal/quarantine/logstore_test.go
@@ -17,8 +17,8 @@
 	"arbutusramp/internal/adapter/logmem"
 )
 
-// Entries (processes of the entry role) have no keyed store: they share records through a stream of the log,
-// some of whose entries may have expired or be invalid.
+// Processes of the entry role have no keyed store: they share records through a stream of the log. The stream
+// may contain invalid entries, and its oldest ones may have expired.
 func TestEntriesShareRecordsThroughLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logmem.New(1)
@@ -45,13 +45,13 @@
 		late := start()
 		for i, q := range []*Quarantine{first, second, late} {
 			if !isQuarantined(q, "body") {
-				t.Errorf("entry %d does not quarantine the content", i)
+				t.Errorf("process %d does not quarantine the content after three crashes", i)
 			}
 		}
 		log.SetFaults(logmem.Faults{Retention: time.Millisecond})
 		time.Sleep(time.Minute)
 		if !start().Loaded() {
-			t.Error("not loaded from a log whose entries have expired")
+			t.Error("process has not loaded the records a second after its start; the entries of the log have expired")
 		}
 		stop()
 		wg.Wait()
--- a/internal/quarantine/many_test.go
+++ b/internal/quarantine/many_test.go
@@ -17,18 +17,19 @@
 )
 
 const (
+	// gatewayCount is the number of gateways that share records.
 	gatewayCount = 88
 	// reportInterval is the time between two reports of a gateway to its peers.
 	reportInterval = 50 * time.Millisecond
 	// repeatInterval is the time between two repeats of the request that crashes targets.
 	repeatInterval = 70 * time.Millisecond
-	// settleTime and maxLateSends are the platform's rule: at most three sends later than settleTime after
-	// the third crash.
+	// settleTime and maxLateSends are the limits that the platform guarantees: a request that crashes targets
+	// is sent at most maxLateSends times later than settleTime after the third crash.
 	settleTime   = 3 * time.Second
 	maxLateSends = 3
 )
 
-// countingStore counts the writes of all gateways.
+// countingStore is a Store that adds its writes to a counter, which all gateways share.
 type countingStore struct {
 	Store
 	appends *atomic.Int64
@@ -40,8 +41,8 @@
 }
 
 // Guards against gateways that each have to observe three crashes themselves, and against a burst of writes
-// of records that all of them have just received. One in ten reports is lost; the request that crashes
-// targets arrives once or several times simultaneously.
+// when all gateways write a record that they have just received. One in ten reports between gateways is lost.
+// In each interval, one or several copies of the request that crashes targets arrive simultaneously.
 func TestManyGatewaysShareRecordsWithFewWrites(t *testing.T) {
 	newRefusingFleet := func() *testFleet { return &testFleet{result: platform.ProbeGone} }
 	for _, copies := range []int{1, 4} {
@@ -51,14 +52,16 @@
 	}
 }
 
-// Guards against missed crashes where something else accepts connections in the place of a crashed target:
-// gateways must not take it for the target.
+// Guards against missed crashes if a supervisor accepts connections in the place of a crashed target until the
+// restarted process responds.
 func TestManyGatewaysDetectCrashesBehindSupervisors(t *testing.T) {
 	const acceptsFor = 700 * time.Millisecond
 	newSupervisedFleet := func() *testFleet { return &testFleet{probeResult: goneAfter(acceptsFor)} }
 	withGateways(t, func(g *gatewayGroup) { testRepeatedCrashes(t, g, 1, newSupervisedFleet) })
 }
 
+// testRepeatedCrashes sends copies of a request that crashes targets through random gateways for a minute, and
+// checks the number of sends and of writes to the store.
 func testRepeatedCrashes(t *testing.T, g *gatewayGroup, copies int, newFleet func() *testFleet) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var appends atomic.Int64
@@ -81,57 +84,57 @@
 			exchangeReports(quarantines, rng)
 		}
 	}
-	sent, late := crashing.countSends()
-	if sent < quarantine.DefaultThreshold || late > maxLateSends {
-		t.Errorf("%d targets have crashed, %d of them during requests sent %v after the third crash", sent, late, settleTime)
+	sends, lateSends := crashing.countSends()
+	if sends < quarantine.DefaultThreshold || lateSends > maxLateSends {
+		t.Errorf("%d targets have crashed, want 3 or more; %d of them in runs that began later than %v after the third crash, want at most 3", sends, lateSends, settleTime)
 	}
 	if n := appends.Load(); n > gatewayCount {
-		t.Errorf("%d writes", n)
+		t.Errorf("%d writes to the store, want at most one per gateway", n)
 	}
-	t.Logf("%d crashes, %d of them late, %d writes", sent, late, appends.Load())
+	t.Logf("%d crashes, %d of them in late runs, %d writes to the store", sends, lateSends, appends.Load())
 }
 
-// crashingRequest crashes each target that it is sent to.
+// crashingRequest is a request that crashes each target to which it is sent.
 type crashingRequest struct {
 	mu      sync.Mutex
-	sends   []time.Time
-	crashes []time.Time
+	sentAt  []time.Time // when it was sent
+	crashAt []time.Time // when its targets crashed
 }
 
-// send sends the request from a gateway, unless it is quarantined there.
+// send sends the request through a gateway to a new target, unless it is quarantined at the gateway.
 func (r *crashingRequest) send(q *Quarantine) {
 	c := quarantine.NewContent(&serving.Request{ID: "bad", Method: "POST", URI: "/a", Body: []byte("bad")})
 	if q.AdmitRequest(c) != nil {
 		return
 	}
-	began := time.Now()
+	beganAt := time.Now()
 	r.mu.Lock()
-	r.sends = append(r.sends, began)
-	target := fmt.Sprint("t", len(r.sends))
+	r.sentAt = append(r.sentAt, beganAt)
+	target := fmt.Sprint("t", len(r.sentAt))
 	r.mu.Unlock()
 	go func() {
 		time.Sleep(runDuration)
 		r.mu.Lock()
-		r.crashes = append(r.crashes, time.Now())
+		r.crashAt = append(r.crashAt, time.Now())
 		r.mu.Unlock()
-		q.BrokenOff(quarantine.Broken{Content: c, Target: serving.Target{ID: target}, Began: began, Err: errors.New("EOF")})
+		q.BrokenOff(quarantine.Broken{Content: c, Target: serving.Target{ID: target}, Began: beganAt, Err: errors.New("EOF")})
 	}()
 }
 
 // countSends returns how often the request was sent, and how often later than settleTime after the third
 // crash.
-func (r *crashingRequest) countSends() (sent, late int) {
+func (r *crashingRequest) countSends() (sends, lateSends int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, at := range r.sends {
-		if len(r.crashes) >= 3 && at.After(r.crashes[2].Add(settleTime)) {
-			late++
+	for _, at := range r.sentAt {
+		if len(r.crashAt) >= 3 && at.After(r.crashAt[2].Add(settleTime)) {
+			lateSends++
 		}
 	}
-	return len(r.sends), late
+	return len(r.sentAt), lateSends
 }
 
-// exchangeReports sends the due records of each gateway to all others.
+// exchangeReports sends the records that are due at each gateway to all others, and loses one in ten reports.
 func exchangeReports(quarantines []*Quarantine, rng *rand.Rand) {
 	for i, from := range quarantines {
 		records := from.ToTell()
--- a/internal/quarantine/probe.go
+++ b/internal/quarantine/probe.go
@@ -9,18 +9,20 @@
 	"arbutusramp/core/sleep"
 )
 
-// probeDelays are the delays before each probe of a target that has broken off a request, until a probe is
-// conclusive. A process that crashes may close its connections shortly before its listener, and a supervisor
-// may accept connections until the restarted process responds.
+// probeDelays are the delays before the successive probes of a target that has broken off a request. A probe
+// that shows whether the target runs is the last one. Several may be needed: a process that crashes may close
+// its connections shortly before its listener, and a supervisor may accept connections until the restarted
+// process responds.
 var probeDelays = []time.Duration{
 	10 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, 400 * time.Millisecond, 600 * time.Millisecond, 900 * time.Millisecond,
 }
 
-// bufferedDataWindow is how long after a target's crash data that it sent before may still be read.
+// bufferedDataWindow is how long after the crash of a target this process may still read data that the target
+// sent before.
 const bufferedDataWindow = 50 * time.Millisecond
 
-// probe determines whether a target that has broken off requests still runs. If no probe is conclusive, the
-// list of targets decides: see TargetsGone.
+// probe probes a target that has broken off a request at brokenAt, and counts its crash if it does not run any
+// more. If no probe shows whether it runs, only its removal from the list of targets does; see TargetsGone.
 func (q *Quarantine) probe(t serving.Target, brokenAt time.Time) {
 	for needsProbe := true; needsProbe; brokenAt = time.Now() {
 		result, probedAt := q.probeUntilConclusive(t, brokenAt)
@@ -31,14 +33,14 @@
 	}
 }
 
-// probeUntilConclusive probes a target that has broken off a request at brokenAt until a probe is conclusive
-// or all delays have passed. probedAt is when the last probe began, or the time after which the target sent
-// data.
+// probeUntilConclusive probes a target that has broken off a request at brokenAt until a probe shows whether
+// the target runs, or all of probeDelays have passed. Data that the target has sent since is as good as a
+// probe. probedAt is when the last probe began, or the time after which the target has sent data.
 func (q *Quarantine) probeUntilConclusive(t serving.Target, brokenAt time.Time) (result platform.ProbeResult, probedAt time.Time) {
 	for i, delay := range probeDelays {
 		sleep.For(context.Background(), delay)
-		if after := brokenAt.Add(bufferedDataWindow); i > 0 && q.fleet.HeardSince(t.ID, after) {
-			return platform.ProbeAlive, after
+		if dataSince := brokenAt.Add(bufferedDataWindow); i > 0 && q.fleet.HeardSince(t.ID, dataSince) {
+			return platform.ProbeAlive, dataSince
 		}
 		if !q.hasSuspects(t.ID) {
 			break
@@ -51,8 +53,8 @@
 	return result, probedAt
 }
 
-// finishProbe applies the result of a probe. It reports whether the target has to be probed again because of
-// requests that it has broken off meanwhile.
+// finishProbe dismisses the suspects that the target broke off before probedAt if the result is that it runs.
+// It reports whether the target has to be probed again because it has broken off other requests since.
 func (q *Quarantine) finishProbe(target string, result platform.ProbeResult, probedAt time.Time) (needsProbe bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,6 +1,8 @@
-// Package quarantine stops requests during which targets have crashed from reaching more targets. It
-// determines whether a target that has broken off requests has crashed, sends the result to the other
-// gateways, and keeps the records in the platform's store, from which processes load them at their start.
+// Package quarantine stops requests during which targets have crashed from reaching more targets. Gateways
+// and entries call it before they send a request and when a run ends. It determines whether a target that has
+// broken off requests has crashed, exchanges the records of crashes with peers, and keeps them in the
+// platform's store, from which processes load them at their start. The rules for quarantine are in package
+// core/quarantine.
 package quarantine
 
 import (
@@ -25,31 +27,31 @@
 
 // Names of the metrics.
 const (
-	brokenMetric      = "quarantine.broken_off"  // runs that targets have broken off after they may have begun
-	silentMetric      = "quarantine.fell_silent" // runs that were ended because their targets sent nothing
-	crashesMetric     = "quarantine.crashes"     // crashes of targets that this gateway has counted against contents
-	rejectedMetric    = "quarantine.rejected"    // requests that were not sent
-	triedMetric       = "quarantine.tried"       // requests with quarantined contents that were sent as trials
-	clearedMetric     = "quarantine.cleared"     // contents that were served after targets had crashed while running them
+	brokenOffMetric   = "quarantine.broken_off"  // runs that targets have broken off, except those that had certainly not begun
+	fellSilentMetric  = "quarantine.fell_silent" // runs that were ended because their targets sent nothing
+	crashesMetric     = "quarantine.crashes"     // crashes of targets that this process has counted against contents
+	rejectedMetric    = "quarantine.rejected"    // requests that were not sent because their content or a scope is quarantined
+	trialsMetric      = "quarantine.tried"       // requests that were sent as trials of quarantined contents or scopes
+	clearedMetric     = "quarantine.cleared"     // contents whose crashes were cleared because a target served them
 	recordsMetric     = "quarantine.records"     // records of contents and scopes
 	quarantinedMetric = "quarantine.quarantined" // contents that are quarantined
 	scopesMetric      = "quarantine.scopes"      // scopes (resources, jobs and routes) that are quarantined
-	suspectsMetric    = "quarantine.suspects"    // broken-off runs whose target is not yet known to have crashed or not
-	overflowMetric    = "quarantine.overflow"    // broken-off runs that were not tracked because there were too many
+	suspectsMetric    = "quarantine.suspects"    // runs for which it is not known yet whether their target has crashed
+	overflowMetric    = "quarantine.overflow"    // runs that were not tracked because there were too many suspects
 )
 
-// Fleet provides the state of targets and requests reports to peers.
+// Fleet provides the state of targets and sends reports to peers.
 type Fleet interface {
 	// IsInService reports whether a target is on the list of targets and not leaving.
 	IsInService(id string) bool
 	// HeardSince reports whether a target has sent data to this process after a time.
 	HeardSince(id string, t time.Time) bool
-	// ReportSoon requests that a report is sent to peers without waiting for the next one that is due.
+	// ReportSoon sends a report to peers soon, instead of when the next one is due.
 	ReportSoon()
 }
 
-// NoFleet is a Fleet and a prober for processes that receive the crashes of targets from others and exchange
-// records through the store alone.
+// NoFleet is a Fleet and a platform.TargetProber without targets and peers. It is for processes that do not
+// detect crashes of targets themselves and exchange records through the store alone.
 type NoFleet struct{}
 
 // IsInService implements Fleet.
@@ -68,60 +70,62 @@
 
 // Options are the settings and dependencies of a Quarantine.
 type Options struct {
-	Threshold int           // crashes of targets after which a content is quarantined
-	Hold      time.Duration // time after a quarantined content was last seen until its record is discarded
-	Off       policy.Off
-	Prober    platform.TargetProber
+	Threshold int                   // crashes of targets after which a content is quarantined
+	Hold      time.Duration         // how long a content stays quarantined after its last crash or rejected request
+	Off       policy.Off            // policies that are disabled
+	Prober    platform.TargetProber // probes targets that have broken off requests
 	Fleet     Fleet
 	Log       hclog.Logger
 	Metrics   metrics.Registry
 }
 
-// Quarantine is a quarantine.Registry with a lock, and the detection and exchange of crashes that update it.
-// It is safe for concurrent use.
+// Quarantine holds the records of crashes of this process in a quarantine.Registry and checks requests
+// against them. It detects crashes of targets and exchanges records with peers and the store. It is safe for
+// concurrent use.
 type Quarantine struct {
-	isOn       bool
-	hasScopes  bool // contents are also quarantined by scope
+	isOn       bool // the quarantine is not disabled
+	hasScopes  bool // scopes are quarantined as well as contents
 	prober     platform.TargetProber
 	fleet      Fleet
 	log        hclog.Logger
-	routineLog *logging.Routine
+	routineLog *logging.Routine // for lines that may be frequent
 	brokenOff  metrics.Counter
 	fellSilent metrics.Counter
 	crashes    metrics.Counter
 	rejected   metrics.Counter
-	tried      metrics.Counter
+	trials     metrics.Counter
 	cleared    metrics.Counter
 	overflow   metrics.Counter
 
 	// recordCount is the number of records in the registry. While it is 0, no request needs a fingerprint.
 	recordCount atomic.Int64
-	// passedContents are the contents whose runs have recently passed in this process.
+	// passedContents are the digests of contents of which a run has recently passed in this process.
 	passedContents *quarantine.PassedSet
-	isLoaded       atomic.Bool // the records in the store have been read
-	// writeSignal receives a value when the store may lack information.
+	isLoaded       atomic.Bool // the newest records in the store have been read
+	// writeSignal receives a value when records may be due to be written to the store.
 	writeSignal chan struct{}
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards the fields below
 	registry *quarantine.Registry
 	suspects suspectTable
-	// recentInterruptions are the runs that this process has recently ended.
+	// recentInterruptions are the runs that this process has ended within interruptionWindow.
 	recentInterruptions interruptions
 }
 
-// maxTrialJitter spreads the times from which gateways may send trials of a quarantined content. A trial by
-// one gateway becomes known to the others within some tens of milliseconds.
+// maxTrialJitter is the maximum of the random delay that each gateway adds before a trial, so that gateways do
+// not send trials of a content simultaneously. The others receive the record of a trial within some tens of
+// milliseconds.
 const maxTrialJitter = 500 * time.Millisecond
 
-// New returns a quarantine without records.
+// New returns a Quarantine without records, and registers its metrics. Run loads the records from the store.
 func New(o Options) *Quarantine {
 	q := &Quarantine{
 		isOn: o.Off.Allows(policy.Quarantine), hasScopes: o.Off.Allows(policy.QuarantineScopes), prober: o.Prober, fleet: o.Fleet, log: o.Log, routineLog: logging.NewRoutine(o.Log),
-		brokenOff:   metrics.GetOrRegisterCounter(brokenMetric, o.Metrics),
-		fellSilent:  metrics.GetOrRegisterCounter(silentMetric, o.Metrics),
+		brokenOff:   metrics.GetOrRegisterCounter(brokenOffMetric, o.Metrics),
+		fellSilent:  metrics.GetOrRegisterCounter(fellSilentMetric, o.Metrics),
 		crashes:     metrics.GetOrRegisterCounter(crashesMetric, o.Metrics),
 		rejected:    metrics.GetOrRegisterCounter(rejectedMetric, o.Metrics),
-		tried:       metrics.GetOrRegisterCounter(triedMetric, o.Metrics),
+		trials:      metrics.GetOrRegisterCounter(trialsMetric, o.Metrics),
 		cleared:     metrics.GetOrRegisterCounter(clearedMetric, o.Metrics),
 		overflow:    metrics.GetOrRegisterCounter(overflowMetric, o.Metrics),
 		writeSignal: make(chan struct{}, 1), passedContents: quarantine.NewPassedSet(),
@@ -143,7 +147,8 @@
 	return q
 }
 
-// Run exchanges records with the store until ctx ends. It returns at once if the quarantine is disabled.
+// Run exchanges records with the store until ctx ends, and then returns nil. If the quarantine is disabled, it
+// returns nil at once.
 func (q *Quarantine) Run(ctx context.Context, store Store) error {
 	if !q.isOn {
 		return nil
@@ -156,32 +161,34 @@
 	return g.Wait()
 }
 
-// Loaded reports whether the records in the store have been read. It is true if the quarantine is disabled.
+// Loaded reports whether the newest records in the store have been read. It is true if the quarantine is
+// disabled.
 func (q *Quarantine) Loaded() bool { return !q.isOn || q.isLoaded.Load() }
 
-// IsEmpty reports whether there are no records, so that no request needs to be checked.
+// IsEmpty reports whether this process has no records, so that no request needs to be checked.
 func (q *Quarantine) IsEmpty() bool { return q.recordCount.Load() == 0 }
 
-// Check returns an error of type errs.Quarantined if a request must not be sent to a target.
+// Check returns an error of type errs.Quarantined if a request must not be sent to a target now because its
+// content or one of its scopes is quarantined. Unlike AdmitRequest, it notes no trial.
 func (q *Quarantine) Check(c *quarantine.Content) error {
 	if q.IsEmpty() {
 		return nil
 	}
-	s, now := q.subject(c), time.Now()
+	subject, now := q.subject(c), time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.registry.Check(now, s.Content) {
+	if q.registry.Check(now, subject.Content) {
 		return q.reject(c, reasonContent)
 	}
-	if q.registry.CheckScopes(now, s) {
+	if q.registry.CheckScopes(now, subject) {
 		return q.reject(c, reasonScope)
 	}
 	return nil
 }
 
 // AdmitRequest must be called immediately before a request is sent to a target. It returns an error of type
-// errs.Quarantined if the request must not be sent. A quarantined request may occasionally be sent as a trial
-// to find out whether it causes the crashes.
+// errs.Quarantined if the request must not be sent. If a trial is due, a quarantined request is admitted, to
+// find out whether it causes the crashes, and the trial is sent to peers.
 func (q *Quarantine) AdmitRequest(c *quarantine.Content) error {
 	if q.IsEmpty() {
 		return nil
@@ -193,65 +200,67 @@
 	return err
 }
 
+// admit is AdmitRequest without sending a trial to peers; isTrial reports whether the request is one.
 func (q *Quarantine) admit(c *quarantine.Content) (isTrial bool, err error) {
-	s, now := q.subject(c), time.Now()
+	subject, now := q.subject(c), time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.registry.CheckScopes(now, s) {
+	if q.registry.CheckScopes(now, subject) {
 		return false, q.reject(c, reasonScope)
 	}
-	isQuarantined, isContentTrial := q.registry.Admit(now, s.Content)
+	isQuarantined, isContentTrial := q.registry.Admit(now, subject.Content)
 	if isQuarantined {
 		return false, q.reject(c, reasonContent)
 	}
-	_, isScopeTrial := q.registry.AdmitScopes(now, s)
+	_, isScopeTrial := q.registry.AdmitScopes(now, subject)
 	if isContentTrial || isScopeTrial {
-		q.tried.Inc(1)
-		q.log.Info("tried", "request", c.Request.ID, "content", s.Content.String(), "crashes", q.registry.Crashes(s.Content),
-			"scope_crashes", q.registry.ScopeCrashes(s))
+		q.trials.Inc(1)
+		q.log.Info("tried", "request", c.Request.ID, "content", subject.Content.String(), "crashes", q.registry.Crashes(subject.Content),
+			"scope_crashes", q.registry.ScopeCrashes(subject))
 	}
 	return isContentTrial || isScopeTrial, nil
 }
 
-// Reasons for which a request is not sent, as they appear in log lines.
+// What is quarantined when a request is rejected, as it appears in log lines.
 const (
 	reasonContent = "content"
 	reasonScope   = "scope"
 )
 
-// reject counts and logs a request that is not sent. The caller holds q.mu.
+// reject counts and logs a request that is not sent, and returns the error for its caller. q.mu must be held.
 func (q *Quarantine) reject(c *quarantine.Content, reason string) error {
-	s := q.subject(c)
-	crashes, scopeCrashes := q.registry.Crashes(s.Content), q.registry.ScopeCrashes(s)
+	subject := q.subject(c)
+	crashCount, maxScopeCrashes := q.registry.Crashes(subject.Content), q.registry.ScopeCrashes(subject)
 	q.rejected.Inc(1)
-	q.routineLog.Info(time.Now(), "quarantined", "request", c.Request.ID, "content", s.Content.String(), "why", reason, "crashes", crashes,
-		"scope_crashes", scopeCrashes)
+	q.routineLog.Info(time.Now(), "quarantined", "request", c.Request.ID, "content", subject.Content.String(), "why", reason, "crashes", crashCount,
+		"scope_crashes", maxScopeCrashes)
 	if reason == reasonScope {
-		return errs.Newf(errs.Quarantined, "%d targets have crashed while running similar requests", scopeCrashes)
+		return errs.Newf(errs.Quarantined, "%d targets have crashed while running similar requests", maxScopeCrashes)
 	}
-	return errs.Newf(errs.Quarantined, "%d targets have crashed while running this request", crashes)
+	return errs.Newf(errs.Quarantined, "%d targets have crashed while running this request", crashCount)
 }
 
-// subject returns the fingerprints of a request, without scopes if these are disabled.
+// subject returns the fingerprints of a request and whether a run of its content has recently passed. If the
+// quarantine of scopes is disabled, it returns only the fingerprint of the content.
 func (q *Quarantine) subject(c *quarantine.Content) quarantine.Subject {
-	s := c.Subject()
+	subject := c.Subject()
 	if !q.hasScopes {
-		return quarantine.Subject{Content: s.Content}
+		return quarantine.Subject{Content: subject.Content}
 	}
-	s.HasPassed = q.passedContents.Has(c.Digest())
-	return s
+	subject.HasPassed = q.passedContents.Has(c.Digest())
+	return subject
 }
 
-// IsSuspect reports whether a request may crash targets like others of its resource or job, so that it should
-// be sent alone.
+// IsSuspect reports whether a request may crash its target, because targets have crashed while running
+// requests of the same resource or batch job. Such requests should be sent one at a time.
 func (q *Quarantine) IsSuspect(c *quarantine.Content) bool {
 	if q.IsEmpty() {
 		return false
 	}
-	s := q.subject(c)
+	subject := q.subject(c)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.registry.IsSuspect(s)
+	return q.registry.IsSuspect(subject)
 }
 
 // Passed notes that a run of a request has passed; see quarantine.PassTime.
@@ -263,18 +272,18 @@
 	if q.IsEmpty() {
 		return
 	}
-	s := q.subject(c)
+	subject := q.subject(c)
 	q.mu.Lock()
-	crashes := q.registry.ScopeCrashes(s)
-	isNew := q.registry.NotePassed(time.Now(), s)
+	maxScopeCrashes := q.registry.ScopeCrashes(subject)
+	isNew := q.registry.NotePassed(time.Now(), subject)
 	q.mu.Unlock()
 	if isNew {
-		q.log.Info("scopes cleared", "request", c.Request.ID, "content", s.Content.String(), "crashes", crashes)
+		q.log.Info("scopes cleared", "request", c.Request.ID, "content", subject.Content.String(), "crashes", maxScopeCrashes)
 		q.propagate()
 	}
 }
 
-// Served notes that a target has served a request completely.
+// Served notes that a target has served a request completely, which clears the content and counts as a pass.
 func (q *Quarantine) Served(c *quarantine.Content) {
 	q.Passed(c)
 	if q.IsEmpty() {
@@ -282,17 +291,18 @@
 	}
 	f := c.Fingerprint()
 	q.mu.Lock()
-	crashes := q.registry.Crashes(f)
+	crashCount := q.registry.Crashes(f)
 	hasCleared := q.registry.NoteServed(time.Now(), f)
 	q.mu.Unlock()
 	if hasCleared {
 		q.cleared.Inc(1)
-		q.log.Info("cleared", "request", c.Request.ID, "content", f.String(), "crashes", crashes)
+		q.log.Info("cleared", "request", c.Request.ID, "content", f.String(), "crashes", crashCount)
 		q.propagate()
 	}
 }
 
-// noteCrash counts the crash of a target against a request.
+// noteCrash counts the crash of a target against the request of a suspect. evidence describes for the log how
+// the crash was detected.
 func (q *Quarantine) noteCrash(s suspect, target, evidence string) {
 	subject := q.subject(s.content)
 	f, crash := subject.Content, quarantine.NewCrash(target, s.start, s.beganAt, s.brokenAt)
@@ -302,8 +312,8 @@
 	if isNew && s.isUnpassed {
 		q.registry.NoteScopeCrash(now, subject, crash)
 	}
-	crashes, isQuarantined := q.registry.Crashes(f), q.registry.Check(now, f)
-	scopeCrashes, isScopeQuarantined := q.registry.ScopeCrashes(subject), q.registry.CheckScopes(now, subject)
+	crashCount, isQuarantined := q.registry.Crashes(f), q.registry.Check(now, f)
+	maxScopeCrashes, isScopeQuarantined := q.registry.ScopeCrashes(subject), q.registry.CheckScopes(now, subject)
 	q.recordCount.Store(int64(q.registry.Len()))
 	q.mu.Unlock()
 	if !isNew {
@@ -311,17 +321,18 @@
 	}
 	q.crashes.Inc(1)
 	q.log.Warn("target crashed under request", "request", s.content.Request.ID, "content", f.String(), "target", target, "evidence", evidence,
-		"after_ms", now.Sub(s.brokenAt).Milliseconds(), "crashes", crashes, "quarantined", isQuarantined,
-		"scope_crashes", scopeCrashes, "scope_quarantined", isScopeQuarantined)
+		"after_ms", now.Sub(s.brokenAt).Milliseconds(), "crashes", crashCount, "quarantined", isQuarantined,
+		"scope_crashes", maxScopeCrashes, "scope_quarantined", isScopeQuarantined)
 	q.propagate()
 }
 
-// propagate causes changed records to be sent to peers and written to the store.
+// propagate causes the records that are due to be sent to peers and written to the store soon.
 func (q *Quarantine) propagate() {
 	q.fleet.ReportSoon()
 	q.signalWriter()
 }
 
+// signalWriter causes storeSync.write to write the records that are due.
 func (q *Quarantine) signalWriter() {
 	select {
 	case q.writeSignal <- struct{}{}:
@@ -329,10 +340,11 @@
 	}
 }
 
-// maxRecordsPerReport bounds the records in one report to peers, which amounts to some hundred bytes.
+// maxRecordsPerReport bounds the number of records in one report to peers, which then adds some hundred bytes
+// to the report.
 const maxRecordsPerReport = 8
 
-// ToTell returns the records that are due to be sent to peers.
+// ToTell returns the records for the next report to peers: those that are due, at most maxRecordsPerReport.
 func (q *Quarantine) ToTell() []quarantine.Record {
 	if q.IsEmpty() {
 		return nil
@@ -342,7 +354,8 @@
 	return q.registry.ToTell(time.Now(), maxRecordsPerReport)
 }
 
-// PeerStarted notes that a message from a peer was received for the first time.
+// PeerStarted notes that a message from a peer was received for the first time. It sends all quarantined
+// records to peers again.
 func (q *Quarantine) PeerStarted() {
 	if q.IsEmpty() {
 		return
@@ -353,11 +366,11 @@
 	q.fleet.ReportSoon()
 }
 
-// peerWriteTimeout is how long a peer that has sent a record may take to write it to the store before this
-// gateway writes it.
+// peerWriteTimeout is how long a peer that has sent a record to this gateway may take to write the record to
+// the store. After that, this gateway writes it.
 const peerWriteTimeout = 5 * time.Second
 
-// Apply merges records that were received from a peer.
+// Apply merges records that were received in a report from a peer.
 func (q *Quarantine) Apply(records []quarantine.Record) {
 	if !q.isOn || len(records) == 0 {
 		return
@@ -368,17 +381,18 @@
 	q.signalWriter()
 }
 
-// applyRecords applies each record under the lock and logs those that add information.
+// applyRecords calls apply for each record with q.mu held, and logs the records for which apply reports that
+// they added information. source is where the records come from, for the log.
 func (q *Quarantine) applyRecords(records []quarantine.Record, source string, apply func(now time.Time, r quarantine.Record) bool) {
 	for _, r := range records {
 		q.mu.Lock()
 		now := time.Now()
 		isNew := apply(now, r)
-		crashes := q.registry.Crashes(r.Content)
+		crashCount := q.registry.Crashes(r.Content)
 		q.recordCount.Store(int64(q.registry.Len()))
 		q.mu.Unlock()
 		if isNew {
-			q.routineLog.Info(now, "record learned", "content", r.Content.String(), "from", source, "crashes", crashes, "seen_ms_ago", now.Sub(r.Seen).Milliseconds())
+			q.routineLog.Info(now, "record learned", "content", r.Content.String(), "from", source, "crashes", crashCount, "seen_ms_ago", now.Sub(r.Seen).Milliseconds())
 		}
 	}
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -20,18 +20,19 @@
 	"arbutusramp/standin/keyedlog"
 )
 
-// testFleet is a Fleet and a prober with settable results.
+// testFleet is a Fleet and a platform.TargetProber with settable results.
 type testFleet struct {
-	mu        sync.Mutex
-	probes    int
-	result    platform.ProbeResult
-	isLeaving bool
-	heardAt   time.Time
-	reports   int
-	// probeResult, if not nil, returns the result of a probe in place of result.
+	mu         sync.Mutex
+	probes     int                  // number of probes
+	result     platform.ProbeResult // result of each probe
+	isLeaving  bool                 // no target is in service
+	lastDataAt time.Time            // when each target last sent data
+	reports    int                  // number of calls of ReportSoon
+	// probeResult, if not nil, returns the result of a probe of a target in place of result.
 	probeResult func(target string) platform.ProbeResult
 }
 
+// set changes fields of f while no other method of f runs.
 func (f *testFleet) set(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,7 +61,7 @@
 func (f *testFleet) HeardSince(_ string, t time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.heardAt.After(t)
+	return f.lastDataAt.After(t)
 }
 
 // ReportSoon implements Fleet.
@@ -70,8 +71,8 @@
 	f.reports++
 }
 
-// goneAfter returns probe results for targets in whose place something accepts connections until, d after the
-// first probe, the restarted process responds.
+// goneAfter returns a probeResult for crashed targets in whose place a supervisor accepts connections. Until d
+// after the first probe of a target the results are not conclusive; then the restarted process responds.
 func goneAfter(d time.Duration) func(target string) platform.ProbeResult {
 	probed := make(map[string]time.Time)
 	return func(target string) platform.ProbeResult {
@@ -85,12 +86,14 @@
 	}
 }
 
+// newTestQuarantine returns a Quarantine in which the named policies are off.
 func newTestQuarantine(f *testFleet, off ...string) *Quarantine {
-	o, _ := policy.Parse(off) // the tests pass valid names only
-	return New(Options{Threshold: quarantine.DefaultThreshold, Hold: quarantine.DefaultHold, Off: o, Prober: f, Fleet: f,
+	disabled, _ := policy.Parse(off) // the tests pass valid names only
+	return New(Options{Threshold: quarantine.DefaultThreshold, Hold: quarantine.DefaultHold, Off: disabled, Prober: f, Fleet: f,
 		Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
 }
 
+// testContent returns the content of a request with a body. All other parts are the same for each call.
 func testContent(body string) *quarantine.Content {
 	return quarantine.NewContent(&serving.Request{ID: "id", Method: "POST", Host: "h", URI: "/a", Body: []byte(body)})
 }
@@ -98,97 +101,100 @@
 // runDuration is how long a run takes until its target crashes.
 const runDuration = 100 * time.Millisecond
 
-// breakOffAndWait makes a target break off a request and waits until the probes are over.
+// breakOffAndWait notes a run with the body that a target broke off after runDuration, and waits a second.
 func breakOffAndWait(q *Quarantine, body, target string) {
-	began := time.Now()
+	beganAt := time.Now()
 	time.Sleep(runDuration)
-	q.BrokenOff(quarantine.Broken{Content: testContent(body), Target: serving.Target{ID: target}, Began: began, Err: errors.New("EOF")})
+	q.BrokenOff(quarantine.Broken{Content: testContent(body), Target: serving.Target{ID: target}, Began: beganAt, Err: errors.New("EOF")})
 	time.Sleep(time.Second)
 	synctest.Wait()
 }
 
+// isQuarantined reports whether q rejects a request with the body.
 func isQuarantined(q *Quarantine, body string) bool {
 	return errs.Is(q.Check(testContent(body)), errs.Quarantined)
 }
 
-// Each case breaks off three runs for the same reason: only crashes of targets that were in service count.
+// In each case, three targets break off a run of the same content for the same reason. The content must be
+// quarantined only if the targets were in service and have crashed.
 func TestCrashDetection(t *testing.T) {
 	cases := []struct {
-		name   string
-		fleet  *testFleet
-		after  func(q *Quarantine, target string) // called a second after each broken-off run
-		want   bool
-		probes int
+		name            string
+		fleet           *testFleet
+		afterRun        func(q *Quarantine, target string) // called a second after each broken-off run
+		wantQuarantined bool
+		wantProbes      int
 	}{
-		{name: "connections are refused", fleet: &testFleet{result: platform.ProbeGone}, want: true, probes: 3},
-		{name: "only the connection is lost", fleet: &testFleet{result: platform.ProbeAlive}, probes: 3},
-		{name: "the target answers other requests", fleet: &testFleet{heardAt: time.Now().Add(100 * 365 * 24 * time.Hour)}, probes: 3},
-		{name: "unreachable, and gone from the list", fleet: &testFleet{}, want: true, probes: 12,
-			after: func(q *Quarantine, target string) { q.TargetsGone([]string{target}) }},
-		{name: "unreachable, and still on the list", fleet: &testFleet{}, probes: 18},
-		{name: "gone from the list long after", fleet: &testFleet{}, probes: 18,
-			after: func(q *Quarantine, target string) {
+		{name: "connections are refused", fleet: &testFleet{result: platform.ProbeGone}, wantQuarantined: true, wantProbes: 3},
+		{name: "only the connection is lost", fleet: &testFleet{result: platform.ProbeAlive}, wantProbes: 3},
+		{name: "the target sends data for other requests", fleet: &testFleet{lastDataAt: time.Now().Add(100 * 365 * 24 * time.Hour)}, wantProbes: 3},
+		{name: "targets are unreachable, and gone from the list of targets", fleet: &testFleet{}, wantQuarantined: true, wantProbes: 12,
+			afterRun: func(q *Quarantine, target string) { q.TargetsGone([]string{target}) }},
+		{name: "targets are unreachable, and still on the list of targets", fleet: &testFleet{}, wantProbes: 18},
+		{name: "targets are unreachable, and gone from the list of targets too late", fleet: &testFleet{}, wantProbes: 18,
+			afterRun: func(q *Quarantine, target string) {
 				time.Sleep(suspicionTTL)
 				q.TargetsGone([]string{target})
 			}},
-		{name: "alive, and gone from the list soon after", fleet: &testFleet{result: platform.ProbeAlive}, probes: 3,
-			after: func(q *Quarantine, target string) { q.TargetsGone([]string{target}) }},
-		{name: "something accepts connections until the restarted process responds", fleet: &testFleet{probeResult: goneAfter(700 * time.Millisecond)}, want: true, probes: 12},
+		{name: "targets are alive when probed, and gone from the list of targets soon after", fleet: &testFleet{result: platform.ProbeAlive}, wantProbes: 3,
+			afterRun: func(q *Quarantine, target string) { q.TargetsGone([]string{target}) }},
+		{name: "a supervisor accepts connections until the restarted process responds", fleet: &testFleet{probeResult: goneAfter(700 * time.Millisecond)}, wantQuarantined: true, wantProbes: 12},
 		{name: "leaving", fleet: &testFleet{result: platform.ProbeGone, isLeaving: true}},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				q := newTestQuarantine(c.fleet)
+				q := newTestQuarantine(test.fleet)
 				for i := range quarantine.DefaultThreshold {
 					target := fmt.Sprintf("t%d", i)
 					breakOffAndWait(q, "body", target)
-					if c.after != nil {
-						c.after(q, target)
+					if test.afterRun != nil {
+						test.afterRun(q, target)
 					}
 				}
 				time.Sleep(suspicionTTL)
 				synctest.Wait()
 				probes := 0
-				c.fleet.set(func() { probes = c.fleet.probes })
-				if isQuarantined(q, "body") != c.want || probes != c.probes {
-					t.Errorf("quarantined %v after %d probes, want %v after %d", !c.want, probes, c.want, c.probes)
+				test.fleet.set(func() { probes = test.fleet.probes })
+				if isQuarantined(q, "body") != test.wantQuarantined || probes != test.wantProbes {
+					t.Errorf("content of three broken-off runs: quarantined %v after %d probes, want %v after %d", !test.wantQuarantined, probes, test.wantQuarantined, test.wantProbes)
 				}
 				if isQuarantined(q, "other") {
-					t.Error("another request is quarantined")
+					t.Error("a content without crashes is quarantined")
 				}
 			})
 		})
 	}
 }
 
-// Targets that are lost together all run a content that many callers send. One request with it is sent as a
-// trial, and a successful response clears the content.
+// Guards against the permanent rejection of a harmless content that many callers send, after three targets
+// that are lost together have all crashed while running it: one request is sent as a trial, and a successful
+// response clears the content.
 func TestSimultaneousCrashesAdmitOneTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newTestQuarantine(&testFleet{result: platform.ProbeGone})
-		began := time.Now()
+		beganAt := time.Now()
 		time.Sleep(runDuration)
 		for i := range quarantine.DefaultThreshold {
-			q.BrokenOff(quarantine.Broken{Content: testContent("body"), Target: serving.Target{ID: fmt.Sprint(i)}, Began: began, Err: errors.New("EOF")})
+			q.BrokenOff(quarantine.Broken{Content: testContent("body"), Target: serving.Target{ID: fmt.Sprint(i)}, Began: beganAt, Err: errors.New("EOF")})
 		}
 		time.Sleep(100 * time.Millisecond)
 		if !isQuarantined(q, "body") {
-			t.Error("not quarantined")
+			t.Error("content is not quarantined after three simultaneous crashes")
 		}
 		time.Sleep(time.Second)
 		if isQuarantined(q, "body") || q.AdmitRequest(testContent("body")) != nil || q.AdmitRequest(testContent("body")) == nil {
-			t.Error("not exactly one trial was admitted")
+			t.Error("a second after three simultaneous crashes: not exactly one of two requests is admitted as a trial")
 		}
 		q.Served(testContent("body"))
 		if isQuarantined(q, "body") || q.AdmitRequest(testContent("body")) != nil {
-			t.Error("not cleared")
+			t.Error("content that the trial has served is still quarantined")
 		}
 	})
 }
 
-// Guards against missing the crash of a target that broke off another response shortly before and was found
-// alive then.
+// Guards against missing the crash of a target that has broken off another run shortly before and was then
+// found to run.
 func TestTargetIsProbedAgainAfterAnotherBrokenRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &testFleet{}
@@ -201,50 +207,52 @@
 			breakOffAndWait(q, "body", target)
 		}
 		if !isQuarantined(q, "body") || isQuarantined(q, "harmless") {
-			t.Errorf("content that crashes targets is quarantined: %v, harmless content: %v", isQuarantined(q, "body"), isQuarantined(q, "harmless"))
+			t.Errorf("content that crashes targets is quarantined: %v, want true; harmless content: %v, want false", isQuarantined(q, "body"), isQuarantined(q, "harmless"))
 		}
 	})
 }
 
-// Guards against missing a crash during the probe for an earlier broken-off run that finds the target alive,
-// and against counting a run that the restarted target breaks off as its earlier crash.
+// Guards against missing a crash that happens while the target is still being probed because of an earlier
+// broken-off run, after which it was alive. Guards also against counting a run that the restarted target
+// breaks off without a crash.
 func TestCrashDuringProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &testFleet{result: platform.ProbeAlive}
 		q := newTestQuarantine(f)
-		breakOff := func(body string, began time.Time) {
-			q.BrokenOff(quarantine.Broken{Content: testContent(body), Target: serving.Target{ID: "t"}, Began: began, Err: errors.New("EOF")})
+		breakOff := func(body string, beganAt time.Time) {
+			q.BrokenOff(quarantine.Broken{Content: testContent(body), Target: serving.Target{ID: "t"}, Began: beganAt, Err: errors.New("EOF")})
 		}
 		breakOff("first", time.Now())
-		last := probeDelays[0] + probeDelays[1]
-		time.Sleep(last) // the last probe for the first run is in progress or over
+		lastProbeAt := probeDelays[0] + probeDelays[1]
+		time.Sleep(lastProbeAt) // the last probe for the first run is in progress or over
 		synctest.Wait()
 		f.set(func() { f.result = platform.ProbeGone })
 		breakOff("second", time.Now().Add(-runDuration))
 		time.Sleep(time.Second)
 		synctest.Wait()
-		crashes := func(body string) int { return q.registry.Crashes(testContent(body).Fingerprint()) }
-		if crashes("first") != 0 || crashes("second") != 1 {
-			t.Errorf("%d crashes of the first content, %d of the second", crashes("first"), crashes("second"))
+		crashCount := func(body string) int { return q.registry.Crashes(testContent(body).Fingerprint()) }
+		if crashCount("first") != 0 || crashCount("second") != 1 {
+			t.Errorf("%d crashes counted of the first content, want 0; %d of the second, want 1", crashCount("first"), crashCount("second"))
 		}
 		f.set(func() { f.result = platform.ProbeAlive })
 		breakOff("third", time.Now())
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if crashes("third") != 0 {
-			t.Error("a run broken off by the restarted target counts as a crash")
+		if crashCount("third") != 0 {
+			t.Error("run that the restarted target broke off without a crash counts as a crash")
 		}
 	})
 }
 
-// Guards against counting the crashes of others against long work that resumes where it was interrupted.
+// Guards against the quarantine of a long request that resumes after each crash of a target and is harmless:
+// the crashes that other requests cause must not count against it as long as each run advances it.
 func TestCrashDuringAdvancingRunDoesNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newTestQuarantine(&testFleet{result: platform.ProbeGone})
 		run := func(i int, from, to string) {
-			began := time.Now()
+			beganAt := time.Now()
 			time.Sleep(runDuration)
-			q.BrokenOff(quarantine.Broken{Content: testContent("long"), Target: serving.Target{ID: fmt.Sprint("t", i)}, Began: began, From: from, To: to, Err: errors.New("EOF")})
+			q.BrokenOff(quarantine.Broken{Content: testContent("long"), Target: serving.Target{ID: fmt.Sprint("t", i)}, Began: beganAt, From: from, To: to, Err: errors.New("EOF")})
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}
@@ -253,12 +261,12 @@
 			run(i+1, fmt.Sprint(10*(i+1)), fmt.Sprint(10*(i+2)))
 		}
 		if isQuarantined(q, "long") {
-			t.Error("quarantined although each run advanced it")
+			t.Error("content is quarantined although each run has advanced it")
 		}
 		run(20, "110", "110")
 		run(21, "110", "110")
 		if !isQuarantined(q, "long") {
-			t.Error("not quarantined although it crashes targets at the same event")
+			t.Error("content is not quarantined although three targets have crashed while running it, the last two at the same event")
 		}
 	})
 }
@@ -271,18 +279,18 @@
 			q.BrokenOff(quarantine.Broken{Content: testContent(fmt.Sprint(i)), Target: serving.Target{ID: fmt.Sprint(i % 7)}, Err: errors.New("EOF")})
 		}
 		if q.suspects.len() > maxSuspects {
-			t.Errorf("%d suspects", q.suspects.len())
+			t.Errorf("%d suspects after twice the maximum of broken-off runs, want at most the maximum", q.suspects.len())
 		}
 		time.Sleep(suspicionTTL + time.Second)
 		breakOffAndWait(q, "last", "t")
 		if n := q.suspects.len(); n != 1 {
-			t.Errorf("%d suspects after all but one are too old", n)
+			t.Errorf("%d suspects after all but one are older than the limit, want 1", n)
 		}
 		time.Sleep(suspicionTTL) // until the last probe is over
 	})
 }
 
-// gatewayGroup is a group of gateways that share a store.
+// gatewayGroup is a group of gateways that share a store. Each gateway runs until ctx ends.
 type gatewayGroup struct {
 	store *keyedlog.Store
 	stop  context.CancelFunc
@@ -290,6 +298,8 @@
 	wg    sync.WaitGroup
 }
 
+// start starts a gateway, and returns its quarantine, its view of the store and its fleet, whose targets have
+// all crashed.
 func (g *gatewayGroup) start() (*Quarantine, *keyedlog.View, *testFleet) {
 	f := &testFleet{result: platform.ProbeGone}
 	q, view := newTestQuarantine(f), g.store.View()
@@ -297,6 +307,8 @@
 	return q, view, f
 }
 
+// withGateways calls f with a group without gateways and with a simulated clock, and then stops the gateways
+// that f has started.
 func withGateways(t *testing.T, f func(g *gatewayGroup)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &gatewayGroup{store: keyedlog.New(1)}
@@ -307,8 +319,8 @@
 	})
 }
 
-// Each of three gateways observes one crash. They exchange records through the store alone, as does a gateway
-// that starts later.
+// Three gateways that observe one crash each, and one that starts later, exchange records through the store
+// alone. All of them must quarantine the content, and none after one has noted that it was served.
 func TestGatewaysShareRecordsThroughStore(t *testing.T) {
 	withGateways(t, func(g *gatewayGroup) {
 		var quarantines []*Quarantine
@@ -324,50 +336,50 @@
 		late, _, _ := g.start()
 		time.Sleep(time.Second)
 		if !late.Loaded() {
-			t.Error("not loaded")
+			t.Error("gateway has not loaded the records a second after its start")
 		}
 		for i, q := range append(quarantines, late) {
 			if !isQuarantined(q, "body") {
-				t.Errorf("gateway %d does not quarantine the content", i)
+				t.Errorf("gateway %d does not quarantine the content after three crashes at three gateways", i)
 			}
 		}
 		quarantines[1].Served(testContent("body"))
 		time.Sleep(time.Second)
 		for i, q := range append(quarantines, late) {
 			if isQuarantined(q, "body") {
-				t.Errorf("gateway %d still quarantines the content after it was served", i)
+				t.Errorf("gateway %d still quarantines the content after gateway 1 has noted that it was served", i)
 			}
 		}
 	})
 }
 
-// Guards against losing crashes that were observed while the store was unavailable, and against a peer that
-// is lost before it has written a record that it sent.
+// Guards against losing crashes that were observed while the store was unavailable, and against losing a
+// record that its sender never writes to the store: the gateway that received it must write it.
 func TestRecordsAreWrittenAfterStoreOutage(t *testing.T) {
 	withGateways(t, func(g *gatewayGroup) {
-		first, view, _ := g.start()
-		second, other, _ := g.start()
+		first, firstView, _ := g.start()
+		second, secondView, _ := g.start()
 		time.Sleep(time.Second)
-		view.Set(keyedlog.Faults{Refuse: true}) // it is never available again
-		other.Set(keyedlog.Faults{Refuse: true})
+		firstView.Set(keyedlog.Faults{Refuse: true}) // the store is never available to this gateway again
+		secondView.Set(keyedlog.Faults{Refuse: true})
 		for i := range quarantine.DefaultThreshold {
 			breakOffAndWait(first, "body", fmt.Sprint(i))
 			second.Apply(first.ToTell())
 		}
 		if !isQuarantined(first, "body") || !isQuarantined(second, "body") {
-			t.Fatal("not quarantined without the store")
+			t.Fatal("content is not quarantined at both gateways after three crashes while the store is unavailable")
 		}
-		other.Set(keyedlog.Faults{})
+		secondView.Set(keyedlog.Faults{})
 		time.Sleep(2 * peerWriteTimeout)
 		late, _, _ := g.start()
 		time.Sleep(time.Second)
 		if !isQuarantined(late, "body") {
-			t.Error("a gateway that starts later does not quarantine the content")
+			t.Error("gateway that starts after the outage does not quarantine the content")
 		}
 	})
 }
 
-// Expired records are removed from the store.
+// Guards against records that stay in the store after they have expired.
 func TestExpiredRecordsAreRemovedFromStore(t *testing.T) {
 	withGateways(t, func(g *gatewayGroup) {
 		q, view, _ := g.start()
@@ -376,7 +388,7 @@
 			breakOffAndWait(q, "body", fmt.Sprint(i))
 		}
 		breakOffAndWait(q, "beside", "0")
-		records := func() (n int) {
+		countStored := func() (n int) {
 			_, err := platform.EachNewest(context.Background(), view, partition, "", func(list []platform.StoredRecord) bool {
 				n += len(list)
 				return true
@@ -386,17 +398,17 @@
 			}
 			return n
 		}
-		if n := records(); n != 3 { // two contents and the resource that they share
-			t.Errorf("%d records in the store", n)
+		if n := countStored(); n != 3 { // two contents and the resource that they share
+			t.Errorf("%d records in the store, want 3", n)
 		}
 		time.Sleep(2 * quarantine.DefaultHold)
-		if n := records(); n != 0 || q.registry.Len() != 0 {
-			t.Errorf("%d records in the store, %d here, after twice the hold", n, q.registry.Len())
+		if n := countStored(); n != 0 || q.registry.Len() != 0 {
+			t.Errorf("%d records in the store and %d in the registry after twice the hold, want 0 and 0", n, q.registry.Len())
 		}
 	})
 }
 
-// While the quarantine is disabled, nothing is rejected or written.
+// If the quarantine is disabled, no request is rejected and the store is not used.
 func TestQuarantineCanBeDisabled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newTestQuarantine(&testFleet{result: platform.ProbeGone}, string(policy.Quarantine))
@@ -404,14 +416,15 @@
 			breakOffAndWait(q, "body", fmt.Sprint(i))
 		}
 		if isQuarantined(q, "body") || !q.Loaded() || q.Run(context.Background(), nil) != nil {
-			t.Error("the quarantine is active although it is disabled")
+			t.Error("disabled quarantine: a request is rejected, or it is not loaded at once, or Run fails")
 		}
 	})
 }
 
-// Contents that share a resource are quarantined together; with scopes disabled, each content counts alone.
+// After three crashes while running three contents of a resource, another content of the resource is
+// quarantined as well; if the quarantine of scopes is disabled, it is not.
 func TestScopesCanBeDisabled(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		off  []string
 		want bool
 	}{
@@ -419,12 +432,12 @@
 		"off": {[]string{string(policy.QuarantineScopes)}, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			q := newTestQuarantine(&testFleet{result: platform.ProbeGone}, c.off...)
+			q := newTestQuarantine(&testFleet{result: platform.ProbeGone}, test.off...)
 			for i := range quarantine.DefaultThreshold {
 				breakOffAndWait(q, fmt.Sprint("body ", i), fmt.Sprint(i))
 			}
-			if got := isQuarantined(q, "another body"); got != c.want {
-				t.Errorf("%s: quarantined %v, want %v", name, got, c.want)
+			if got := isQuarantined(q, "another body"); got != test.want {
+				t.Errorf("quarantine of scopes %s: another content of the resource quarantined: %v, want %v", name, got, test.want)
 			}
 		})
 	}
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -15,60 +15,63 @@
 	"arbutusramp/internal/dependency"
 )
 
-// partition holds the newest record of each content under its fingerprint. Any gateway may write it. A
-// gateway that has information which the stored record lacks writes the record again, so that all gateways
-// converge.
+// partition is the partition of the store that holds the newest record of each content and scope, with its
+// fingerprint as the key. Any gateway may write to it. A gateway that has information which a stored record
+// lacks writes the record again, so that all gateways converge to the same records.
 var partition = platform.Partition{Topic: "keyed.quarantine"}
 
 const (
-	// maxReadWait is how long one read waits for records.
+	// maxReadWait is how long one read of the store waits for new records.
 	maxReadWait = 20 * time.Second
-	// maxReadBytes bounds the size of one read.
+	// maxReadBytes bounds the size of the records that one read returns.
 	maxReadBytes = 256 << 10
-	// readBatchDelay is the delay between two reads, in which records accumulate.
+	// readBatchDelay is the delay between two reads. It lets records accumulate, so that one read returns
+	// several.
 	readBatchDelay = 50 * time.Millisecond
-	// readRetryDelay and writeRetryDelay are the delays after failed calls.
+	// readRetryDelay and writeRetryDelay are the delays after a failed read or write until the next one.
 	readRetryDelay  = 300 * time.Millisecond
 	writeRetryDelay = 300 * time.Millisecond
-	// writeBatchDelay is the delay before a write, in which the crashes caused by one target accumulate.
+	// writeBatchDelay is the delay before a write. It lets all runs that one target breaks off be noted, so
+	// that one write contains their records.
 	writeBatchDelay = 20 * time.Millisecond
 	// writeTimeout bounds the duration of one write.
 	writeTimeout = 2 * time.Second
-	// maxRecordsPerWrite bounds the records in one write.
+	// maxRecordsPerWrite bounds the number of records in one write.
 	maxRecordsPerWrite = 128
-	// maxMergeWriteDelay is the maximum delay after which a gateway writes information that it has read to be
-	// missing in the store. Several gateways may have that information; the first one to write makes the
-	// writes of the others unnecessary.
+	// maxMergeWriteDelay is the maximum delay after which a gateway writes a record again because the record
+	// that it has read from the store lacks information. The delay is random: several gateways may have that
+	// information, and the first one to write it makes the writes of the others unnecessary.
 	maxMergeWriteDelay = time.Second
-	// expireInterval is how often expired records are discarded.
+	// expireInterval is the interval at which expired records are discarded. The writer looks for due records
+	// at least as often.
 	expireInterval = 30 * time.Second
 )
 
-// Store keeps the records. Its methods are those of platform.Store.
+// Store keeps the records of all gateways. Its methods are those of platform.Store that a Quarantine needs.
 type Store interface {
 	platform.NewestReader
 	Append(ctx context.Context, a platform.Append) (platform.Appended, error)
 	Read(ctx context.Context, r platform.Read) (platform.Records, error)
 }
 
-// storeSync synchronizes the records of a Quarantine with the store.
+// storeSync exchanges the records of a Quarantine with the store.
 type storeSync struct {
 	q     *Quarantine
 	store Store
 	link  *dependency.Link
-	// nextOffset is the offset of the next read, valid once the newest records have been loaded.
+	// nextOffset is the offset in the partition of the next record to read, valid once load has succeeded.
 	nextOffset uint64
 }
 
-// read applies the store's records until ctx ends.
+// read reads new records from the store and merges them until ctx ends. It always returns nil.
 func (s *storeSync) read(ctx context.Context) error {
 	pauses := dependency.Pauses{Answered: readBatchDelay, Failed: readRetryDelay}
 	s.link.Follow(ctx, pauses, func() error { return s.readPage(ctx) }, func(bool) {})
 	return nil
 }
 
-// readPage performs one read. Until the newest records have been loaded, and if the store no longer holds the
-// next records, it loads them instead.
+// readPage reads the records from nextOffset on once and merges them. If the newest records have not been
+// loaded yet, or if the store no longer holds the record at nextOffset, it loads the newest records instead.
 func (s *storeSync) readPage(ctx context.Context) error {
 	if !s.q.isLoaded.Load() {
 		return s.load(ctx)
@@ -86,7 +89,7 @@
 	return nil
 }
 
-// load reads the newest record of each content.
+// load reads the newest record of each content and scope from the store and merges them.
 func (s *storeSync) load(ctx context.Context) error {
 	end, err := platform.EachNewest(ctx, s.store, partition, "", func(records []platform.StoredRecord) bool {
 		s.applyStored(records)
@@ -100,6 +103,7 @@
 	return nil
 }
 
+// applyStored merges records that were read from the store. Invalid ones are logged and skipped.
 func (s *storeSync) applyStored(stored []platform.StoredRecord) {
 	var records []quarantine.Record
 	for _, rec := range stored {
@@ -122,7 +126,7 @@
 	}
 }
 
-// dropStored notes that another gateway has removed a record from the store because it had expired there.
+// dropStored notes that a gateway has removed a record from the store because it had expired at that gateway.
 func (s *storeSync) dropStored(key string) {
 	var f quarantine.Fingerprint
 	if n, err := hex.Decode(f[:], []byte(key)); err != nil || n != len(f) {
@@ -134,7 +138,8 @@
 	s.q.registry.DropStored(f, time.Now().Add(rand.N(maxMergeWriteDelay)))
 }
 
-// write writes information that the store lacks until ctx ends.
+// write writes records that the store lacks, or of which it lacks information, until ctx ends. It always
+// returns nil.
 func (s *storeSync) write(ctx context.Context) error {
 	timer := sleep.NewTimer(expireInterval)
 	defer timer.Stop()
@@ -150,7 +155,7 @@
 	}
 }
 
-// writeDue writes the records that are due and returns the time until the next write.
+// writeDue writes the records that are due and returns the time until writeDue must be called again.
 func (s *storeSync) writeDue(ctx context.Context) time.Duration {
 	for {
 		s.q.mu.Lock()
@@ -172,8 +177,8 @@
 	}
 }
 
-// append writes records to the store and notes that they are stored. Writing a record twice has no further
-// effect.
+// append writes records to the store and notes that they are stored. A failed call may be repeated even if the
+// store has written them: a record that is written twice has no further effect.
 func (s *storeSync) append(ctx context.Context, due []quarantine.Record) error {
 	var records []platform.KeyedRecord
 	for _, r := range due {
@@ -194,6 +199,7 @@
 	return nil
 }
 
+// appendRecords writes encoded records to the store within writeTimeout.
 func (s *storeSync) appendRecords(ctx context.Context, records []platform.KeyedRecord) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -201,7 +207,8 @@
 	return err
 }
 
-// expire discards expired records here and in the store until ctx ends.
+// expire discards expired records and suspects, and removes the expired records from the store as well, until
+// ctx ends. It always returns nil.
 func (q *Quarantine) expire(ctx context.Context, s *storeSync) error {
 	for sleep.For(ctx, expireInterval) {
 		now := time.Now()
@@ -210,15 +217,15 @@
 		q.suspects.prune(now)
 		q.recordCount.Store(int64(q.registry.Len()))
 		q.mu.Unlock()
-		var drops []platform.KeyedRecord
+		var removals []platform.KeyedRecord
 		for _, f := range stored[:min(len(stored), maxRecordsPerWrite)] {
-			drops = append(drops, platform.KeyedRecord{Key: f.String()})
+			removals = append(removals, platform.KeyedRecord{Key: f.String()})
 		}
-		if len(drops) == 0 {
+		if len(removals) == 0 {
 			continue
 		}
-		if err := s.appendRecords(ctx, drops); err != nil {
-			q.log.Info("expired records not removed from the store", "records", len(drops), "error", errs.As(err))
+		if err := s.appendRecords(ctx, removals); err != nil {
+			q.log.Info("expired records not removed from the store", "records", len(removals), "error", errs.As(err))
 		}
 	}
 	return nil
--- a/internal/quarantine/suspects.go
+++ b/internal/quarantine/suspects.go
@@ -8,52 +8,54 @@
 )
 
 const (
-	// suspicionTTL is how long after a target has broken off requests its crash may become known. The entry
-	// of a crashed target in the list of targets expires within three seconds, and the change is read within
-	// half a second.
+	// suspicionTTL is how long after a target has broken off a request its crash still counts against that
+	// request. The entry of a crashed target in the list of targets expires within three seconds, and gateways
+	// read the change within half a second.
 	suspicionTTL = 5 * time.Second
-	// maxSuspects bounds the number of suspects.
+	// maxSuspects bounds the number of suspects of all targets together.
 	maxSuspects = 4096
 )
 
-// suspect is a run that a target has broken off, or that this process has ended while the target broke off
-// others.
+// suspect is a run that may have crashed its target: the target has broken it off, or this process has ended
+// it when the target was silent or broke off other runs.
 type suspect struct {
 	content    *quarantine.Content
-	start      string // identifies the process start of the target; see quarantine.Broken
-	beganAt    time.Time
-	brokenAt   time.Time
-	isUnpassed bool // the run had not passed; see quarantine.PassTime
+	start      string    // id of the target's process, which changes with each restart; empty if unknown
+	beganAt    time.Time // when the request was sent to the target
+	brokenAt   time.Time // when the run ended
+	isUnpassed bool      // the run had not passed; see quarantine.PassTime
 }
 
+// newSuspect returns the suspect for a run that ended at brokenAt.
 func newSuspect(b quarantine.Broken, brokenAt time.Time) suspect {
 	return suspect{content: b.Content, start: b.Start, beganAt: b.Began, brokenAt: brokenAt, isUnpassed: !b.HasPassed}
 }
 
-// suspectTarget is a target that has broken off requests.
+// suspectTarget holds the state of a target that has recently broken off requests or fallen silent.
 type suspectTarget struct {
-	suspects     []suspect
-	lastBrokenAt time.Time // when the target last broke off a run
-	isProbing    bool
-	isSilent     bool // its last run was ended by this process because the target sent nothing
-	// evidence describes how the crash of the target was detected; empty while none was. crashedAt is when it
-	// was detected.
+	suspects     []suspect // runs for which it is not yet known whether the target has crashed
+	lastBrokenAt time.Time // when the target last broke off a run or fell silent
+	isProbing    bool      // a probe of the target is in progress
+	isSilent     bool      // the last of these runs was ended by this process because the target sent nothing
+	// evidence describes how a crash of the target was detected; empty if none was. crashedAt is when the
+	// crash was detected.
 	evidence  string
 	crashedAt time.Time
 }
 
-// suspectTable holds the runs that targets have recently broken off. count is the number of suspects of all
-// targets.
+// suspectTable holds the targets that have recently broken off requests or fallen silent, with their suspects.
 type suspectTable struct {
-	byTarget map[string]*suspectTarget
-	count    int
+	byTarget map[string]*suspectTarget // by the id of the target
+	count    int                       // number of suspects of all targets
 }
 
+// newSuspectTable returns a table without targets.
 func newSuspectTable() suspectTable { return suspectTable{byTarget: make(map[string]*suspectTarget)} }
 
+// len returns the number of suspects of all targets.
 func (s *suspectTable) len() int { return s.count }
 
-// prune removes targets that have not broken off any request for suspicionTTL.
+// prune removes the targets, with their suspects, whose lastBrokenAt is more than suspicionTTL before now.
 func (s *suspectTable) prune(now time.Time) {
 	for id, t := range s.byTarget {
 		if now.Sub(t.lastBrokenAt) > suspicionTTL {
@@ -63,7 +65,8 @@
 	}
 }
 
-// take removes and returns the suspects of a target that is known to have crashed.
+// take notes that a target has crashed and removes and returns its suspects. evidence describes how the crash
+// was detected.
 func (s *suspectTable) take(now time.Time, id, evidence string) []suspect {
 	t, ok := s.byTarget[id]
 	if !ok {
@@ -75,20 +78,20 @@
 	return list
 }
 
-// dismiss removes the suspects that a target has broken off before it was observed to run at aliveAt. It
-// reports whether any suspects remain.
+// dismiss removes the suspects of a target that ended before aliveAt, a time at which the target was found to
+// run. It reports whether any suspects of the target remain.
 func (s *suspectTable) dismiss(id string, aliveAt time.Time) (hasRemaining bool) {
 	t, ok := s.byTarget[id]
 	if !ok {
 		return false
 	}
 	s.count -= len(t.suspects)
-	t.suspects = slices.DeleteFunc(t.suspects, func(b suspect) bool { return b.brokenAt.Before(aliveAt) })
+	t.suspects = slices.DeleteFunc(t.suspects, func(run suspect) bool { return run.brokenAt.Before(aliveAt) })
 	s.count += len(t.suspects)
 	return len(t.suspects) > 0
 }
 
-// getOrCreateTarget returns the entry of a target that has broken off a request.
+// getOrCreateTarget returns the state of a target. It creates the state if there is none.
 func (s *suspectTable) getOrCreateTarget(id string) *suspectTarget {
 	t, ok := s.byTarget[id]
 	if !ok {
@@ -98,14 +101,14 @@
 	return t
 }
 
-// hasBrokenSince reports whether a target has broken off a request at or after a time.
+// hasBrokenSince reports whether a target has broken off a request or fallen silent at or after a time.
 func (s *suspectTable) hasBrokenSince(id string, since time.Time) bool {
 	t, ok := s.byTarget[id]
 	return ok && !t.lastBrokenAt.Before(since)
 }
 
-// BrokenOff notes a run that a target has broken off. Whether the target has crashed or only the connection
-// was lost becomes known within suspicionTTL.
+// BrokenOff notes a run that a target has broken off. If it is not known yet whether the target has crashed or
+// only the connection was lost, it starts a probe of the target.
 func (q *Quarantine) BrokenOff(b quarantine.Broken) {
 	now := time.Now()
 	s := newSuspect(b, now)
@@ -120,15 +123,15 @@
 	case b.Counts() && b.HasCrashed:
 		q.noteCrash(s, b.Target.ID, "known to have crashed")
 	case b.Counts():
-		q.checkForCrash(interruption{suspect: s, target: b.Target})
+		q.checkForCrash(suspectAtTarget{suspect: s, target: b.Target})
 	}
-	for _, i := range interrupted {
-		q.checkForCrash(i)
+	for _, run := range interrupted {
+		q.checkForCrash(run)
 	}
 }
 
-// markBrokenOff notes that a target has broken off a request, or that it is silent. It returns the runs at
-// the target that this process has ended within interruptionWindow before.
+// markBrokenOff notes that a target has broken off a request, or has fallen silent if isSilent is true. It
+// removes and returns the runs at the target that this process has ended within interruptionWindow before.
 func (q *Quarantine) markBrokenOff(now time.Time, target string, isSilent bool) interruptions {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -140,23 +143,22 @@
 	return atTarget
 }
 
-// checkForCrash counts a run against its request if its target is already known to have crashed, and
-// otherwise starts a probe of the target if one is needed. A target that is silent and has sent nothing since
-// the run began may have been lost before.
-func (q *Quarantine) checkForCrash(i interruption) {
-	hasSentData := q.fleet.HeardSince(i.target.ID, i.beganAt)
-	evidence, needsProbe := q.addSuspect(i.suspect, i.target.ID, hasSentData)
+// checkForCrash counts the crash of a run's target against the request if the crash is already known.
+// Otherwise it adds the run to the suspects and starts a probe of the target if one is needed.
+func (q *Quarantine) checkForCrash(run suspectAtTarget) {
+	hasSentData := q.fleet.HeardSince(run.target.ID, run.beganAt)
+	evidence, needsProbe := q.addSuspect(run.suspect, run.target.ID, hasSentData)
 	if evidence != "" {
-		q.noteCrash(i.suspect, i.target.ID, evidence)
+		q.noteCrash(run.suspect, run.target.ID, evidence)
 		return
 	}
 	if needsProbe {
-		go q.probe(i.target, i.brokenAt)
+		go q.probe(run.target, run.brokenAt)
 	}
 }
 
-// FellSilent notes a run that this process has ended because its target sent nothing for too long. A silent
-// target does not answer probes either: only the list of targets shows whether it has crashed.
+// FellSilent notes a run that this process has ended because its target sent nothing for too long. Such a
+// target does not answer probes either: only its removal from the list of targets shows that it has crashed.
 func (q *Quarantine) FellSilent(b quarantine.Broken) {
 	now := time.Now()
 	if !q.isOn || !q.wasInService(b.Target.ID) {
@@ -165,21 +167,22 @@
 	q.fellSilent.Inc(1)
 	interrupted := q.markBrokenOff(now, b.Target.ID, true)
 	if b.Counts() {
-		interrupted = append(interrupted, interruption{suspect: newSuspect(b, now), target: b.Target})
+		interrupted = append(interrupted, suspectAtTarget{suspect: newSuspect(b, now), target: b.Target})
 	}
-	for _, i := range interrupted {
-		q.checkForCrash(i)
+	for _, run := range interrupted {
+		q.checkForCrash(run)
 	}
 }
 
-// wasInService reports whether a target was in service when it broke off a request. A target that is leaving
-// may stop during any request, so that its end counts against none. Of several requests that a target breaks
-// off, the last may be noted after the target has left the list.
+// wasInService reports whether a target was in service when it broke off a request that is noted now. A
+// target that is leaving may stop during any request, so its end counts against none. A target that has
+// recently broken off other requests while in service counts as in service: when it breaks off several, the
+// last may be noted after it has left the list of targets.
 func (q *Quarantine) wasInService(target string) bool {
 	return q.fleet.IsInService(target) || q.hasBrokenRuns(target)
 }
 
-// hasBrokenRuns reports whether a target has recently broken off requests while it was in service.
+// hasBrokenRuns reports whether a target has recently broken off requests, or fallen silent, while in service.
 func (q *Quarantine) hasBrokenRuns(target string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -187,8 +190,8 @@
 	return ok
 }
 
-// hasSuspects reports whether a target has broken off requests for which it is not known yet whether it has
-// crashed.
+// hasSuspects reports whether a target has suspects, that is, runs for which it is not known yet whether it
+// has crashed.
 func (q *Quarantine) hasSuspects(target string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -196,8 +199,10 @@
 	return ok && len(t.suspects) > 0
 }
 
-// addSuspect adds a suspect, unless its target is silent and has sent nothing since the run began. It returns the
-// evidence that the target has crashed, if there is any already, and whether the target has to be probed.
+// addSuspect adds a run to the suspects of its target and reports whether the target has to be probed. If the
+// target is already known to have crashed since the run began, it returns the evidence instead. A run at a
+// silent target that has sent nothing since the run began is not added: the target may have been lost before
+// the run.
 func (q *Quarantine) addSuspect(s suspect, target string, hasSentData bool) (evidence string, needsProbe bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -205,7 +210,7 @@
 	if t.evidence != "" && s.beganAt.Before(t.crashedAt) {
 		return t.evidence, false
 	}
-	t.evidence = "" // it refers to an earlier start with the same id
+	t.evidence = "" // a crash before the run began: the target has restarted under the same id
 	if t.isSilent && !hasSentData {
 		return "", false
 	}
@@ -220,14 +225,16 @@
 	return "", needsProbe
 }
 
-// TargetsGone notes targets that are no longer on the list of targets.
+// TargetsGone notes the ids of targets that are no longer on the list of targets. Their suspects count as
+// crashes.
 func (q *Quarantine) TargetsGone(ids []string) {
 	for _, id := range ids {
 		q.confirmCrash(id, "gone from the list")
 	}
 }
 
-// confirmCrash counts the crash of a target against the requests that it has broken off.
+// confirmCrash counts the crash of a target against the requests of its suspects. evidence describes how the
+// crash was detected.
 func (q *Quarantine) confirmCrash(target, evidence string) {
 	now := time.Now()
 	q.mu.Lock()
