--- a/core/quarantine/contain_sim_test.go
+++ b/core/quarantine/contain_sim_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// isQuarantined reports whether an item must not be sent now because of its content or, with the rule, a
-// scope.
+// isQuarantined reports whether an item must not be sent now because of its content or, if hasScopes
+// is set, because of a scope.
 func (f *containFleet) isQuarantined(item *containItem) bool {
 	return f.registry.Check(f.now, item.subject.Content) || f.rules.hasScopes && f.registry.CheckScopes(f.now, item.subject)
 }
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -54,8 +54,8 @@
 	// By is the digest of the content that was run; 0 except in the record of a scope.
 	By uint64
 
-	// learnedAt is when this process first observed or received the crash, by its own clock.
-	learnedAt time.Time
+	// notedAt is when this process first observed or received the crash, by its own clock.
+	notedAt time.Time
 }
 
 // NewCrash returns the crash of the target with the id target during a run that began at beganAt and was
@@ -76,7 +76,7 @@
 }
 
 // clamped returns a copy of r in which each time that is more than maxClockSkew after now is replaced by now,
-// and learnedAt of each crash is set to now.
+// and notedAt of each crash is set to now.
 func (r Record) clamped(now time.Time) Record {
 	latest := now.Add(maxClockSkew)
 	clamp := func(t time.Time) time.Time {
@@ -89,7 +89,7 @@
 	r.Cleared, r.Seen, r.Tried = clamp(r.Cleared), clamp(r.Seen), clamp(r.Tried)
 	for i := range r.Crashes {
 		r.Crashes[i].At = clamp(r.Crashes[i].At)
-		r.Crashes[i].learnedAt = now
+		r.Crashes[i].notedAt = now
 	}
 	return r
 }
@@ -132,11 +132,11 @@
 	return c.Target == other.Target && other.Began.Sub(c.At) < minRestartDelay && c.Began.Sub(other.At) < minRestartDelay
 }
 
-// countKnownAt returns how many of the record's crashes this process had observed or received before t.
-func (r Record) countKnownAt(t time.Time) int {
+// countNotedBefore returns how many of the record's crashes this process had observed or received before t.
+func (r Record) countNotedBefore(t time.Time) int {
 	n := 0
 	for _, c := range r.Crashes {
-		if c.learnedAt.Before(t) {
+		if c.notedAt.Before(t) {
 			n++
 		}
 	}
@@ -174,9 +174,9 @@
 }
 
 // covers reports whether merging other into r would add nothing to r except a Seen that is later by at most
-// maxSeenLag.
-func (r Record) covers(other Record, maxSeenLag time.Duration) bool {
-	if other.Cleared.After(r.Cleared) || other.Tried.After(r.Tried) || other.Seen.After(r.Seen.Add(maxSeenLag)) {
+// maxLastSeenLag.
+func (r Record) covers(other Record, maxLastSeenLag time.Duration) bool {
+	if other.Cleared.After(r.Cleared) || other.Tried.After(r.Tried) || other.Seen.After(r.Seen.Add(maxLastSeenLag)) {
 		return false
 	}
 	for _, c := range other.Crashes {
--- a/core/quarantine/registry.go
+++ b/core/quarantine/registry.go
@@ -213,7 +213,7 @@
 // noteCrash adds a crash to an entry and schedules the record to be sent and written if the crash was not
 // known before, which it reports.
 func (reg *Registry) noteCrash(now time.Time, e *entry, c Crash) (isNew bool) {
-	c.Preceding, c.learnedAt = e.countKnownAt(c.Began), now
+	c.Preceding, c.notedAt = e.countNotedBefore(c.Began), now
 	previousCount := len(e.Crashes)
 	e.merge(Record{Content: e.Content, Seen: now.Truncate(time.Millisecond), Crashes: []Crash{c}})
 	if len(e.Crashes) == previousCount {
--- a/core/quarantine/registry_test.go
+++ b/core/quarantine/registry_test.go
@@ -90,7 +90,7 @@
 		}
 		cleared := Record{Content: f, Cleared: now}
 		if !reg.ApplyPeer(now, cleared, now) || reg.Check(now, f) || reg.ApplyPeer(now, records[0], now) && reg.Crashes(f) > 0 {
-			t.Error("clearance is not reported as new, or the content still has crashes after it, want 0")
+			t.Error("clearance is not reported as new, or the content is still quarantined or has crashes after it")
 		}
 	}
 }
@@ -250,7 +250,7 @@
 		reg.ApplyPeer(testStart, r, testStart)
 	}
 	if sent := reg.ToTell(testStart, 8); len(sent) != 1 || len(sent[0].Crashes) != 2 {
-		t.Errorf("sent %+v, want one record with 2 crashes: the own and the received one", sent)
+		t.Errorf("sent %+v, want one record with 2 crashes: the observed and the received one", sent)
 	}
 }
 
@@ -280,7 +280,7 @@
 	noteTestCrash(reg, testStart, f, "t0")
 	due, _ := reg.ToStore(testStart, 8)
 	if len(due) != 1 {
-		t.Fatalf("%d records due for the store after an own crash, want 1", len(due))
+		t.Fatalf("%d records due for the store after a crash that this gateway observed, want 1", len(due))
 	}
 	reg.NoteStored(due[0])
 	if due, next := reg.ToStore(testStart, 8); len(due) != 0 || !next.IsZero() {
--- a/core/quarantine/scope_test.go
+++ b/core/quarantine/scope_test.go
@@ -110,7 +110,7 @@
 	}
 	for i := range len(trials) - 1 {
 		if previousDelay, delay := trials[i], trials[i+1]-trials[i]; delay < previousDelay {
-			t.Errorf("trials at %v after the last crash, want growing intervals between them", trials)
+			t.Errorf("trials at %v after the last crash, want intervals between them that do not shrink", trials)
 		}
 	}
 	reg.NotePassed(lastCrashAt.Add(3*time.Minute), testSubject(200))
--- a/internal/quarantine/interrupted.go
+++ b/internal/quarantine/interrupted.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// interruptionWindow is the maximum time between the end of a run by this process and the end of another run
-	// that its target breaks off, for the ended run to be suspect as well. Until the cancellation has reached
-	// the target, the ended run may still crash it.
+	// interruptionWindow is the maximum time between the end of a run by this process and the end of another
+	// run that its target breaks off, for the ended run to be suspect as well. Until the cancellation has
+	// reached the target, the ended run may still crash it.
 	interruptionWindow = 50 * time.Millisecond
 	// maxInterruptions bounds the number of ended runs that are kept for interruptionWindow.
 	maxInterruptions = 1024
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -214,7 +214,7 @@
 
 // Guards against missing a crash that happens while the target is still being probed because of an earlier
 // broken-off run, after which it was alive. Guards also against counting a run that the restarted target
-// breaks off without a crash.
+// breaks off without a crash, because the crash before the restart is known.
 func TestCrashDuringProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &testFleet{result: platform.ProbeAlive}
