--- a/internal/gateway/access.go
+++ b/internal/gateway/access.go
@@ -6,26 +6,26 @@
 	"arbutusramp/core/errs"
 )
 
-// takeQuota takes one request from the quota of the caller's workspace. A caller without a workspace has no
-// quota. Error: errs.RateLimited.
+// takeQuota takes one request from the quota of the caller's workspace. A caller without a workspace is not
+// limited by a quota. Error: errs.RateLimited.
 func (x *exchange) takeQuota() error {
-	name := x.req.Caller.Workspace
-	if name == "" {
+	workspaceID := x.req.Caller.Workspace
+	if workspaceID == "" {
 		return nil
 	}
-	d := x.gw.quotas.Admit(name)
-	if d.IsAdmitted {
-		x.hasQuota, x.isNearLimit = true, d.IsNearLimit
+	decision := x.gw.quotas.Admit(workspaceID)
+	if decision.IsAdmitted {
+		x.hasTakenQuota, x.isNearQuota = true, decision.IsNearLimit
 		return nil
 	}
-	x.gw.shedLog.Info(time.Now(), "quota", "request", x.req.ID, "workspace", name, "verdict", "reject", "tokens", d.Tokens,
-		"share", d.Share, "retry_after_ms", d.RetryAfter.Milliseconds())
-	return errs.New(errs.RateLimited, "the workspace exceeds its request quota").WithRetry(d.RetryAfter)
+	x.gw.shedLog.Info(time.Now(), "quota", "request", x.req.ID, "workspace", workspaceID, "verdict", "reject", "tokens", decision.Tokens,
+		"share", decision.Share, "retry_after_ms", decision.RetryAfter.Milliseconds())
+	return errs.New(errs.RateLimited, "the workspace exceeds its request quota").WithRetry(decision.RetryAfter)
 }
 
-// recheckKey authorizes the request again before it is sent to a target, because its key may have been
-// revoked while it was queued. A request that a target may already have run continues: its caller was
-// authorized on arrival.
+// recheckKey authorizes the request again before it is sent to a target, because the caller's API key may have
+// been revoked while the request was queued. A request that a target may already have run is not checked
+// again: its caller was authorized on arrival.
 func (x *exchange) recheckKey() error {
 	if x.possibleRuns > 0 || !x.req.Credential.IsSet {
 		return nil
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// queuePollInterval is how often a queued request checks for a free slot. A request holds a slot for a few
-	// hundred milliseconds.
+	// queuePollInterval is how often a queued request checks for a free slot. It is short compared to the few
+	// hundred milliseconds for which a request occupies a slot.
 	queuePollInterval = 10 * time.Millisecond
-	// maxControllers bounds the number of services with a controller. Services come and go. At the bound all
-	// controllers are dropped and start again without history.
+	// maxControllers bounds the number of services with a controller, since controllers of removed services
+	// are not deleted. At the bound all controllers are dropped and created again without their history.
 	maxControllers = 1024
 )
 
-// controller is the shed.Controller of one service, guarded by a mutex.
+// controller decides which requests of one service are sent, queued or rejected in an overload. mu guards the
+// embedded shed.Controller.
 type controller struct {
 	mu sync.Mutex
 	shed.Controller
@@ -38,23 +39,22 @@
 }
 
 // get returns the controller of a service and creates it on first use.
-func (l *controllers) get(service string) *controller {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	c, ok := l.byService[service]
+func (cs *controllers) get(service string) *controller {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	c, ok := cs.byService[service]
 	if !ok {
-		if len(l.byService) >= maxControllers {
-			clear(l.byService)
+		if len(cs.byService) >= maxControllers {
+			clear(cs.byService)
 		}
-		c = &controller{Controller: shed.Controller{Off: l.off}}
-		l.byService[service] = c
+		c = &controller{Controller: shed.Controller{Off: cs.off}}
+		cs.byService[service] = c
 	}
 	return c
 }
 
-// admit returns nil once the request may be sent to a target. No part of the request is sent anywhere before.
-// Errors: errs.Overloaded, if the caller should retry later or the request can't be served, and the error of
-// ctx.
+// admit waits until the request may be sent to a target. It returns nil then, an error of type errs.Overloaded
+// if the request is rejected because of an overload, or the error of ctx if ctx ends first.
 func (x *exchange) admit(ctx context.Context) error {
 	timeLeft := x.callerTimeLeft()
 	initialTimeout := x.gw.timeouts.Note(x.route.Name, timeLeft)
@@ -75,8 +75,9 @@
 	return err.WithRetry(decision.After)
 }
 
-// newShedRequest returns what the admission decision depends on: the current prospects of the service and the
-// limits of the request and its route.
+// newShedRequest returns the input of an admission decision: the expected wait for a slot of the service, and
+// the deadline, timeouts and rank of the request. initialTimeout is how long callers of the route usually wait
+// for an answer.
 func (x *exchange) newShedRequest(initialTimeout time.Duration) shed.Request {
 	prospect := x.gw.view.Prospect(x.service)
 	return shed.Request{
@@ -85,18 +86,18 @@
 	}
 }
 
-// higherRanks returns the number of request ranks that take precedence over this request in an overload. A
+// higherRanks returns the number of ranks whose requests take precedence over this request in an overload. A
 // request of a workspace that is close to its quota yields to all others of its own rank, so that a workspace
-// with many requests does not displace the others before its quota applies.
+// with many requests does not displace the others before the quota rejects its requests.
 func (x *exchange) higherRanks() int {
 	n := x.route.HigherRanks(x.req.Caller.RankOn(x.route))
-	if x.isNearLimit {
+	if x.isNearQuota {
 		n++
 	}
 	return n
 }
 
-// queue holds the request until a slot is free for it. It returns the error of ctx if ctx ends first.
+// queue waits until the queued request may be sent. It returns the error of ctx if ctx ends first.
 func (x *exchange) queue(ctx context.Context, ctrl *controller, queued *shed.QueuedRequest, initialTimeout time.Duration) error {
 	began := time.Now()
 	defer func() { x.stages.queueTime = time.Since(began) }()
@@ -112,28 +113,31 @@
 	}
 }
 
-// canRecheck reports whether a recheck of a queued request could yield another verdict than shed.Queue. Only
-// the first request of the queue and expired ones can, so the prospects of the others need not be computed.
+// canRecheck reports whether a recheck of a queued request could yield another verdict than shed.Queue. This is
+// so only for the first request of the queue and for expired requests. For the others the expected wait need
+// not be computed.
 func (c *controller) canRecheck(queued *shed.QueuedRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.IsFirst(queued) || queued.IsExpired(time.Now())
 }
 
+// recheck decides again about a queued request.
 func (c *controller) recheck(queued *shed.QueuedRequest, r shed.Request) shed.Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Recheck(time.Now(), queued, r)
 }
 
+// dequeue removes a request from the queue. isAdmitted is true if it is sent to a target now.
 func (c *controller) dequeue(queued *shed.QueuedRequest, isAdmitted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Dequeue(time.Now(), queued, isAdmitted)
 }
 
-// callerTimeLeft returns how much longer the caller was willing to wait when the request arrived; 0 if it
-// sent no deadline.
+// callerTimeLeft returns the time from the arrival of the request to the deadline that its caller sent; 0 if it
+// sent none.
 func (x *exchange) callerTimeLeft() time.Duration {
 	if x.req.Deadline.IsZero() {
 		return 0
@@ -141,8 +145,8 @@
 	return x.req.Deadline.Sub(x.req.Arrived)
 }
 
-// logVerdict logs why a request is not sent immediately. A request that is sent immediately has the log line
-// "sent".
+// logVerdict logs that a request is queued or rejected, with the values behind the decision. A request that is
+// sent immediately is logged by logSent instead.
 func (x *exchange) logVerdict(v shed.Verdict, r shed.Request) {
 	if v == shed.Send {
 		return
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,20 +18,22 @@
 )
 
 const (
-	// maxBufferedBytes is how many bytes of a non-streamed answer are read before its header is passed on, so
-	// that an incomplete answer can be requested again from another target.
+	// maxBufferedBytes is how many bytes of a non-streamed answer are read before its header is sent to the
+	// caller. Until then an incomplete answer can still be requested again from another target.
 	maxBufferedBytes = 1 << 20
 	// idleCheckInterval is how often an attempt checks whether its target has stopped sending.
 	idleCheckInterval = 60 * time.Millisecond
-	// minStreamAnswerTimeout is the minimum time that an attempt of a retryable stream request waits for the
-	// next part of its answer although its target answers other requests: an answer can get lost. It is
-	// longer than the usual wait in a queue, so that an overload does not send every request twice. The
-	// timeout is also at least twice as long as a working target may send nothing.
+	// minStreamAnswerTimeout is the shortest time after which an attempt of a stream request that may be
+	// retried counts its answer as lost, although its target answers other requests. It is longer than the
+	// usual wait in a queue, so that an overload does not send every request twice. The timeout is also at
+	// least twice as long as a working target may send nothing.
 	minStreamAnswerTimeout = time.Second
-	// minCallAnswerTimeout is the same minimum for plain calls whose route has a shorter goal.
+	// minCallAnswerTimeout is the corresponding minimum for safe calls. Above it the timeout is 1.5 times the
+	// latency goal of the route.
 	minCallAnswerTimeout = 250 * time.Millisecond
-	// slowWriteThreshold is the duration of one write from which the caller of a stream counts as too slow.
-	// The answer of the target is not read during the write, and targets cut off answers that stay unread.
+	// slowWriteThreshold is the duration of one write to the caller from which the caller counts as too slow.
+	// The answer of the target is not read during the write, and targets close connections whose answer
+	// stays unread.
 	slowWriteThreshold = time.Second
 	// eventStreamType is the media type of streamed answers.
 	eventStreamType = "text/event-stream"
@@ -45,7 +47,7 @@
 	// resumedAfter is the id of the event after which the target was asked to resume; empty for a run from
 	// the beginning.
 	resumedAfter string
-	// hasTimedOut is set by the watcher when it cancels the attempt.
+	// hasTimedOut is set when watchIdle cancels the attempt.
 	hasTimedOut atomic.Bool
 	// lastActivity is when the last part of the answer arrived, or when the request was sent, in nanoseconds
 	// since the arrival of the request. It is not a wall-clock time, because the wall clock may jump.
@@ -89,10 +91,11 @@
 	return a.relayWhole(ctx, ans)
 }
 
-// watchIdle cancels an attempt whose target has stopped sending, if the request may be retried at another
-// target. If it may not, the target is only marked suspect and the attempt continues to wait, since its answer
-// may still come. Only silence in streams counts against a target: a target sends stream events continuously
-// while it works. A single plain call that takes long does not show that its target has failed.
+// watchIdle cancels the attempt if its target has stopped sending and the request may be retried at another
+// target. If it may not be retried, the attempt continues to wait, since its answer may still come. Only
+// silence in streams marks the target suspect: a working target sends stream events continuously. A single
+// plain call that takes long does not show that its target has failed. The caller must call stop when the
+// attempt ends.
 func (a *attempt) watchIdle(ctx context.Context, sentAt time.Time, canRetryElsewhere bool) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
@@ -117,8 +120,8 @@
 	return cancel
 }
 
-// isOverdue reports whether the answer of this attempt has made no progress for too long, even if the target
-// answers other requests.
+// isOverdue reports whether no part of this answer has arrived for longer than the answer timeout and the
+// expected queueing time at the target. Answers of the target to other requests don't count.
 func (a *attempt) isOverdue() bool {
 	answerTimeout := max(minStreamAnswerTimeout, 2*a.run.IdleLimit())
 	if a.route.Kind == serving.KindSafe {
@@ -127,32 +130,34 @@
 	return time.Since(a.req.Arrived)-time.Duration(a.lastActivity.Load()) > answerTimeout+a.run.QueueWait()
 }
 
-// noteActivity records that a part of the answer has arrived.
+// noteActivity records that the target has sent a part of the answer.
 func (a *attempt) noteActivity() {
 	a.lastActivity.Store(int64(time.Since(a.req.Arrived)))
 	a.run.NoteActivity()
 }
 
-// logSent logs the target before the request is sent to it. If this process is killed during the attempt, the
-// final line of the request is missing and this line is the only record of its target.
+// logSent logs the request and its target before the request is sent. If this process is killed during the
+// attempt, the log line of the finished request is missing and this line is the only record of the target.
 func (a *attempt) logSent(now time.Time) {
 	a.gw.sentLog.Info(now, "sent", "request", a.req.ID, "route", a.route.Name, "attempt", len(a.tried), "target", a.run.Choice.String(),
 		"after_event", a.lastEventID, "left_ms", a.deadline.Sub(now).Milliseconds())
 }
 
-// noteTargetFailure counts a failure against the target and logs it if the target becomes suspect.
+// noteTargetFailure records that the target failed this attempt, and logs if that makes the target suspect, so
+// that other targets are preferred.
 func (a *attempt) noteTargetFailure(reason string) {
 	if a.run.Failed() {
 		a.gw.log.Warn("target suspect", "target", a.run.Target.ID, "addr", a.run.Target.Addr, "why", reason, "request", a.req.ID)
 	}
 }
 
-// localError returns the error of an attempt that was not ended by its target, with type timeoutType if the
-// target sent nothing for too long. It returns nil if the target ended the attempt.
+// localError returns the error of an attempt that this process cancelled: because the target has restarted,
+// because the target sent nothing for too long (an error of type timeoutType), or because ctx has ended. It
+// returns nil if none of these applies.
 func (a *attempt) localError(ctx context.Context, timeoutType errs.Type) error {
 	if a.run.HasEnded() {
 		err := errs.New(errs.StreamBroken, "the target has restarted").WithRan(errs.RanUnknown)
-		a.reportBrokenOff(err)
+		a.recordBrokenOff(err)
 		return err
 	}
 	if a.hasTimedOut.Load() {
@@ -166,7 +171,7 @@
 	return nil
 }
 
-// sendError returns the error of an attempt that got no answer.
+// sendError returns the error of an attempt whose Send failed with err, and records the failure.
 func (a *attempt) sendError(ctx context.Context, err error) error {
 	if localErr := a.localError(ctx, errs.TargetFailed); localErr != nil {
 		return localErr
@@ -176,12 +181,12 @@
 		a.possibleRuns--
 		return err
 	}
-	a.reportBrokenOff(err)
+	a.recordBrokenOff(err)
 	return err
 }
 
-// refusalError returns the error of an answer by which the target states that it has not started the request,
-// or of an answer that belongs to another request; otherwise nil.
+// refusalError returns an error if the target answered that it has not started the request, or if the answer
+// belongs to another request; otherwise nil.
 func (a *attempt) refusalError(ans *platform.TargetAnswer) error {
 	switch {
 	case ans.OtherInstance:
@@ -200,6 +205,7 @@
 	return nil
 }
 
+// isStream reports whether ans is a successful answer with stream events.
 func isStream(ans *platform.TargetAnswer) bool {
 	return ans.Status == http.StatusOK && strings.HasPrefix(ans.Header.Get("Content-Type"), eventStreamType)
 }
@@ -208,8 +214,8 @@
 // header is sent with the first event: until then the request can still be retried elsewhere.
 func (a *attempt) relayStream(ctx context.Context, ans *platform.TargetAnswer) error {
 	reader := events.NewReader(ans.Body)
-	for hasPassed := false; ; {
-		e, err := reader.Next()
+	for isPassRecorded := false; ; {
+		event, err := reader.Next()
 		if err == io.EOF {
 			a.sendHeader(ans, -1) // a stream without events still has a header
 			return nil
@@ -218,32 +224,33 @@
 			return a.brokenOffError(ctx, err)
 		}
 		a.noteActivity()
-		if sinceFirst := a.run.Event(); !hasPassed && sinceFirst >= quarantine.PassTime {
-			hasPassed = true
+		if sinceFirst := a.run.Event(); !isPassRecorded && sinceFirst >= quarantine.PassTime {
+			isPassRecorded = true
 			a.gw.quarantine.Passed(a.content)
 		}
 		a.sendHeader(ans, -1)
-		if err := a.write(e.Raw); err != nil {
+		if err := a.write(event.Raw); err != nil {
 			return err
 		}
-		if e.ID != "" {
-			a.lastEventID = e.ID
+		if event.ID != "" {
+			a.lastEventID = event.ID
 		}
 	}
 }
 
-// sendHeader sends the header to the caller, once for all attempts: a resumed stream keeps its first header.
-// A length of -1 means unknown.
+// sendHeader sends the status and header of ans to the caller, unless an earlier attempt has sent a header: a
+// resumed stream keeps its first one. length is that of the body in bytes, -1 if unknown.
 func (a *attempt) sendHeader(ans *platform.TargetAnswer, length int64) {
 	if a.hasSentHeader {
 		return
 	}
 	a.hasSentHeader = true
 	a.stages.noteAnswerStart(time.Now())
-	a.out.Begin(ans.Status, ans.Header, length)
+	a.callerAnswer.Begin(ans.Status, ans.Header, length)
 }
 
-// brokenOffError returns the error of an answer that broke off.
+// brokenOffError returns the error of an attempt whose answer ended with err before it was complete, and records
+// the failure if the target caused it.
 func (a *attempt) brokenOffError(ctx context.Context, err error) error {
 	if localErr := a.localError(ctx, errs.StreamBroken); localErr != nil {
 		return localErr
@@ -252,15 +259,14 @@
 		return errs.Newf(errs.StreamBroken, "the answer was cut off because its caller read too slowly: %v", err)
 	}
 	a.noteTargetFailure(err.Error())
-	a.reportBrokenOff(err)
+	a.recordBrokenOff(err)
 	return errs.Newf(errs.StreamBroken, "the answer broke off: %v", err)
 }
 
-// reportBrokenOff reports to the quarantine that the target broke off the request or its answer, or
-// restarted during it.
-func (a *attempt) reportBrokenOff(err error) { a.gw.quarantine.BrokenOff(a.brokenRun(err)) }
+// recordBrokenOff reports to the quarantine that the target broke off the attempt or restarted during it.
+func (a *attempt) recordBrokenOff(err error) { a.gw.quarantine.BrokenOff(a.brokenRun(err)) }
 
-// brokenRun describes the attempt for the quarantine.
+// brokenRun describes this attempt, which ended with err, for the quarantine.
 func (a *attempt) brokenRun(err error) quarantine.Broken {
 	return quarantine.Broken{
 		Content: a.content, Target: a.run.Target, Start: a.run.Target.ID, Began: a.run.Began(), From: a.resumedAfter, To: a.lastEventID,
@@ -280,7 +286,7 @@
 		return errs.Newf(errs.TargetFailed, "the target answered with status %d", ans.Status)
 	}
 	if a.hasSentHeader {
-		return errs.Newf(errs.StreamBroken, "the next target answered with status %d within a stream", ans.Status)
+		return errs.Newf(errs.StreamBroken, "the target answered with status %d when asked to resume a stream", ans.Status)
 	}
 	if len(body) < maxBufferedBytes {
 		a.sendHeader(ans, int64(len(body)))
@@ -293,17 +299,17 @@
 	return a.relayRest(ctx, ans)
 }
 
-// canRetryStatus reports whether an error status of the target leads to another attempt. The answer of the
-// last attempt is passed to the caller unchanged.
+// canRetryStatus reports whether the request is retried after an answer with a 5xx status. The caller gets the
+// answer of the last attempt unchanged.
 func (a *attempt) canRetryStatus() bool {
 	return a.route.Kind == serving.KindSafe && a.possibleRuns < a.route.Attempts
 }
 
-// write writes p to the caller and blocks until that is done.
+// write sends p to the caller. It blocks until the caller has taken it, and measures whether the caller is slow.
 func (a *attempt) write(p []byte) error {
 	began := time.Now()
 	a.isWriting.Store(true)
-	err := a.out.Write(p)
+	err := a.callerAnswer.Write(p)
 	writeTime := time.Since(began)
 	a.isReadLate = writeTime >= slowWriteThreshold
 	if writeTime >= idleCheckInterval {
@@ -316,7 +322,7 @@
 	return nil
 }
 
-// relayRest passes on the part of a body that exceeds maxBufferedBytes.
+// relayRest passes on what is left of a body after its first maxBufferedBytes.
 func (a *attempt) relayRest(ctx context.Context, ans *platform.TargetAnswer) error {
 	buf := make([]byte, 32<<10)
 	for {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway serves online requests, whose callers wait for the answer. It sends each request to a
-// target, relays the answer, and decides when to retry at another target and when to give up.
+// Package gateway serves online requests, which are requests whose callers wait for the answer. It sends each
+// request to a target, relays the answer, and decides when to retry at another target and when to give up.
+// The gateway process uses it for all requests that are not part of batch jobs.
 package gateway
 
 import (
@@ -23,8 +24,8 @@
 )
 
 const (
-	// defaultRetryAfter is the time after which a caller should retry if no target was available and the
-	// error names no other time. It is about as long as an online stream holds its slot.
+	// defaultRetryAfter is the time after which a caller should retry if the error names no other time. It is
+	// about as long as an online stream occupies a slot of its target.
 	defaultRetryAfter = 600 * time.Millisecond
 )
 
@@ -33,12 +34,12 @@
 	targets   platform.TargetCaller
 	view      *fleetview.View
 	config    Beliefs
-	log       hclog.Logger
-	servedLog *logging.Routine
-	sentLog   *logging.Routine
-	shedLog   *logging.Routine
+	log       hclog.Logger     // failed requests and failures of targets
+	servedLog *logging.Routine // requests that were served
+	sentLog   *logging.Routine // requests that are sent to a target
+	shedLog   *logging.Routine // requests that are queued or rejected
 	reg       metrics.Registry
-	// timeouts holds, for each route, how long its callers usually wait.
+	// timeouts estimates for each route how long callers wait for an answer before they give up.
 	timeouts    *shed.CallerTimeouts
 	controllers *controllers
 	access      Access
@@ -46,50 +47,54 @@
 	quarantine  Quarantine
 }
 
-// Access authorizes requests.
+// Access checks the API keys of callers.
 type Access interface {
-	// Authorize returns the caller of a request to a route. Errors: errs.Unauthenticated, errs.ConfigStale.
-	Authorize(route *serving.Route, c workspace.Credential) (serving.Caller, error)
+	// Authorize checks the API key of a request to a route and returns the caller that the key belongs to.
+	// Errors: errs.Unauthenticated, errs.ConfigStale.
+	Authorize(route *serving.Route, key workspace.Credential) (serving.Caller, error)
 }
 
 // Quotas limits the request rate of workspaces.
 type Quotas interface {
-	// Admit takes one request from the quota of a workspace.
+	// Admit takes one request from the quota of a workspace, if the quota allows it.
 	Admit(workspace string) quota.Decision
-	// Refund returns a request to the quota of its workspace, if no target has run it.
+	// Refund undoes one admission of Admit. It is called for a request that no target has run.
 	Refund(workspace string)
 }
 
-// Quarantine blocks requests that have crashed targets.
+// Quarantine blocks requests whose content has crashed targets, and collects the outcomes of runs from which it
+// derives which content to block.
 type Quarantine interface {
-	// Check returns an error of type errs.Quarantined if a request must not be sent to a target.
+	// Check returns an error of type errs.Quarantined if a request with content c must not be sent to a target.
 	Check(c *quarantine.Content) error
-	// AdmitRequest is like Check, for a request that is about to be sent.
+	// AdmitRequest is Check for a request that is sent to a target immediately afterwards.
 	AdmitRequest(c *quarantine.Content) error
-	// BrokenOff records a run that its target broke off.
-	BrokenOff(b quarantine.Broken)
+	// BrokenOff records a run that its target broke off: the connection failed before the answer was complete,
+	// or the target has restarted.
+	BrokenOff(run quarantine.Broken)
 	// FellSilent records a run that this process ended because its target sent nothing for too long.
-	FellSilent(b quarantine.Broken)
-	// Passed records that a run lasted for quarantine.PassTime after its first event.
+	FellSilent(run quarantine.Broken)
+	// Passed records that a run has sent events for quarantine.PassTime, which shows that its content does not
+	// crash a target at the beginning of a run.
 	Passed(c *quarantine.Content)
 	// Served records that a target has answered a request completely.
 	Served(c *quarantine.Content)
 }
 
-// Beliefs is the state of the configuration in this process, for logs.
+// Beliefs provides the version and age of the configuration, which are logged with each request.
 type Beliefs interface {
-	// Version returns the version of the configuration in force.
+	// Version returns the version of the configuration that this process uses.
 	Version() uint64
-	// Age returns the time since the store last confirmed the configuration.
+	// Age returns the time since the store last confirmed that this version is the newest.
 	Age() time.Duration
 }
 
 // Options configures a Gateway. All fields but Off are required.
 type Options struct {
-	Targets platform.TargetCaller
-	View    *fleetview.View
+	Targets platform.TargetCaller // sends requests to targets
+	View    *fleetview.View       // chooses the targets
 	Beliefs Beliefs
-	Access  Access
+	Access  Access // checks keys again before each send
 	Quotas  Quotas
 	// Quarantine is checked when a request arrives and before each send.
 	Quarantine Quarantine
@@ -99,41 +104,42 @@
 	Metrics metrics.Registry
 }
 
-// New returns a gateway that serves with the given options.
+// New returns a Gateway with the given options.
 func New(o Options) *Gateway {
 	return &Gateway{targets: o.Targets, view: o.View, config: o.Beliefs, access: o.Access, quotas: o.Quotas, quarantine: o.Quarantine, log: o.Log,
 		servedLog: logging.NewRoutine(o.Log), sentLog: logging.NewRoutine(o.Log), shedLog: logging.NewRoutine(o.Log),
 		reg: o.Metrics, timeouts: shed.NewCallerTimeouts(), controllers: newControllers(o.Off)}
 }
 
-// exchange is the state of one request and its answer.
+// exchange is the state of one request of a caller, over all its attempts at targets.
 type exchange struct {
 	gw             *Gateway
 	route          *serving.Route
 	service        string
 	req            *serving.Request
-	content        *quarantine.Content
-	out            platform.CallerAnswer
-	deadline       time.Time // the request ends with an answer or an error by then
-	deadlineSource string    // source of that deadline, for the log: "route" or "caller"
+	content        *quarantine.Content   // identifies the request and its repeats for the quarantine
+	callerAnswer   platform.CallerAnswer // writes the answer to the caller
+	deadline       time.Time             // by then the caller has an answer or an error
+	deadlineSource string                // source of that deadline, for the log: "route" or "caller"
 
-	tried []string // ids of the targets that got the request or were unreachable
+	tried []string // ids of the targets of the attempts so far, including attempts that could not connect
 	// possibleRuns counts the targets that may have started the request.
 	possibleRuns int
-	// hasQuota is true once the request has taken from the quota of its workspace.
-	hasQuota bool
-	// isNearLimit is true if the workspace is close to its quota.
-	isNearLimit   bool
+	// hasTakenQuota is true once the request has been taken from the quota of its workspace.
+	hasTakenQuota bool
+	// isNearQuota is true if the workspace has used up most of its quota.
+	isNearQuota   bool
 	hasSentHeader bool     // the header of an answer has been sent to the caller
-	lastEventID   string   // id of the last event that was sent to the caller
-	choices       []string // the targets with the reasons for their choice, for the log
+	lastEventID   string   // id of the last stream event that the caller has received, possibly from an earlier request
+	choices       []string // for each attempt the target and why it was chosen, for the log
 	stages        stages
 }
 
-// Serve answers one request. It returns when the answer is complete or the request has failed.
-func (g *Gateway) Serve(ctx context.Context, route *serving.Route, r *serving.Request, out platform.CallerAnswer) {
+// Serve handles one request and writes its answer or error to callerAnswer. It returns when the answer is
+// complete or the request has failed.
+func (g *Gateway) Serve(ctx context.Context, route *serving.Route, r *serving.Request, callerAnswer platform.CallerAnswer) {
 	x := &exchange{
-		gw: g, route: route, service: route.Service(r.ID), req: r, content: quarantine.NewContent(r).In(route.Name, ""), out: out,
+		gw: g, route: route, service: route.Service(r.ID), req: r, content: quarantine.NewContent(r).In(route.Name, ""), callerAnswer: callerAnswer,
 		deadline: r.Arrived.Add(route.Timeout), deadlineSource: "route", lastEventID: r.ResumeAfter,
 	}
 	if !r.Deadline.IsZero() && r.Deadline.Before(x.deadline) {
@@ -151,7 +157,7 @@
 	if err == nil {
 		err = x.tryTargets(ctx)
 	}
-	if x.hasQuota && x.possibleRuns == 0 {
+	if x.hasTakenQuota && x.possibleRuns == 0 {
 		x.gw.quotas.Refund(r.Caller.Workspace)
 	}
 	err = x.failureCause(ctx, err)
@@ -161,8 +167,8 @@
 	}
 }
 
-// failureCause returns why the request failed. An attempt only sees that its context has ended; this separates an
-// expired deadline from a caller that disconnected. A nil err stays nil.
+// failureCause returns the error to report for a request that failed with err. If ctx has ended, it returns
+// errs.DeadlineExceeded or, for a caller that disconnected, errs.Cancelled. It returns nil for a nil err.
 func (x *exchange) failureCause(ctx context.Context, err error) error {
 	switch {
 	case err == nil:
@@ -222,27 +228,26 @@
 	return err
 }
 
-// noTargetError returns the error of a request for which no untried target is left.
+// noTargetError returns the error of a request that has been tried at all available targets of its service.
 func (x *exchange) noTargetError() error {
-	e := errs.Newf(errs.NoTarget, "no target of service %s is left after trying %d", x.service, len(x.tried))
+	e := errs.Newf(errs.NoTarget, "no other target of service %s is available after %d were tried", x.service, len(x.tried))
 	if x.possibleRuns > 0 {
 		return e.WithRan(errs.RanUnknown)
 	}
 	return e.WithRetry(defaultRetryAfter)
 }
 
-// answerError fails the request: with an error answer or, if a part of an answer has been sent, by aborting
-// that answer.
+// answerError sends err to the caller or, if the header of an answer has been sent already, aborts that answer.
 func (x *exchange) answerError(ctx context.Context, err error) {
 	if x.hasSentHeader {
-		x.out.Abort()
+		x.callerAnswer.Abort()
 		return
 	}
-	x.out.Fail(x.callerError(ctx, err))
+	x.callerAnswer.Fail(x.callerError(ctx, err))
 }
 
-// callerError returns the error that the caller gets. It states that the request has not run only if no
-// target may have started it.
+// callerError returns the error to send to the caller for err. It has Ran set to errs.RanNo only if no target
+// can have started the request.
 func (x *exchange) callerError(ctx context.Context, err error) *errs.Error {
 	if ctx.Err() != nil {
 		err = errs.New(errs.DeadlineExceeded, "no answer in time")
@@ -260,8 +265,8 @@
 	return e.WithRan(errs.RanNo).WithRetry(x.retryAfter(time.Duration(e.RetryAfterMs) * time.Millisecond))
 }
 
-// retryAfter returns when the caller should retry: after the time that the error names, or defaultRetryAfter
-// if it names none, but early enough before the deadline of the caller.
+// retryAfter returns the time after which the caller should retry: suggested, or defaultRetryAfter if suggested
+// is 0, but at most the time left until the caller's deadline divided by shed.LeftShare.
 func (x *exchange) retryAfter(suggested time.Duration) time.Duration {
 	if suggested == 0 {
 		suggested = defaultRetryAfter
@@ -282,15 +287,15 @@
 		outcome = string(errs.As(err).Type)
 	}
 	metrics.GetOrRegisterCounter("online."+x.route.Kind.String()+"."+outcome, x.gw.reg).Inc(1)
-	args := []any{
+	fields := []any{
 		"request", x.req.ID, "workspace", x.req.Caller.Workspace, "route", x.route.Name, "config", x.gw.config.Version(),
 		"config_age_ms", x.gw.config.Age().Milliseconds(), "service", x.service, "targets", x.choices,
 		"may_have_run", x.possibleRuns, "held_ms", x.stages.queueTime.Milliseconds(), "first_ms", x.stages.timeToAnswerStart().Milliseconds(), "outcome", outcome, "ms", total.Milliseconds(),
 	}
 	if err == nil {
-		x.gw.servedLog.Info(now, "request", args...)
+		x.gw.servedLog.Info(now, "request", fields...)
 		return
 	}
-	x.gw.log.Warn("request", append(args, "content", x.content.Fingerprint().String(), "error", err.Error(), "begun", x.hasSentHeader, "last_event", x.lastEventID,
+	x.gw.log.Warn("request", append(fields, "content", x.content.Fingerprint().String(), "error", err.Error(), "begun", x.hasSentHeader, "last_event", x.lastEventID,
 		"limit_ms", x.deadline.Sub(x.req.Arrived).Milliseconds(), "limit_of", x.deadlineSource)...)
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -26,118 +26,120 @@
 	"arbutusramp/internal/fleetview"
 )
 
-// script is the behavior of one target for one request.
+// script defines how a target answers one request.
 type script func(ctx context.Context, c platform.TargetCall) (*platform.TargetAnswer, error)
 
 // harness is a gateway over scripted targets. It also implements the dependencies of the gateway and records
 // their calls.
 type harness struct {
-	deadline     time.Duration // time that callers wait
-	gw           *Gateway
-	view         *fleetview.View
-	scripts      []script
-	mu           sync.Mutex
-	sentTo       []string // ids of the targets, in the order of the sends
-	resumedAfter []string // ResumeAfter of each send
-
-	workspace          string // of callers
-	authErr            error  // returned when keys are checked again
-	isOverQuota        bool
-	admitted, refunded int
-
-	quarantineErr error // returned by Check
+	// callerTimeout is the time from the arrival of a request to the deadline that its caller sends.
+	callerTimeout time.Duration
+	gw            *Gateway
+	view          *fleetview.View
+	scripts       []script
+	mu            sync.Mutex // guards sentTo, resumedAfter, quarantineErr, silentRuns, brokenRuns and served
+	sentTo        []string   // ids of the targets, in the order of the sends
+	resumedAfter  []string   // for each send the id of the event to resume after
+
+	workspace          string // workspace of all callers; empty for callers without a key
+	authErr            error  // returned by Authorize
+	isOverQuota        bool   // Admit rejects requests
+	admitted, refunded int    // calls of Admit and Refund
+
+	quarantineErr error // returned by Check and AdmitRequest
 	silentRuns    []quarantine.Broken
 	brokenRuns    []quarantine.Broken
 	served        int
 }
 
 // Send implements platform.TargetCaller. The n-th send uses the n-th script; further sends use the last one.
-func (b *harness) Send(ctx context.Context, c platform.TargetCall) (*platform.TargetAnswer, error) {
-	b.mu.Lock()
-	n := len(b.sentTo)
-	b.sentTo = append(b.sentTo, c.Target.ID)
-	b.resumedAfter = append(b.resumedAfter, c.ResumeAfter)
-	b.mu.Unlock()
-	return b.scripts[min(n, len(b.scripts)-1)](ctx, c)
+func (h *harness) Send(ctx context.Context, c platform.TargetCall) (*platform.TargetAnswer, error) {
+	h.mu.Lock()
+	n := len(h.sentTo)
+	h.sentTo = append(h.sentTo, c.Target.ID)
+	h.resumedAfter = append(h.resumedAfter, c.ResumeAfter)
+	h.mu.Unlock()
+	return h.scripts[min(n, len(h.scripts)-1)](ctx, c)
 }
 
 // firstTarget returns the id of the target that got the first send.
-func (b *harness) firstTarget() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.sentTo[0]
+func (h *harness) firstTarget() string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.sentTo[0]
 }
 
+// newHarness returns a harness with targetCount targets that answer by scripts.
 func newHarness(targetCount int, scripts ...script) *harness {
-	b := &harness{scripts: scripts, deadline: 5 * time.Second, view: fleetview.New(fleet.Options{Self: "self", PeerTTL: time.Second})}
+	h := &harness{scripts: scripts, callerTimeout: 5 * time.Second, view: fleetview.New(fleet.Options{Self: "self", PeerTTL: time.Second})}
 	for i := range targetCount {
-		b.view.Put([]serving.Target{{ID: fmt.Sprintf("t%d", i), Service: "s", Slots: 4}}, nil)
+		h.view.Put([]serving.Target{{ID: fmt.Sprintf("t%d", i), Service: "s", Slots: 4}}, nil)
 	}
-	b.gw = New(Options{Targets: b, View: b.view, Beliefs: b, Access: b, Quotas: b, Quarantine: b, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
-	return b
+	h.gw = New(Options{Targets: h, View: h.view, Beliefs: h, Access: h, Quotas: h, Quarantine: h, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
+	return h
 }
 
 // Authorize implements Access.
-func (b *harness) Authorize(*serving.Route, workspace.Credential) (serving.Caller, error) {
-	return serving.Caller{Workspace: b.workspace}, b.authErr
+func (h *harness) Authorize(*serving.Route, workspace.Credential) (serving.Caller, error) {
+	return serving.Caller{Workspace: h.workspace}, h.authErr
 }
 
 // Admit implements Quotas.
-func (b *harness) Admit(string) quota.Decision {
-	b.admitted++
-	return quota.Decision{IsAdmitted: !b.isOverQuota, RetryAfter: 400 * time.Millisecond}
+func (h *harness) Admit(string) quota.Decision {
+	h.admitted++
+	return quota.Decision{IsAdmitted: !h.isOverQuota, RetryAfter: 400 * time.Millisecond}
 }
 
 // Refund implements Quotas.
-func (b *harness) Refund(string) { b.refunded++ }
+func (h *harness) Refund(string) { h.refunded++ }
 
 // Check implements Quarantine.
-func (b *harness) Check(*quarantine.Content) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.quarantineErr
+func (h *harness) Check(*quarantine.Content) error {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.quarantineErr
 }
 
 // AdmitRequest implements Quarantine.
-func (b *harness) AdmitRequest(c *quarantine.Content) error { return b.Check(c) }
+func (h *harness) AdmitRequest(c *quarantine.Content) error { return h.Check(c) }
 
 // BrokenOff implements Quarantine.
-func (b *harness) BrokenOff(run quarantine.Broken) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.brokenRuns = append(b.brokenRuns, run)
+func (h *harness) BrokenOff(run quarantine.Broken) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.brokenRuns = append(h.brokenRuns, run)
 }
 
 // FellSilent implements Quarantine.
-func (b *harness) FellSilent(run quarantine.Broken) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.silentRuns = append(b.silentRuns, run)
+func (h *harness) FellSilent(run quarantine.Broken) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.silentRuns = append(h.silentRuns, run)
 }
 
 // Passed implements Quarantine.
-func (b *harness) Passed(*quarantine.Content) {}
+func (h *harness) Passed(*quarantine.Content) {}
 
 // Served implements Quarantine.
-func (b *harness) Served(*quarantine.Content) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.served++
+func (h *harness) Served(*quarantine.Content) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.served++
 }
 
 // Version implements Beliefs.
-func (b *harness) Version() uint64 { return 1 }
+func (h *harness) Version() uint64 { return 1 }
 
 // Age implements Beliefs.
-func (b *harness) Age() time.Duration { return 0 }
+func (h *harness) Age() time.Duration { return 0 }
 
-// fakeCaller records the answer to one request.
+// fakeCaller is a platform.CallerAnswer that records the answer to one request.
 type fakeCaller struct {
 	status        int
 	body          strings.Builder
 	err           *errs.Error
 	isAborted     bool
-	headersSent   int
+	headersSent   int           // calls of Begin
 	answeredAfter time.Duration // time from the request to its complete answer
 	onWrite       func()        // called after each write
 }
@@ -158,78 +160,91 @@
 func (c *fakeCaller) Abort()         { c.isAborted = true }
 func (c *fakeCaller) Fail(err error) { c.err = errs.As(err) }
 
+// newRoute returns a route to the service "s", on which all targets of a harness are.
 func newRoute(kind serving.Kind, attempts int, isResumable bool) *serving.Route {
 	return &serving.Route{Name: "r", Kind: kind, Attempts: attempts, Resumable: isResumable, Timeout: 5 * time.Second,
 		Goal: 300 * time.Millisecond, Shares: []serving.Share{{Service: "s", Weight: 1}}}
 }
 
-func (b *harness) serve(ctx context.Context, r *serving.Route, out *fakeCaller) {
+// serve lets the gateway serve one request to r and returns when it has been answered.
+func (h *harness) serve(ctx context.Context, r *serving.Route, caller *fakeCaller) {
 	began := time.Now()
-	b.gw.Serve(ctx, r, &serving.Request{
-		ID: "id", Arrived: began, Deadline: began.Add(b.deadline), Caller: serving.Caller{Workspace: b.workspace},
-		Credential: workspace.Credential{IsSet: b.workspace != ""},
-	}, out)
-	out.answeredAfter = time.Since(began)
+	h.gw.Serve(ctx, r, &serving.Request{
+		ID: "id", Arrived: began, Deadline: began.Add(h.callerTimeout), Caller: serving.Caller{Workspace: h.workspace},
+		Credential: workspace.Credential{IsSet: h.workspace != ""},
+	}, caller)
+	caller.answeredAfter = time.Since(began)
 }
 
-func streamAnswer(events string, end error) script {
+// streamAnswer returns a script that answers with events and then ends the body with endErr, or completely if
+// endErr is nil.
+func streamAnswer(events string, endErr error) script {
 	return func(context.Context, platform.TargetCall) (*platform.TargetAnswer, error) {
-		body := io.MultiReader(strings.NewReader(events), errorReader{end})
+		body := io.MultiReader(strings.NewReader(events), errorReader{endErr})
 		return &platform.TargetAnswer{Status: 200, Header: http.Header{"Content-Type": {eventStreamType}}, Length: -1, Body: io.NopCloser(body)}, nil
 	}
 }
 
+// errorReader is a reader without data that returns err, or io.EOF if err is nil.
 type errorReader struct{ err error }
 
-func (f errorReader) Read([]byte) (int, error) {
-	if f.err == nil {
+func (r errorReader) Read([]byte) (int, error) {
+	if r.err == nil {
 		return 0, io.EOF
 	}
-	return 0, f.err
+	return 0, r.err
 }
 
-func wholeAnswer(status int, text string, end error) script {
+// wholeAnswer returns a script that answers with a body of text that is no stream, and then ends the body with
+// endErr, or completely if endErr is nil.
+func wholeAnswer(status int, text string, endErr error) script {
 	return func(context.Context, platform.TargetCall) (*platform.TargetAnswer, error) {
-		return &platform.TargetAnswer{Status: status, Length: int64(len(text)), Body: io.NopCloser(io.MultiReader(strings.NewReader(text), errorReader{end}))}, nil
+		return &platform.TargetAnswer{Status: status, Length: int64(len(text)), Body: io.NopCloser(io.MultiReader(strings.NewReader(text), errorReader{endErr}))}, nil
 	}
 }
 
+// refuseRequest is a script of a target that answers that it has not started the request.
 func refuseRequest(context.Context, platform.TargetCall) (*platform.TargetAnswer, error) {
 	return &platform.TargetAnswer{Status: 503, NotRun: true, Body: io.NopCloser(strings.NewReader(""))}, nil
 }
 
+// refuseConnection is a script of a target that can't be connected to.
 func refuseConnection(context.Context, platform.TargetCall) (*platform.TargetAnswer, error) {
 	return nil, errs.New(errs.TargetFailed, "refused").WithRan(errs.RanNo)
 }
 
+// loseAnswer is a script of a target that may have run the request but whose answer is lost.
 func loseAnswer(context.Context, platform.TargetCall) (*platform.TargetAnswer, error) {
 	return nil, errs.New(errs.TargetFailed, "reset").WithRan(errs.RanUnknown)
 }
 
+// neverAnswer is a script of a target that sends nothing until the attempt is cancelled.
 func neverAnswer(ctx context.Context, _ platform.TargetCall) (*platform.TargetAnswer, error) {
 	<-ctx.Done()
 	return nil, errs.New(errs.TargetFailed, "cancelled").WithRan(errs.RanUnknown)
 }
 
+// answerOtherRequest is a script of a target that sends the answer to another request.
 func answerOtherRequest(context.Context, platform.TargetCall) (*platform.TargetAnswer, error) {
 	return &platform.TargetAnswer{Status: 200, Foreign: true, Body: io.NopCloser(strings.NewReader("other"))}, nil
 }
 
+// Events of one stream: the first three, and the last two that are sent after the stream is resumed.
 const (
 	firstEvents = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"
 	lastEvents  = "id: 4\ndata: d\n\nid: 5\ndata: e\n\n"
 )
 
-// Covers, for each kind of target behavior, the answer of the caller and the number of targets that get the
-// request.
+// Covers, for each way in which targets answer or fail, what the caller gets and to how many targets the request
+// is sent.
 func TestServe(t *testing.T) {
 	unexpectedEOF := io.ErrUnexpectedEOF
 	cases := []struct {
 		name      string
 		route     *serving.Route
 		scripts   []script
-		sends     int
-		status    int
+		sends     int // wanted number of sends
+		status    int // wanted answer: status, body, error type, run state and whether it is aborted
 		body      string
 		err       errs.Type
 		ran       errs.Ran
@@ -273,23 +288,23 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newHarness(3, c.scripts...)
-				out := &fakeCaller{}
-				b.serve(context.Background(), c.route, out)
-				if len(b.sentTo) != c.sends {
-					t.Errorf("sent to %v, want %d targets", b.sentTo, c.sends)
+				h := newHarness(3, c.scripts...)
+				caller := &fakeCaller{}
+				h.serve(context.Background(), c.route, caller)
+				if len(h.sentTo) != c.sends {
+					t.Errorf("sent to %v, want %d targets", h.sentTo, c.sends)
 				}
-				if out.status != c.status || out.body.String() != c.body || out.isAborted != c.isAborted {
-					t.Errorf("status %d, body %q, aborted %v", out.status, out.body.String(), out.isAborted)
+				if caller.status != c.status || caller.body.String() != c.body || caller.isAborted != c.isAborted {
+					t.Errorf("caller got status %d, body %q, aborted %v; want status, body and isAborted of the case", caller.status, caller.body.String(), caller.isAborted)
 				}
-				if c.err == "" && out.err != nil || c.err != "" && (out.err == nil || out.err.Type != c.err || out.err.Ran != c.ran) {
-					t.Errorf("error %v, want %s %s", out.err, c.err, c.ran)
+				if c.err == "" && caller.err != nil || c.err != "" && (caller.err == nil || caller.err.Type != c.err || caller.err.Ran != c.ran) {
+					t.Errorf("caller got error %v, want type %s and run state %s (both empty for no error)", caller.err, c.err, c.ran)
 				}
-				if out.err != nil && out.err.Ran == errs.RanNo && out.err.RetryAfterMs == 0 {
-					t.Error("the error has no time to retry after")
+				if caller.err != nil && caller.err.Ran == errs.RanNo && caller.err.RetryAfterMs == 0 {
+					t.Error("the error states that the request has not run but has RetryAfterMs 0, want more than 0")
 				}
-				if out.headersSent > 1 {
-					t.Errorf("the header was sent %d times", out.headersSent)
+				if caller.headersSent > 1 {
+					t.Errorf("the header was sent %d times, want at most 1", caller.headersSent)
 				}
 			})
 		})
@@ -298,63 +313,63 @@
 
 func TestResumedStreamStartsAfterLastEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness(2, streamAnswer(firstEvents, io.ErrUnexpectedEOF), streamAnswer(lastEvents, nil))
-		b.serve(context.Background(), newRoute(serving.KindStream, 2, true), &fakeCaller{})
-		if len(b.resumedAfter) != 2 || b.resumedAfter[0] != "" || b.resumedAfter[1] != "3" {
-			t.Errorf("resumed after %q", b.resumedAfter)
+		h := newHarness(2, streamAnswer(firstEvents, io.ErrUnexpectedEOF), streamAnswer(lastEvents, nil))
+		h.serve(context.Background(), newRoute(serving.KindStream, 2, true), &fakeCaller{})
+		if len(h.resumedAfter) != 2 || h.resumedAfter[0] != "" || h.resumedAfter[1] != "3" {
+			t.Errorf("sends resume after events %q, want 2 sends: from the beginning, then after event 3", h.resumedAfter)
 		}
 	})
 }
 
-// Guards against waiting too long for a target that does not respond. A request that may be repeated is
-// retried well under a second; one that may not waits for its answer until its deadline, and the error states
-// that it may have run.
-func TestTargetWithoutAnswer(t *testing.T) {
+// Guards against waiting too long for a target that sends nothing. A request that may be repeated must be
+// retried in well under a second. A request that may not be repeated must wait for its answer until its
+// deadline, and the error states that it may have run.
+func TestUnresponsiveTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness(2, neverAnswer, wholeAnswer(200, "ok", nil))
-		out := &fakeCaller{}
-		b.serve(context.Background(), newRoute(serving.KindSafe, 2, false), out)
-		if out.status != 200 || out.answeredAfter > time.Second {
-			t.Errorf("status %d after %v", out.status, out.answeredAfter)
+		h := newHarness(2, neverAnswer, wholeAnswer(200, "ok", nil))
+		caller := &fakeCaller{}
+		h.serve(context.Background(), newRoute(serving.KindSafe, 2, false), caller)
+		if caller.status != 200 || caller.answeredAfter > time.Second {
+			t.Errorf("safe call at a target that never answers: status %d after %v, want 200 within 1s", caller.status, caller.answeredAfter)
 		}
-		b = newHarness(2, neverAnswer)
-		out = &fakeCaller{}
-		b.serve(context.Background(), newRoute(serving.KindUnsafe, 2, false), out)
-		if out.err == nil || out.err.Type != errs.DeadlineExceeded || out.err.Ran != errs.RanUnknown || len(b.sentTo) != 1 {
-			t.Errorf("%v after %v, sent to %v", out.err, out.answeredAfter, b.sentTo)
+		h = newHarness(2, neverAnswer)
+		caller = &fakeCaller{}
+		h.serve(context.Background(), newRoute(serving.KindUnsafe, 2, false), caller)
+		if caller.err == nil || caller.err.Type != errs.DeadlineExceeded || caller.err.Ran != errs.RanUnknown || len(h.sentTo) != 1 {
+			t.Errorf("unsafe call at a target that never answers: error %v after %v, sent to %v; want deadline_exceeded with unknown run state and 1 send", caller.err, caller.answeredAfter, h.sentTo)
 		}
-		if out.answeredAfter != 5*time.Second {
-			t.Errorf("answered after %v", out.answeredAfter)
+		if caller.answeredAfter != 5*time.Second {
+			t.Errorf("unsafe call failed after %v, want 5s, its deadline", caller.answeredAfter)
 		}
 	})
 }
 
-// Guards against counting a slow caller as a failure of its target: the target would get no requests and the
-// request would be retried elsewhere.
+// Guards against counting a slow caller as a failure of its target: the target would be marked suspect and get
+// no requests, and the request would be retried at another target.
 func TestSlowCallerDoesNotMakeTargetSuspect(t *testing.T) {
 	for name, c := range map[string]struct {
-		pause time.Duration
-		end   error
-		sends int
+		pause  time.Duration
+		endErr error // error at which the first answer ends; nil if complete
+		sends  int
 	}{
-		"slow":                         {2500 * time.Millisecond, nil, 1},
-		"slow, then broken off":        {2500 * time.Millisecond, io.ErrUnexpectedEOF, 2},
-		"usual speed, then broken off": {0, io.ErrUnexpectedEOF, 2},
-		"a short pause, not slow":      {500 * time.Millisecond, nil, 1},
+		"slow caller":                                 {2500 * time.Millisecond, nil, 1},
+		"slow caller, then broken off by target":      {2500 * time.Millisecond, io.ErrUnexpectedEOF, 2},
+		"fast caller, then broken off by target":      {0, io.ErrUnexpectedEOF, 2},
+		"caller that pauses below the slow threshold": {500 * time.Millisecond, nil, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newHarness(2, streamAnswer(firstEvents, c.end), streamAnswer(lastEvents, nil))
-				b.deadline = time.Minute
-				var lines bytes.Buffer
-				b.gw.log = hclog.New(&hclog.LoggerOptions{Output: &lines})
-				out := &fakeCaller{onWrite: func() { time.Sleep(c.pause) }}
+				h := newHarness(2, streamAnswer(firstEvents, c.endErr), streamAnswer(lastEvents, nil))
+				h.callerTimeout = time.Minute
+				var logLines bytes.Buffer
+				h.gw.log = hclog.New(&hclog.LoggerOptions{Output: &logLines})
+				caller := &fakeCaller{onWrite: func() { time.Sleep(c.pause) }}
 				r := newRoute(serving.KindStream, 2, true)
 				r.Timeout = time.Minute
-				b.serve(context.Background(), r, out)
-				isBlamed := len(b.brokenRuns) > 0 || strings.Contains(lines.String(), "target suspect")
-				if wantBlame := c.pause == 0; isBlamed != wantBlame || len(b.sentTo) != c.sends || out.err != nil || out.isAborted {
-					t.Errorf("target blamed %v, sent to %v, error %v", isBlamed, b.sentTo, out.err)
+				h.serve(context.Background(), r, caller)
+				isTargetBlamed := len(h.brokenRuns) > 0 || strings.Contains(logLines.String(), "target suspect")
+				if wantTargetBlamed := c.pause == 0; isTargetBlamed != wantTargetBlamed || len(h.sentTo) != c.sends || caller.err != nil || caller.isAborted {
+					t.Errorf("target marked suspect or reported: %v, want true only for the fast caller; sent to %v, want the sends of the case; error %v, want none and no abort", isTargetBlamed, h.sentTo, caller.err)
 				}
 			})
 		})
@@ -363,118 +378,120 @@
 
 // Guards against logging a request whose deadline has expired as cancelled, or with the wrong source of the
 // deadline.
-func TestLogNamesExpiredDeadlineAndItsSource(t *testing.T) {
-	for limit, deadline := range map[string]time.Duration{"route": time.Minute, "caller": 2 * time.Second} {
+func TestExpiredDeadlineIsLoggedWithSource(t *testing.T) {
+	for source, callerTimeout := range map[string]time.Duration{"route": time.Minute, "caller": 2 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			var lines bytes.Buffer
-			b := newHarness(2, neverAnswer)
-			b.gw.log = hclog.New(&hclog.LoggerOptions{Output: &lines, JSONFormat: true})
-			b.deadline = deadline
-			b.serve(context.Background(), newRoute(serving.KindUnsafe, 2, false), &fakeCaller{})
-			for _, want := range []string{`"outcome":"deadline_exceeded"`, `"limit_of":"` + limit + `"`} {
-				if !strings.Contains(lines.String(), want) {
-					t.Errorf("no %s in %s", want, lines.String())
+			var logLines bytes.Buffer
+			h := newHarness(2, neverAnswer)
+			h.gw.log = hclog.New(&hclog.LoggerOptions{Output: &logLines, JSONFormat: true})
+			h.callerTimeout = callerTimeout
+			h.serve(context.Background(), newRoute(serving.KindUnsafe, 2, false), &fakeCaller{})
+			for _, want := range []string{`"outcome":"deadline_exceeded"`, `"limit_of":"` + source + `"`} {
+				if !strings.Contains(logLines.String(), want) {
+					t.Errorf("the log line of the request lacks %s: %s", want, logLines.String())
 				}
 			}
 		})
 	}
 }
 
-// Guards against a request that no log line names because its process is killed while a target runs it.
+// Guards against a request that is missing in the log because the gateway process is killed while a target runs
+// the request.
 func TestRequestIsLoggedBeforeSend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var lines bytes.Buffer
-		b := newHarness(2, func(context.Context, platform.TargetCall) (*platform.TargetAnswer, error) {
-			if !strings.Contains(lines.String(), `"request":"id"`) || !strings.Contains(lines.String(), `"@message":"sent"`) {
-				t.Errorf("no line before the send, log: %q", lines.String())
+		var logLines bytes.Buffer
+		h := newHarness(2, func(context.Context, platform.TargetCall) (*platform.TargetAnswer, error) {
+			if !strings.Contains(logLines.String(), `"request":"id"`) || !strings.Contains(logLines.String(), `"@message":"sent"`) {
+				t.Errorf("no line \"sent\" for request \"id\" in the log when the target gets the request: %q", logLines.String())
 			}
 			return wholeAnswer(200, "ok", nil)(nil, platform.TargetCall{})
 		})
-		b.gw = New(Options{Targets: b, View: b.view, Beliefs: b, Access: b, Quotas: b, Quarantine: b, Metrics: metrics.NewRegistry(),
-			Log: hclog.New(&hclog.LoggerOptions{Output: &lines, JSONFormat: true})})
-		b.serve(context.Background(), newRoute(serving.KindSafe, 2, false), &fakeCaller{})
+		h.gw = New(Options{Targets: h, View: h.view, Beliefs: h, Access: h, Quotas: h, Quarantine: h, Metrics: metrics.NewRegistry(),
+			Log: hclog.New(&hclog.LoggerOptions{Output: &logLines, JSONFormat: true})})
+		h.serve(context.Background(), newRoute(serving.KindSafe, 2, false), &fakeCaller{})
 	})
 }
 
 func TestDisconnectedCallerIsLoggedAsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var lines bytes.Buffer
-		b := newHarness(2, neverAnswer)
-		b.gw.log = hclog.New(&hclog.LoggerOptions{Output: &lines, JSONFormat: true})
+		var logLines bytes.Buffer
+		h := newHarness(2, neverAnswer)
+		h.gw.log = hclog.New(&hclog.LoggerOptions{Output: &logLines, JSONFormat: true})
 		ctx, disconnect := context.WithCancel(context.Background())
 		sleep.AfterFunc(time.Second, disconnect)
-		b.serve(ctx, newRoute(serving.KindUnsafe, 2, false), &fakeCaller{})
-		if !strings.Contains(lines.String(), `"outcome":"cancelled"`) {
-			t.Errorf("lines %s", lines.String())
+		h.serve(ctx, newRoute(serving.KindUnsafe, 2, false), &fakeCaller{})
+		if !strings.Contains(logLines.String(), `"outcome":"cancelled"`) {
+			t.Errorf("the log lacks \"outcome\":\"cancelled\" after the caller disconnected: %s", logLines.String())
 		}
 	})
 }
 
-// Guards against a target that continues to work for a caller that has disconnected.
+// Guards against a target that continues to run a request whose caller has disconnected.
 func TestDisconnectedCallerCancelsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		hasEnded := false
-		b := newHarness(1, func(ctx context.Context, c platform.TargetCall) (*platform.TargetAnswer, error) {
+		isRunCancelled := false
+		h := newHarness(1, func(ctx context.Context, c platform.TargetCall) (*platform.TargetAnswer, error) {
 			ans, _ := streamAnswer(firstEvents, nil)(ctx, c)
-			from := ans.Body
+			events := ans.Body
 			r, w := io.Pipe()
 			go func() {
-				_, _ = io.Copy(w, from)
+				_, _ = io.Copy(w, events)
 				<-ctx.Done()
-				hasEnded = true
+				isRunCancelled = true
 				_ = w.CloseWithError(ctx.Err())
 			}()
 			ans.Body = r
 			return ans, nil
 		})
 		ctx, cancel := context.WithCancel(context.Background())
-		b.serve(ctx, newRoute(serving.KindStream, 2, true), &fakeCaller{onWrite: cancel})
+		h.serve(ctx, newRoute(serving.KindStream, 2, true), &fakeCaller{onWrite: cancel})
 		synctest.Wait()
-		if !hasEnded || len(b.sentTo) != 1 {
-			t.Errorf("run ended %v, sent to %v", hasEnded, b.sentTo)
+		if !isRunCancelled || len(h.sentTo) != 1 {
+			t.Errorf("run at the target cancelled: %v, want true; sent to %v, want 1 send", isRunCancelled, h.sentTo)
 		}
 	})
 }
 
-// Guards against misrouting: another instance, which may serve another service, reuses the address of a target.
+// Guards against misrouting: after a target has stopped, another one, which may serve another service, may use
+// its address.
 func TestTargetWithReusedAddressGetsNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		otherInstance := func(context.Context, platform.TargetCall) (*platform.TargetAnswer, error) {
 			return &platform.TargetAnswer{Status: 421, NotRun: true, OtherInstance: true, Body: io.NopCloser(strings.NewReader(""))}, nil
 		}
-		b := newHarness(1, otherInstance)
-		out := &fakeCaller{}
-		b.serve(context.Background(), newRoute(serving.KindUnsafe, 1, false), out)
-		if out.err == nil || out.err.Ran != errs.RanNo {
-			t.Errorf("%v", out.err)
+		h := newHarness(1, otherInstance)
+		caller := &fakeCaller{}
+		h.serve(context.Background(), newRoute(serving.KindUnsafe, 1, false), caller)
+		if caller.err == nil || caller.err.Ran != errs.RanNo {
+			t.Errorf("error %v, want one that states that the request has not run", caller.err)
 		}
-		b.serve(context.Background(), newRoute(serving.KindUnsafe, 1, false), &fakeCaller{})
-		if len(b.sentTo) != 1 {
-			t.Errorf("sent to %v", b.sentTo)
+		h.serve(context.Background(), newRoute(serving.KindUnsafe, 1, false), &fakeCaller{})
+		if len(h.sentTo) != 1 {
+			t.Errorf("two requests were sent to %v, want only the first one sent", h.sentTo)
 		}
 	})
 }
 
 func TestRetryAfterFitsCallerDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness(0)
-		out := &fakeCaller{}
-		b.gw.Serve(context.Background(), newRoute(serving.KindSafe, 1, false),
-			&serving.Request{ID: "id", Arrived: time.Now(), Deadline: time.Now().Add(900 * time.Millisecond)}, out)
-		if out.err == nil || out.err.RetryAfterMs > 300 || out.err.RetryAfterMs < 1 {
-			t.Errorf("%+v", out.err)
+		h := newHarness(0)
+		caller := &fakeCaller{}
+		h.gw.Serve(context.Background(), newRoute(serving.KindSafe, 1, false),
+			&serving.Request{ID: "id", Arrived: time.Now(), Deadline: time.Now().Add(900 * time.Millisecond)}, caller)
+		if caller.err == nil || caller.err.RetryAfterMs > 300 || caller.err.RetryAfterMs < 1 {
+			t.Errorf("no targets, caller deadline after 900 ms: error %+v, want RetryAfterMs from 1 to 300", caller.err)
 		}
 	})
 }
 
 // Guards against load that stays counted at a target after its request has ended, whatever the outcome.
-func TestFinishedRequestLeavesNoLoad(t *testing.T) {
+func TestNoLoadIsCountedAfterRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, s := range []script{wholeAnswer(200, "ok", nil), refuseRequest, loseAnswer, neverAnswer, answerOtherRequest, streamAnswer(firstEvents, io.ErrUnexpectedEOF)} {
-			b := newHarness(3, s)
-			b.serve(context.Background(), newRoute(serving.KindStream, 2, true), &fakeCaller{})
-			if left := b.view.Report().Loads; len(left) != 0 {
-				t.Errorf("loads still counted: %v", left)
+			h := newHarness(3, s)
+			h.serve(context.Background(), newRoute(serving.KindStream, 2, true), &fakeCaller{})
+			if loads := h.view.Report().Loads; len(loads) != 0 {
+				t.Errorf("loads counted after the request has ended: %v, want none", loads)
 			}
 		}
 	})
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -11,23 +11,23 @@
 	"arbutusramp/core/shed"
 )
 
-// Guards against congestion collapse: an overload of a few seconds admits every request and all answers are
-// late.
+// Guards against congestion collapse: if every request is admitted during an overload of a few seconds, all
+// answers are late. First attempts that can't be answered in time must be rejected, and their retries served.
 func TestOverloadRejectsFirstAttemptsAndServesRetries(t *testing.T) {
 	const (
 		holdTime      = 800 * time.Millisecond
 		callerTimeout = 5 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness(1, delayed(holdTime, streamAnswer(firstEvents, nil)))
+		h := newHarness(1, delayed(holdTime, streamAnswer(firstEvents, nil)))
 		send := func(timeLeft time.Duration) *fakeCaller {
-			out := &fakeCaller{}
-			b.gw.Serve(context.Background(), newRoute(serving.KindStream, 1, false), &serving.Request{ID: "id", Arrived: time.Now(), Deadline: time.Now().Add(timeLeft)}, out)
-			return out
+			caller := &fakeCaller{}
+			h.gw.Serve(context.Background(), newRoute(serving.KindStream, 1, false), &serving.Request{ID: "id", Arrived: time.Now(), Deadline: time.Now().Add(timeLeft)}, caller)
+			return caller
 		}
-		for range 10 { // sequential requests without queueing, from which the gateway derives timeouts and hold times
-			if out := send(callerTimeout); out.err != nil {
-				t.Fatal(out.err)
+		for range 10 { // without queueing; the gateway derives from these requests how long callers wait and how long requests hold a slot
+			if caller := send(callerTimeout); caller.err != nil {
+				t.Fatal(caller.err)
 			}
 		}
 		answers := make(chan *fakeCaller)
@@ -38,25 +38,25 @@
 		}
 		rejected := 0
 		for range burst {
-			out := <-answers
-			if out.err == nil {
+			caller := <-answers
+			if caller.err == nil {
 				continue
 			}
 			rejected++
-			if out.err.Type != errs.Overloaded || out.err.Ran != errs.RanNo || out.err.RetryAfterMs < 1000 || out.err.RetryAfterMs > callerTimeout.Milliseconds()/shed.LeftShare {
-				t.Errorf("%+v", out.err)
+			if caller.err.Type != errs.Overloaded || caller.err.Ran != errs.RanNo || caller.err.RetryAfterMs < 1000 || caller.err.RetryAfterMs > callerTimeout.Milliseconds()/shed.LeftShare {
+				t.Errorf("rejected with %+v, want type overloaded, not run, and RetryAfterMs from 1000 to the caller timeout / shed.LeftShare", caller.err)
 			}
 		}
 		if rejected != burst-5 {
-			t.Errorf("%d of %d were rejected", rejected, burst)
+			t.Errorf("%d of %d first attempts rejected, want 7", rejected, burst)
 		}
 		for range burst { // callers on their second attempt stay in the queue, whatever its length
 			go func() { answers <- send(callerTimeout - time.Second) }()
 			synctest.Wait()
 		}
 		for range burst {
-			if out := <-answers; out.err != nil {
-				t.Errorf("rejected again: %+v", out.err)
+			if caller := <-answers; caller.err != nil {
+				t.Errorf("second attempt rejected with %+v, want no error", caller.err)
 			}
 		}
 	})
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -14,8 +14,8 @@
 	"arbutusramp/core/serving"
 )
 
-// stalledStream sends some events and then nothing more, with the connection open, like a target that crashes
-// behind a network partition.
+// stalledStream returns a script that sends events and then nothing more, with the connection open, like a target
+// that crashes behind a network partition.
 func stalledStream(events string) script {
 	return func(ctx context.Context, _ platform.TargetCall) (*platform.TargetAnswer, error) {
 		body := io.MultiReader(strings.NewReader(events), contextReader{ctx})
@@ -23,18 +23,18 @@
 	}
 }
 
-// contextReader is a body whose Read blocks until its request ends.
+// contextReader is a reader whose Read blocks until ctx ends, and then returns the error of ctx.
 type contextReader struct{ ctx context.Context }
 
-func (u contextReader) Read([]byte) (int, error) {
-	<-u.ctx.Done()
-	return 0, u.ctx.Err()
+func (r contextReader) Read([]byte) (int, error) {
+	<-r.ctx.Done()
+	return 0, r.ctx.Err()
 }
 
-// Guards against stalled streams: a request keeps waiting for an answer of a target that is known to have
+// Guards against stalled streams: a request must not wait for the answer of a target that is known to have
 // restarted.
-func TestRequestsContinueAtOnceAfterTargetRestart(t *testing.T) {
-	const restartKnown = 100 * time.Millisecond // when the restart becomes known: long before silence would show it
+func TestTargetRestartEndsAttemptImmediately(t *testing.T) {
+	const restartKnownAfter = 100 * time.Millisecond // shorter than any timeout for a target that sends nothing
 	cases := []struct {
 		name    string
 		route   *serving.Route
@@ -51,18 +51,18 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newHarness(2, c.scripts...)
+				h := newHarness(2, c.scripts...)
 				go func() {
-					time.Sleep(restartKnown)
-					b.view.Ended([]string{b.firstTarget()})
+					time.Sleep(restartKnownAfter)
+					h.view.Ended([]string{h.firstTarget()})
 				}()
-				out := &fakeCaller{}
-				b.serve(context.Background(), c.route, out)
-				if len(b.sentTo) != c.sends || out.body.String() != c.body || out.answeredAfter != restartKnown {
-					t.Errorf("%d sends, body %q after %v", len(b.sentTo), out.body.String(), out.answeredAfter)
+				caller := &fakeCaller{}
+				h.serve(context.Background(), c.route, caller)
+				if len(h.sentTo) != c.sends || caller.body.String() != c.body || caller.answeredAfter != restartKnownAfter {
+					t.Errorf("%d sends, body %q after %v; want the sends and body of the case after 100ms", len(h.sentTo), caller.body.String(), caller.answeredAfter)
 				}
-				if c.err != "" && (out.err == nil || out.err.Type != c.err || out.err.Ran != errs.RanUnknown) {
-					t.Errorf("error %v, want %s: the request may have run", out.err, c.err)
+				if c.err != "" && (caller.err == nil || caller.err.Type != c.err || caller.err.Ran != errs.RanUnknown) {
+					t.Errorf("error %v, want type %s with unknown run state", caller.err, c.err)
 				}
 			})
 		})
--- a/internal/gateway/stages.go
+++ b/internal/gateway/stages.go
@@ -6,15 +6,16 @@
 	"arbutusramp/internal/telemetry"
 )
 
-// stages holds the times that divide the processing of a request. A zero time was not reached.
+// stages holds the times at which a request entered the stages of its processing. A zero time means that the
+// request did not reach the stage.
 type stages struct {
-	queueTime   time.Duration // spent in the queue before the request was sent
-	firstSent   time.Time     // when it was sent to its first target
-	lastSent    time.Time     // when it was sent to the target that answered
-	answerStart time.Time     // when the first part of an answer was passed to the caller
+	queueTime   time.Duration // time in the queue of the gateway, before the first attempt
+	firstSent   time.Time     // when the request was sent to its first target
+	lastSent    time.Time     // when the request was sent to the target that answered first
+	answerStart time.Time     // when the header of the answer was sent to the caller
 }
 
-// noteSent records the start of an attempt. Attempts that start after an answer has begun are ignored.
+// noteSent records the start of an attempt. Attempts to resume an answer that has begun are ignored.
 func (s *stages) noteSent(now time.Time) {
 	if s.firstSent.IsZero() {
 		s.firstSent = now
@@ -31,7 +32,7 @@
 	}
 }
 
-// timeToAnswerStart returns the time from the last send to the first part of an answer; 0 without an answer.
+// timeToAnswerStart returns the time from lastSent to answerStart; 0 without an answer.
 func (s *stages) timeToAnswerStart() time.Duration {
 	if s.answerStart.IsZero() {
 		return 0
@@ -39,9 +40,9 @@
 	return s.answerStart.Sub(s.lastSent)
 }
 
-// observeStages adds the durations of the request to the histograms of its kind: the total, and those of the
-// stages that it reached. The queueing time of a target shows in first_ms, a slow caller or pauses of the
-// target in relay_ms.
+// observeStages adds the durations of the request to the histograms of its route's kind: the total, and those of
+// the stages that it reached. The time in the queue of a target is part of first_ms. A slow caller, or pauses of
+// the target in a stream, increase relay_ms.
 func (x *exchange) observeStages(now time.Time) {
 	kind := "online." + x.route.Kind.String()
 	telemetry.Observe(x.gw.reg, kind+".ms", now.Sub(x.req.Arrived))
