--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -6,65 +6,65 @@
 	"sync"
 )
 
-// connTracker is a listener that tracks the open connections of callers. It can close idle connections
-// without losing a request. The HTTP server's own shutdown can't: its connection state changes only after the
-// header of a request has been read, so it may close a connection whose request is about to be passed on. A
-// connTracker is safe for concurrent use.
+// connTracker is a listener that tracks its open connections. It can close idle connections without losing a
+// request. The shutdown of the HTTP server can't: a connection is idle to the server until the header of a request
+// has been read, so the server may close it while a request arrives. A connTracker is safe for concurrent use.
 type connTracker struct {
 	net.Listener
 
 	mu   sync.Mutex
-	open map[*trackedConn]bool
+	open map[*trackedConn]bool // the keys are the open connections
 }
 
 func newConnTracker(l net.Listener) *connTracker {
 	return &connTracker{Listener: l, open: make(map[*trackedConn]bool)}
 }
 
-// trackedConn is one connection. It has a request from the first byte of the request to the end of its answer.
+// trackedConn is one connection of a connTracker. It counts as busy from the first byte of a request to the end of
+// its answer.
 type trackedConn struct {
 	net.Conn
 	tracker *connTracker
 
 	mu         sync.Mutex
-	hasRequest bool
-	isClosed   bool
+	hasRequest bool // the connection is busy
+	isClosed   bool // closed by closeIfIdle
 }
 
 // Accept implements net.Listener.
-func (c *connTracker) Accept() (net.Conn, error) {
-	inner, err := c.Listener.Accept()
+func (t *connTracker) Accept() (net.Conn, error) {
+	inner, err := t.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	tracked := &trackedConn{Conn: inner, tracker: c}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.open[tracked] = true
+	tracked := &trackedConn{Conn: inner, tracker: t}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.open[tracked] = true
 	return tracked, nil
 }
 
-// handleState is the ConnState hook of the HTTP server. A connection that becomes idle has answered its
-// request.
-func (c *connTracker) handleState(inner net.Conn, s http.ConnState) {
-	if tracked, ok := inner.(*trackedConn); ok && s == http.StateIdle {
+// handleState is the ConnState hook of the HTTP server. A connection becomes idle when its request has been
+// answered.
+func (t *connTracker) handleState(inner net.Conn, state http.ConnState) {
+	if tracked, ok := inner.(*trackedConn); ok && state == http.StateIdle {
 		tracked.mu.Lock()
 		tracked.hasRequest = false
 		tracked.mu.Unlock()
 	}
 }
 
-// closeIdle closes the connections without a request.
-func (c *connTracker) closeIdle() {
-	for _, conn := range c.list() {
+// closeIdle closes the connections that are not busy.
+func (t *connTracker) closeIdle() {
+	for _, conn := range t.list() {
 		conn.closeIfIdle()
 	}
 }
 
-// countBusy returns the number of connections with a request.
-func (c *connTracker) countBusy() int {
+// countBusy returns the number of busy connections.
+func (t *connTracker) countBusy() int {
 	n := 0
-	for _, conn := range c.list() {
+	for _, conn := range t.list() {
 		if conn.isBusy() {
 			n++
 		}
@@ -72,11 +72,12 @@
 	return n
 }
 
-func (c *connTracker) list() []*trackedConn {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	list := make([]*trackedConn, 0, len(c.open))
-	for conn := range c.open {
+// list returns the open connections.
+func (t *connTracker) list() []*trackedConn {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	list := make([]*trackedConn, 0, len(t.open))
+	for conn := range t.open {
 		list = append(list, conn)
 	}
 	return list
@@ -101,8 +102,8 @@
 // CloseWrite closes the write direction only. The HTTP server does this before it closes a connection whose
 // caller may still send.
 func (c *trackedConn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return closer.CloseWrite()
 	}
 	return nil
 }
@@ -115,6 +116,7 @@
 	return c.Conn.Close()
 }
 
+// closeIfIdle closes the connection unless it is busy.
 func (c *trackedConn) closeIfIdle() {
 	c.mu.Lock()
 	isIdle := !c.hasRequest
@@ -125,6 +127,7 @@
 	}
 }
 
+// isBusy reports whether a request has begun to arrive that has not been answered.
 func (c *trackedConn) isBusy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/conns_test.go
+++ b/internal/node/conns_test.go
@@ -16,31 +16,32 @@
 
 func (l *pipeListener) Accept() (net.Conn, error) { return l.conn, nil }
 
-func trackedPipe(t *testing.T) (c *connTracker, server *trackedConn, caller net.Conn) {
+// trackedPipe returns both ends of a connection, and the connTracker that has accepted the server's end.
+func trackedPipe(t *testing.T) (tracker *connTracker, server *trackedConn, caller net.Conn) {
 	t.Helper()
 	inner, caller := net.Pipe()
-	c = newConnTracker(&pipeListener{conn: inner})
-	accepted, err := c.Accept()
+	tracker = newConnTracker(&pipeListener{conn: inner})
+	accepted, err := tracker.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { inner.Close(); caller.Close() })
-	return c, accepted.(*trackedConn), caller
+	return tracker, accepted.(*trackedConn), caller
 }
 
 // Guards against closing a connection whose request has begun to arrive, which would pass the request on and
 // leave it without an answer. To the HTTP server a connection is idle until the whole header of a request has
 // been read, so an idle connection could be closed while its next header was being read.
 func TestConnectionIsBusyFromFirstByte(t *testing.T) {
-	c, server, caller := trackedPipe(t)
-	c.handleState(server, http.StateIdle)
+	tracker, server, caller := trackedPipe(t)
+	tracker.handleState(server, http.StateIdle)
 	go func() { _, _ = caller.Write([]byte("G")) }() // ends with the pipe at the latest
 	if n, err := server.Read(make([]byte, 10)); n != 1 || err != nil {
 		t.Fatal(n, err)
 	}
-	c.closeIdle()
-	if c.countBusy() != 1 {
-		t.Error("a connection with a partial request is not busy")
+	tracker.closeIdle()
+	if tracker.countBusy() != 1 {
+		t.Error("countBusy is not 1 during a partial request, want 1")
 	}
 	done := make(chan struct{})
 	go func() {
@@ -48,32 +49,33 @@
 		_, _ = io.ReadFull(caller, make([]byte, 2))
 	}()
 	if _, err := server.Write([]byte("ok")); err != nil {
-		t.Errorf("a connection with a request was closed: %v", err)
+		t.Errorf("closeIdle closed a connection with a partial request: write error %v, want none", err)
 	}
 	<-done
-	c.handleState(server, http.StateIdle)
-	c.closeIdle()
-	if c.countBusy() != 0 || len(c.list()) != 0 {
-		t.Error("an idle connection was not closed")
+	tracker.handleState(server, http.StateIdle)
+	tracker.closeIdle()
+	if tracker.countBusy() != 0 || len(tracker.list()) != 0 {
+		t.Error("closeIdle did not close the connection after its request was answered, want no open connection")
 	}
 }
 
-// slowRead returns bytes that arrive while the connection is being closed.
-type slowRead struct {
+// closingConn is a connection that receives bytes while it is being closed: Read calls closeFirst and then
+// returns data.
+type closingConn struct {
 	net.Conn
-	closing func()
+	closeFirst func()
 }
 
-func (s slowRead) Read(p []byte) (int, error) {
-	s.closing()
+func (c closingConn) Read(p []byte) (int, error) {
+	c.closeFirst()
 	return copy(p, "GET"), nil
 }
 
 // Guards against handling a request that arrives while its connection is being closed.
 func TestClosedConnectionReturnsNoBytes(t *testing.T) {
-	c, server, _ := trackedPipe(t)
-	server.Conn = slowRead{server.Conn, c.closeIdle}
+	tracker, server, _ := trackedPipe(t)
+	server.Conn = closingConn{server.Conn, tracker.closeIdle}
 	if n, err := server.Read(make([]byte, 10)); n != 0 || !errors.Is(err, net.ErrClosed) {
-		t.Errorf("%d bytes, %v", n, err)
+		t.Errorf("read of a connection that is being closed: %d bytes, error %v; want 0 bytes and net.ErrClosed", n, err)
 	}
 }
--- a/internal/node/detour_test.go
+++ b/internal/node/detour_test.go
@@ -11,9 +11,9 @@
 	"arbutusramp/standin/keyedlog"
 )
 
-// Guards against a gateway that keeps an old configuration and rejects jobs while the store refuses the calls
-// of its host alone. This happened when a gateway read configurations and wrote jobs only through its direct
-// path to the store.
+// Guards against a gateway that keeps an old configuration and rejects jobs while the store refuses calls from its
+// host only. This happened when a gateway read configurations and wrote jobs only through its direct path to the
+// store.
 func TestGatewayRefusedByStoreWorksThroughPeer(t *testing.T) {
 	s := newSystem(t, 1)
 	defer s.stopAll()
@@ -36,6 +36,6 @@
 	}
 	s.runJob(addr, addr)
 	if !refusedGateway.storePaths.Lost() {
-		t.Error("the gateway reached the store directly, so the test covers nothing")
+		t.Error("the gateway has not lost its direct path to the store, want it lost: the calls were not relayed by a peer")
 	}
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -9,23 +9,24 @@
 	"arbutusramp/core/sleep"
 )
 
-// Shares of the grace period at which a stopping process takes its next step. With a grace of 8 s, the
-// balancer has redirected callers after 2 to 3 s. A streamed answer takes about 1 s.
+// Times of the steps of a stop. Shares are parts of the grace period, the time from the signal to stop to the kill
+// of the process. With a grace period of 8 s, the balancer sends callers to other gateways after 2 to 3 s. A
+// streamed answer takes about 1 s.
 const (
-	// stopAcceptingShare is when the process stops accepting: idle connections are closed and new requests on
-	// others are rejected. Requests that arrived before have over half of the grace period left. Requests
-	// accepted later might be cut off when it ends.
+	// stopAcceptingShare is when the process stops accepting requests: it closes idle connections and rejects
+	// new requests on the others. Requests that arrived before have over half of the grace period left.
+	// Requests accepted later might be cut off at its end.
 	stopAcceptingShare = 0.375
 	// closeAllShare is when connections with requests are closed, so that the process exits before it is
 	// killed.
 	closeAllShare = 0.95
 	// earlyStopIdleTime is the time without a request after which a stopping process exits early.
 	earlyStopIdleTime = 2500 * time.Millisecond
-	// drainPollInterval is how often these conditions are checked.
+	// drainPollInterval is how often a stopping process checks whether the next step is due.
 	drainPollInterval = 50 * time.Millisecond
 )
 
-// callerConns is the part of the caller connections that drain needs.
+// callerConns is what drain needs of a server and its connections to callers.
 type callerConns interface {
 	// closeIdle closes the connections without a request.
 	closeIdle()
@@ -39,8 +40,9 @@
 	closeAll()
 }
 
-// drain continues to serve while callers still arrive, and returns when no request is in flight or the grace
-// period is nearly over. The balancer sees only at its next readiness check that this process is not ready.
+// drain lets a stopping process serve until no request is in flight or the grace period is nearly over. It accepts
+// requests until stopAcceptingShare, because the balancer sends requests until its next readiness check shows that
+// this process is not ready.
 func drain(callers callerConns, grace time.Duration, log hclog.Logger) {
 	began := time.Now()
 	timeAt := func(share float64) time.Time { return began.Add(time.Duration(share * float64(grace))) }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -8,14 +8,14 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// fakeCallerConns records when each step of a drain happened, as the time since its start.
+// fakeCallerConns is a callerConns that records when drain took its steps, as times since the start of the drain.
 type fakeCallerConns struct {
 	began              time.Time
-	idleClosedAt       time.Duration // time of the first call
-	stoppedAcceptingAt time.Duration
-	closedAllAt        time.Duration
-	busyUntil          time.Duration // until then there are requests in flight
-	lastRequestAt      time.Duration // when the last request arrived
+	idleClosedAt       time.Duration // first call of closeIdle; 0 for none, as for the next two
+	stoppedAcceptingAt time.Duration // call of stopAccepting
+	closedAllAt        time.Duration // call of closeAll
+	busyUntil          time.Duration // until then a request is in flight
+	lastRequestAt      time.Duration // arrival of the last request
 }
 
 func (f *fakeCallerConns) elapsed() time.Duration { return time.Since(f.began) }
@@ -40,6 +40,7 @@
 
 const testGrace = 8 * time.Second
 
+// runDrain drains f and returns how long that took.
 func runDrain(f *fakeCallerConns) time.Duration {
 	f.began = time.Now()
 	drain(f, testGrace, hclog.NewNullLogger())
@@ -53,15 +54,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCallerConns{busyUntil: 20 * time.Second, lastRequestAt: 20 * time.Second}
 		took := runDrain(f)
-		const answer = 1500 * time.Millisecond // longest usual duration of an answer
-		if f.idleClosedAt == 0 || f.idleClosedAt+answer > f.closedAllAt {
-			t.Errorf("idle connections closed after %v, busy ones after %v", f.idleClosedAt, f.closedAllAt)
+		const answerTime = 1500 * time.Millisecond // longest usual duration of an answer
+		if f.idleClosedAt == 0 || f.idleClosedAt+answerTime > f.closedAllAt {
+			t.Errorf("idle connections closed after %v, busy ones after %v; want at least 1.5s between", f.idleClosedAt, f.closedAllAt)
 		}
-		if f.stoppedAcceptingAt+answer > f.closedAllAt {
-			t.Errorf("listener closed after %v, busy connections after %v", f.stoppedAcceptingAt, f.closedAllAt)
+		if f.stoppedAcceptingAt+answerTime > f.closedAllAt {
+			t.Errorf("listener closed after %v, busy connections after %v; want at least 1.5s between", f.stoppedAcceptingAt, f.closedAllAt)
 		}
 		if took >= testGrace {
-			t.Errorf("the stop took %v: the process was killed", took)
+			t.Errorf("the drain took %v, want less than the grace period of 8s, after which the process is killed", took)
 		}
 	})
 }
@@ -72,7 +73,7 @@
 		f := &fakeCallerConns{busyUntil: 20 * time.Second, lastRequestAt: 20 * time.Second}
 		runDrain(f)
 		if f.stoppedAcceptingAt+testGrace/2 > f.closedAllAt || f.idleClosedAt+testGrace/2 > f.closedAllAt {
-			t.Errorf("new requests rejected after %v, idle connections closed after %v, busy ones after %v", f.stoppedAcceptingAt, f.idleClosedAt, f.closedAllAt)
+			t.Errorf("new requests rejected after %v, idle connections closed after %v, busy ones after %v; want the last at least 4s after both others", f.stoppedAcceptingAt, f.idleClosedAt, f.closedAllAt)
 		}
 	})
 }
@@ -81,10 +82,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCallerConns{busyUntil: 800 * time.Millisecond, lastRequestAt: 500 * time.Millisecond}
 		if took := runDrain(f); took > testGrace/2 || took < earlyStopIdleTime {
-			t.Errorf("the stop took %v", took)
+			t.Errorf("the drain of an idle process took %v, want 2.5s to 4s", took)
 		}
 		if f.closedAllAt != 0 {
-			t.Error("busy connections were closed")
+			t.Error("closeAll was called when no request was in flight, want no call")
 		}
 	})
 }
--- a/internal/node/drainabletask.go
+++ b/internal/node/drainabletask.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// drainableTask is a task that must stop while the rest of its process still works, such as the owner of job
-// shards, which hands them over through listeners and sessions.
+// drainableTask is a background task that is stopped before the other parts of its process. An example is the
+// owner of job shards: to hand its shards over, it needs the listeners and sessions of the process.
 type drainableTask struct {
-	work   func(context.Context) error
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   chan struct{}
+	work   func(context.Context) error // the task; it returns soon after its context ends
+	ctx    context.Context             // context of work
+	cancel context.CancelFunc          // ends ctx
+	done   chan struct{}               // closed when work has returned
 }
 
 func newDrainableTask(work func(context.Context) error) *drainableTask {
--- a/internal/node/drainabletask_test.go
+++ b/internal/node/drainabletask_test.go
@@ -17,13 +17,13 @@
 		hasHandedOver = true
 		return nil
 	})
-	end := make(chan error)
-	go func() { end <- task.run(context.Background()) }()
+	taskErr := make(chan error)
+	go func() { taskErr <- task.run(context.Background()) }()
 	task.drain(t.Context())
 	if !hasHandedOver {
-		t.Error("drain returned before the task had ended")
+		t.Error("drain returned before the task had ended, want it to wait")
 	}
-	if err := <-end; err != nil {
+	if err := <-taskErr; err != nil {
 		t.Error(err)
 	}
 }
@@ -35,10 +35,11 @@
 	task.drain(ctx)
 }
 
-type flakyHostList struct{ fail bool }
+// flakyHostList is a list of one host whose reads fail while isFailing is true.
+type flakyHostList struct{ isFailing bool }
 
 func (f *flakyHostList) Hosts(context.Context) ([]platform.Host, error) {
-	if f.fail {
+	if f.isFailing {
 		return nil, errs.New(errs.NoTarget, "down")
 	}
 	return []platform.Host{{ID: "a"}}, nil
@@ -48,16 +49,16 @@
 // its owner.
 func TestCachedHostListKeepsLastList(t *testing.T) {
 	list := &flakyHostList{}
-	m := &cachedHostList{HostList: list}
-	if m.lastHosts() != nil {
-		t.Error("hosts known before the first read")
+	cached := &cachedHostList{HostList: list}
+	if cached.lastHosts() != nil {
+		t.Error("lastHosts returns a list before the first read, want nil")
 	}
-	_, _ = m.Hosts(t.Context())
-	list.fail = true
-	if _, err := m.Hosts(t.Context()); !errs.Is(err, errs.NoTarget) {
-		t.Errorf("got %v", err)
+	_, _ = cached.Hosts(t.Context())
+	list.isFailing = true
+	if _, err := cached.Hosts(t.Context()); !errs.Is(err, errs.NoTarget) {
+		t.Errorf("failed read of the host list: error %v, want type no_target", err)
 	}
-	if hosts := m.lastHosts(); len(hosts) != 1 {
-		t.Errorf("%d hosts known after a failed read", len(hosts))
+	if hosts := cached.lastHosts(); len(hosts) != 1 {
+		t.Errorf("lastHosts returns %d hosts after a failed read, want the 1 read before", len(hosts))
 	}
 }
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -23,24 +23,27 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Variant changes an entry for tests and experiments. The zero value changes nothing.
+// Variant overrides the construction of an entry for tests and experiments. The zero value overrides nothing.
 type Variant struct {
-	// Check counts violations of invariants across several entries; if nil, each entry counts its own.
+	// Check counts violations of the system's invariants. Several entries may share it; if it is nil, each
+	// entry counts its own.
 	Check *invariant.Checker
-	// Broken disables guards of the job shards.
+	// Broken disables guards in the state of job shards, so that tests can show that the invariants detect
+	// the resulting faults.
 	Broken jobs.Broken
-	// Tuning replaces durations and bounds of the job shards.
+	// Tuning replaces durations and bounds of the job shards that are not settings.
 	Tuning batch.Tuning
 }
 
-// NewEntry returns an entry that listens but does not run yet. Errors: errs.BadSettings.
+// NewEntry returns an entry, which is the process that accepts requests of callers and sends them to sides. The
+// entry listens, but serves only after its Run is called. Error: errs.BadSettings.
 func NewEntry(s settings.Entry, logger hclog.Logger, reg metrics.Registry) (*entry.Entry, error) {
 	return NewEntryVariant(s, logger, reg, Variant{})
 }
 
-// NewEntryVariant is like NewEntry, with the changes of v.
-func NewEntryVariant(s settings.Entry, logger hclog.Logger, reg metrics.Registry, v Variant) (*entry.Entry, error) {
-	c, err := newEntryComponents(s, logger, reg, v)
+// NewEntryVariant is like NewEntry, with overrides applied.
+func NewEntryVariant(s settings.Entry, logger hclog.Logger, reg metrics.Registry, overrides Variant) (*entry.Entry, error) {
+	c, err := newEntryComponents(s, logger, reg, overrides)
 	if err != nil {
 		return nil, err
 	}
@@ -63,30 +66,31 @@
 	return e, nil
 }
 
-// entryComponents holds what the parts of one entry process share.
+// entryComponents holds the settings, clients and state that the parts of one entry process share.
 type entryComponents struct {
 	settings    settings.Entry
-	variant     Variant
+	overrides   Variant
 	logger      hclog.Logger
 	metrics     metrics.Registry
 	platformLog platform.Log
 	hosts       *cachedHostList
-	weights     platform.WeightStore // nil without a URL; plans then show no sizes
+	weights     platform.WeightStore // sizes of model weights; nil if the settings name no URL, plans then show no sizes
 	keys        *keyring.Keyring
 	config      *follow.Follower
 	fleet       *reconcile.Fleet
-	// quarantine blocks requests that have crashed targets.
+	// quarantine blocks requests whose content has crashed targets.
 	quarantine entryQuarantine
 }
 
-func newEntryComponents(s settings.Entry, logger hclog.Logger, reg metrics.Registry, v Variant) (*entryComponents, error) {
+// newEntryComponents creates the components of an entry with settings s. Error: errs.BadSettings.
+func newEntryComponents(s settings.Entry, logger hclog.Logger, reg metrics.Registry, overrides Variant) (*entryComponents, error) {
 	values, err := keyring.EntryValues(s)
 	if err != nil {
 		return nil, err
 	}
 	c := &entryComponents{
 		settings:    s,
-		variant:     v,
+		overrides:   overrides,
 		logger:      logger,
 		metrics:     reg,
 		platformLog: loghttp.New(s.Platform.LogURL),
@@ -102,7 +106,7 @@
 		Members:    c.hosts.lastHosts,
 		Logger:     logger,
 		Metrics:    reg,
-		Check:      v.Check,
+		Check:      overrides.Check,
 		PeerKeys:   c.keys.PeerKeys,
 		RetiredKey: c.keys.RetiredPeerKey,
 	})
@@ -115,8 +119,8 @@
 	return c, nil
 }
 
-// newParts builds the parts that work besides the listeners of the entry. peerAddr is where other entries
-// reach it.
+// newParts builds the parts that the entry runs besides its listeners. peerAddr is the address at which other
+// entries reach this one.
 func (c *entryComponents) newParts(peerAddr string) entry.Parts {
 	manager := c.newBatchManager(peerAddr)
 	jobOwner := newDrainableTask(manager.Run)
@@ -124,7 +128,7 @@
 	adminAPI := c.newAdmin(reconciler)
 	return entry.Parts{
 		Batch:  manager,
-		Jobs:   serveJobs(manager),
+		Jobs:   newJobsHandler(manager),
 		Config: c.config,
 		Orders: c.fleet,
 		SeeAll: reconciler.Candidate,
@@ -133,19 +137,20 @@
 			{batch.PeerPath, manager.PeerHandler},
 			{follow.PeerPath, c.config.PeerHandler},
 		}, c.logger),
-		Ready:       []func() bool{checkClosed(c.config.Ready())},
+		Ready:       []func() bool{newClosedCheck(c.config.Ready())},
 		ConfigFresh: c.config.Fresh,
 		Run: []func(context.Context) error{c.config.Run, reconciler.Run, jobOwner.run, func(ctx context.Context) error {
 			return c.quarantine.Run(ctx, quarantine.NewLogStore(c.platformLog))
 		}},
 		Drain: []func(context.Context){
-			// An operator's watch request stays open for long; unless it is closed, the stop waits for it.
+			// A watch request of an operator stays open for long. The drain would wait for it, so it is closed.
 			func(context.Context) { adminAPI.Close() },
 			jobOwner.drain,
 		},
 	}
 }
 
+// newBatchManager returns the manager of batch jobs.
 func (c *entryComponents) newBatchManager(peerAddr string) *batch.Manager {
 	return batch.New(batch.Options{
 		Settings:   c.settings,
@@ -155,14 +160,15 @@
 		Logger:     c.logger,
 		Metrics:    c.metrics,
 		PeerAddr:   peerAddr,
-		Check:      c.variant.Check,
-		Broken:     c.variant.Broken,
-		Tuning:     c.variant.Tuning,
+		Check:      c.overrides.Check,
+		Broken:     c.overrides.Broken,
+		Tuning:     c.overrides.Tuning,
 		PeerKeys:   c.keys.PeerKeys,
 		RetiredKey: c.keys.RetiredPeerKey,
 	})
 }
 
+// newReconciler returns the part that places models and services on the fleet.
 func (c *entryComponents) newReconciler() *reconcile.Reconciler {
 	return reconcile.New(reconcile.Options{
 		Self:    c.settings,
@@ -175,7 +181,8 @@
 	})
 }
 
-// planView returns the view of the fleet for plans and status of this entry.
+// planView returns the view of the fleet from which the admin API computes plans and status. It is partial if
+// this entry has sessions to only a part of the sides.
 func (c *entryComponents) planView(reconciler *reconcile.Reconciler) plan.View {
 	return plan.View{
 		Fleet:   c.fleet.View(c.config.Current()),
@@ -183,6 +190,7 @@
 	}
 }
 
+// newAdmin returns the administration API.
 func (c *entryComponents) newAdmin(reconciler *reconcile.Reconciler) *admin.Admin {
 	return admin.New(admin.Options{
 		Self:    c.settings,
@@ -196,8 +204,8 @@
 	})
 }
 
-// serveJobs returns a handler that passes requests for jobs on with the workspace of their caller.
-func serveJobs(manager *batch.Manager) fasthttp.RequestHandler {
+// newJobsHandler returns a handler of job requests that calls manager with the workspace of the caller.
+func newJobsHandler(manager *batch.Manager) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		caller, ok := entry.CallerOf(ctx)
 		if !ok {
@@ -208,8 +216,8 @@
 	}
 }
 
-// checkClosed returns a function that reports whether c has been closed.
-func checkClosed(c <-chan struct{}) func() bool {
+// newClosedCheck returns a function that reports whether c has been closed.
+func newClosedCheck(c <-chan struct{}) func() bool {
 	return func() bool {
 		select {
 		case <-c:
--- a/internal/node/entryquarantine.go
+++ b/internal/node/entryquarantine.go
@@ -8,14 +8,15 @@
 	"arbutusramp/internal/quarantine"
 )
 
-// entryQuarantine is the quarantine of an entry. Sides report crashes of their targets to it and get its
-// updates.
+// entryQuarantine is the quarantine of an entry. Sides report crashes of their targets to it, and the entry sends
+// them its updates.
 type entryQuarantine struct {
 	*quarantine.Quarantine
 	notifier crashNotifier
 }
 
-// crashNotifier signals changed when there are updates to send.
+// crashNotifier is the quarantine.Fleet of an entry. It signals on changed that the quarantine has updates for the
+// sides.
 type crashNotifier struct {
 	quarantine.NoFleet
 	changed chan struct{}
@@ -29,6 +30,7 @@
 	}
 }
 
+// newEntryQuarantine returns a quarantine with the default thresholds that has no data yet.
 func newEntryQuarantine(log hclog.Logger, reg metrics.Registry) entryQuarantine {
 	notifier := crashNotifier{changed: make(chan struct{}, 1)}
 	return entryQuarantine{notifier: notifier, Quarantine: quarantine.New(quarantine.Options{
@@ -36,5 +38,5 @@
 	})}
 }
 
-// Changed implements entry.Quarantine.
+// Changed implements entry.Quarantine. It returns the channel on which updates are signalled.
 func (q entryQuarantine) Changed() <-chan struct{} { return q.notifier.changed }
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -40,27 +40,28 @@
 )
 
 const (
-	// startSpareSlots is how many slots stay free at a target after a batch item has started there,
-	// keepSpareSlots how many are freed by preempting batch items. Both are 0: an online request gets its
-	// slot within a few milliseconds by preemption.
+	// startSpareSlots is how many slots of a target must stay free when a batch item starts there.
+	// keepSpareSlots is how many slots are kept free by preempting running batch items. Both are 0: an online
+	// request gets its slot within a few milliseconds by preemption.
 	startSpareSlots = 0
 	keepSpareSlots  = 0
 
-	// inlineReadBytes bounds the bytes that all gateways together read of a text that is stored in the record
-	// of its result. A text that is stored separately costs one call for its reader and one for its owner;
-	// reading 512 KiB takes as much time on the store's link as these calls.
+	// inlineReadBytes bounds which result texts are stored in the record of their result, which all gateways
+	// read: it is the number of bytes that they may read of one text in total. Longer texts are stored
+	// separately, which costs one call for the reader and one for the owner of the text. Reading 512 KiB takes
+	// as much time on the link of the store as these two calls.
 	inlineReadBytes = 512 << 10
 
 	// headerTimeout bounds the time for reading the header of a request, idleTimeout the time that a
 	// connection stays open between requests. Both exceed the limits that the operator sets for callers, so
-	// that no caller within those limits is cut off.
+	// that the gateway closes no connection of a caller within those limits.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 90 * time.Second
-	// maxHeaderBytes also exceeds the operator's limit.
+	// maxHeaderBytes bounds the header of a request. It exceeds the operator's limit for callers as well.
 	maxHeaderBytes = 64 << 10
 )
 
-// Gateway is a process that serves the requests of callers on the users' platform.
+// Gateway is a gateway process. It serves the online requests and batch jobs of callers on the users' platform.
 type Gateway struct {
 	settings  settings.Gateway
 	log       hclog.Logger
@@ -70,24 +71,25 @@
 	jobs      *backlog.Manager
 	loadShare *loadshare.Share
 	quotas    *quotas.Quotas
-	// quarantine blocks requests that have crashed targets.
+	// quarantine blocks requests whose content has crashed targets.
 	quarantine   *quarantine.Quarantine
 	storePaths   *storepath.Paths
 	peers        *peerDirectory
-	server       *http.Server
-	conns        *connTracker
-	auxServers   []*http.Server // of the other listeners, see readyOn
-	auxListeners []net.Listener
+	server       *http.Server   // serves callers
+	conns        *connTracker   // the listener for callers
+	auxServers   []*http.Server // servers of auxListeners, at the same indexes
+	auxListeners []net.Listener // the listeners other than that for callers; see readyListener
 
-	isStopping atomic.Bool
+	isStopping atomic.Bool // Run has begun to drain the process
 	// isRejecting is true when new requests are rejected because the process exits soon.
 	isRejecting   atomic.Bool
 	inFlightCount atomic.Int64
-	lastRequest   atomic.Int64 // in nanoseconds since began
-	began         time.Time
+	lastRequestAt atomic.Int64 // arrival of the last request, in nanoseconds since began
+	began         time.Time    // when the process was created
 }
 
-// NewGateway opens the listeners of the process and connects its parts. It does not serve before Run.
+// NewGateway opens the listeners of the process and connects its parts. Requests are served only after Run is
+// called.
 func NewGateway(s settings.Gateway, logger hclog.Logger, reg metrics.Registry) (*Gateway, error) {
 	self := fmt.Sprintf("%s-%s", s.Host.ID, uuid.NewString()[:8])
 	client := store.New(s.StoreAddr, reg)
@@ -125,17 +127,18 @@
 	return g, nil
 }
 
-// cpuCapacity returns the processor time that a gateway may use.
+// cpuCapacity returns the processor time that a gateway may use: CPUShare of all its cores.
 func cpuCapacity(s settings.Gateway) fanout.Capacity {
 	return fanout.CapacityOf(s.CPUShare * float64(s.Cores))
 }
 
-// defaultClaimTTL is how long a silent peer keeps its share of the quotas if keys are trusted without a time
-// limit. It is longer than a restart takes.
+// defaultClaimTTL is the value of claimTTL if RevokeWithin is 0, so that keys are trusted without a time limit. It
+// is longer than a restart takes.
 const defaultClaimTTL = 6 * time.Second
 
-// claimTTL returns how long a silent peer keeps its share of the quotas. A peer that is cut off can't trust
-// keys for longer than RevokeWithin after its last message.
+// claimTTL returns for how long a gateway that sends no messages to its peers keeps its share of the workspaces'
+// quotas. A gateway that is cut off trusts keys, and so admits requests, for at most RevokeWithin after its last
+// message.
 func claimTTL(s settings.Gateway) time.Duration {
 	if s.RevokeWithin == 0 {
 		return defaultClaimTTL
@@ -143,9 +146,10 @@
 	return s.RevokeWithin + loadshare.PeerTTL
 }
 
-func (g *Gateway) newCallerServer(h http.Handler) *http.Server {
+// newCallerServer returns the HTTP server for callers.
+func (g *Gateway) newCallerServer(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler:           g.countRequests(h),
+		Handler:           g.countRequests(handler),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
@@ -154,8 +158,8 @@
 	}
 }
 
-// newRejectionRecorder returns a function that counts and logs requests that are rejected by routing or
-// authorization.
+// newRejectionRecorder returns a function that counts and logs a request that was rejected because no route
+// matches it or its key is not valid.
 func (g *Gateway) newRejectionRecorder() func(request string, err error) {
 	rejectedLog := logging.NewRoutine(g.log.Named("access"))
 	return func(request string, err error) {
@@ -171,12 +175,12 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		g.inFlightCount.Add(1)
 		defer g.inFlightCount.Add(-1)
-		g.lastRequest.Store(int64(time.Since(g.began)))
+		g.lastRequestAt.Store(int64(time.Since(g.began)))
 		h.ServeHTTP(w, r)
 	})
 }
 
-// notReadyReason returns why callers should use another gateway; "" if the process is ready.
+// notReadyReason returns why the process is not ready, so that callers should use another gateway; "" if it is.
 func (g *Gateway) notReadyReason() string {
 	switch {
 	case g.isStopping.Load():
@@ -193,6 +197,7 @@
 	return ""
 }
 
+// serveReady answers the readiness checks of the balancer.
 func (g *Gateway) serveReady(w http.ResponseWriter, r *http.Request) {
 	reason := g.notReadyReason()
 	if r.URL.Path != wire.PathReady {
@@ -231,7 +236,7 @@
 	err := <-jobsDone
 	cancelWork()
 	for _, s := range g.auxServers {
-		_ = s.Close() // no caller waits for their answers any more
+		_ = s.Close() // requests at these listeners need not be answered any more
 	}
 	if groupErr := group.Wait(); groupErr != nil {
 		err = groupErr
@@ -240,21 +245,21 @@
 	return err
 }
 
-// CallerAddr returns the address for callers.
+// CallerAddr returns the address of the listener for callers.
 func (g *Gateway) CallerAddr() string { return g.conns.Addr().String() }
 
-// ReadyAddr returns the address of the readiness check for the balancer.
-func (g *Gateway) ReadyAddr() string { return g.auxListeners[readyOn].Addr().String() }
+// ReadyAddr returns the address of the listener for readiness checks.
+func (g *Gateway) ReadyAddr() string { return g.auxListeners[readyListener].Addr().String() }
 
-// MetricsAddr returns the address of the metrics.
-func (g *Gateway) MetricsAddr() string { return g.auxListeners[metricsOn].Addr().String() }
+// MetricsAddr returns the address of the listener for metrics.
+func (g *Gateway) MetricsAddr() string { return g.auxListeners[metricsListener].Addr().String() }
 
-// inFlight returns the number of requests in flight.
+// inFlight returns the number of caller requests that are being served.
 func (g *Gateway) inFlight() int64 { return g.inFlightCount.Load() }
 
 // idleTime implements callerConns.
 func (g *Gateway) idleTime() time.Duration {
-	return time.Since(g.began) - time.Duration(g.lastRequest.Load())
+	return time.Since(g.began) - time.Duration(g.lastRequestAt.Load())
 }
 
 // countBusy implements callerConns.
@@ -278,7 +283,8 @@
 	}
 }
 
-// ignoreClosed drops the error of a server that was closed, or whose listener was.
+// ignoreClosed returns err, or nil if err says that the server or its listener was closed, which is how a server
+// ends when the process stops.
 func ignoreClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
 		return nil
@@ -286,7 +292,7 @@
 	return err
 }
 
-// GatewayReloader reloads the settings file of a gateway.
+// GatewayReloader reloads the settings file of a running gateway. Only the log level is applied without a restart.
 type GatewayReloader struct {
 	path          string
 	startSettings settings.Gateway
@@ -298,7 +304,8 @@
 	return &GatewayReloader{path: path, startSettings: s, log: logger}
 }
 
-// Reload applies the log level and logs which changed settings need a restart. Error: errs.BadSettings.
+// Reload reads the settings file again, applies its log level and logs which changed settings need a restart.
+// A file with errors changes nothing. Error: errs.BadSettings.
 func (r *GatewayReloader) Reload() error {
 	current, err := settings.LoadGateway(r.path)
 	if err != nil {
--- a/internal/node/gateway_listen.go
+++ b/internal/node/gateway_listen.go
@@ -15,15 +15,16 @@
 	"arbutusramp/platform/store"
 )
 
-// Indexes of the listeners other than that of callers, in the order in which they are opened.
+// Indexes into Gateway.auxListeners, in the order in which the listeners are opened.
 const (
-	_ = iota // the relay for peers
-	readyOn
-	metricsOn
+	_ = iota // the store relay for peers
+	readyListener
+	metricsListener
 )
 
-// openStorePaths opens the paths to the store: the direct one of this process and those through peers. In
-// turn it serves as a relay for peers, at the address where it receives their load reports.
+// openStorePaths sets up the paths to the store: the direct one of this process, and those through other gateways
+// (its peers) that relay calls to the store. It also opens the listener at which this process is a relay for its
+// peers, with the port at which it receives their load reports.
 func (g *Gateway) openStorePaths(client *store.Client, self fleet.Peer) error {
 	log := g.log.Named("peers")
 	ln, err := g.listenForPeers(self, log)
@@ -39,12 +40,12 @@
 	return nil
 }
 
-// maxPortTries is how many free ports are tried for the peer listener.
+// maxPortTries bounds the ports that listenForPeers tries if the settings leave the choice to the system.
 const maxPortTries = 10
 
-// listenForPeers opens the UDP and TCP sockets for peers on the same port. If the settings name port 0, the
-// system chooses a port that is free for one protocol but may be in use by another process for the other, so
-// that a start would fail now and then; in that case it tries another port.
+// listenForPeers opens a TCP listener and a UDP socket for peers on the same port. If the settings name port 0,
+// the system chooses a port that is free for TCP but may be in use for UDP, which would make a start fail now
+// and then. In that case listenForPeers tries another port.
 func (g *Gateway) listenForPeers(self fleet.Peer, log hclog.Logger) (ln net.Listener, err error) {
 	isStoreLost := func() bool { return g.storePaths.Lost() }
 	tries := 1
@@ -68,25 +69,26 @@
 	return nil, err
 }
 
-// addListener adds a listener other than that of callers. Run serves it.
-func (g *Gateway) addListener(ln net.Listener, h http.Handler) {
+// addListener adds a listener that Run serves with handler, in addition to the listener for callers.
+func (g *Gateway) addListener(ln net.Listener, handler http.Handler) {
 	g.auxListeners = append(g.auxListeners, ln)
-	g.auxServers = append(g.auxServers, &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout})
+	g.auxServers = append(g.auxServers, &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout})
 }
 
+// listen opens the listeners for readiness checks, metrics and callers.
 func (g *Gateway) listen() error {
-	for _, l := range []struct {
+	for _, listener := range []struct {
 		addr    string
 		handler http.Handler
 	}{
 		{g.settings.ReadyAddr, http.HandlerFunc(g.serveReady)},
 		{g.settings.MetricsAddr, telemetry.TextHandler(g.reg)},
 	} {
-		ln, err := net.Listen("tcp", l.addr)
+		ln, err := net.Listen("tcp", listener.addr)
 		if err != nil {
 			return errors.Wrap(err, "listen")
 		}
-		g.addListener(ln, l.handler)
+		g.addListener(ln, listener.handler)
 	}
 	ln, err := net.Listen("tcp", g.settings.CallerAddr)
 	if err != nil {
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -28,28 +28,29 @@
 	itemEvents = 20
 	// callTimeout is how long callers wait for an answer.
 	callTimeout  = 5 * time.Second
-	maxIdleConns = 4
-	targetSlots  = 8
+	maxIdleConns = 4 // of the callers
+	targetSlots  = 8 // of each target
 )
 
 // system is a set of gateways with a store and targets, connected through real sockets.
 type system struct {
 	t         *testing.T
-	store     platform.Store
+	store     platform.Store // for the configuration and the list of targets
 	storeAddr string
 	caller    *wiretest.Caller
 	gateways  []*Gateway
-	cancels   []context.CancelFunc
-	done      []chan error
+	cancels   []context.CancelFunc // for each gateway, stops it
+	done      []chan error         // for each gateway, the result of its Run
 }
 
-func newSystem(t *testing.T, gateways int) *system {
-	return newSystemWith(t, gateways, wiretest.Routes, nil)
+// newSystem returns a system with two targets, a number of gateways and the routes wiretest.Routes.
+func newSystem(t *testing.T, gatewayCount int) *system {
+	return newSystemWith(t, gatewayCount, wiretest.Routes, nil)
 }
 
-// newSystemWith is newSystem with a configuration and a function that targets call for each request; nil for
-// none.
-func newSystemWith(t *testing.T, gateways int, config string, noteRun func(request, workspace string, hasKey bool)) *system {
+// newSystemWith returns a system with two targets, a number of gateways and a configuration. Targets call noteRun
+// for each request unless it is nil.
+func newSystemWith(t *testing.T, gatewayCount int, config string, noteRun func(request, workspace string, hasKey bool)) *system {
 	s := newSystemWithoutTargets(t, config)
 	for i := range 2 {
 		id := fmt.Sprintf("i-%d", i)
@@ -57,7 +58,7 @@
 		t.Cleanup(target.Close)
 		s.listTarget(id, target)
 	}
-	s.startGateways(gateways)
+	s.startGateways(gatewayCount)
 	return s
 }
 
@@ -71,7 +72,7 @@
 	return s
 }
 
-// listTarget puts a target on the list.
+// listTarget adds a target to the list of targets in the store.
 func (s *system) listTarget(id string, target *httptest.Server) {
 	s.must(wiretest.List(s.t.Context(), s.store, wiretest.Listing{Name: id, Addr: target.Listener.Addr().String(), Domain: "d", Slots: targetSlots}))
 }
@@ -83,6 +84,7 @@
 	}
 }
 
+// must ends the test if err is not nil.
 func (s *system) must(err error) {
 	s.t.Helper()
 	if err != nil {
@@ -90,12 +92,13 @@
 	}
 }
 
-func (s *system) start(id, store string) {
+// start starts a gateway that uses the store at storeAddr, and waits until the gateway is ready.
+func (s *system) start(id, storeAddr string) {
 	s.t.Helper()
 	const anyPort = "127.0.0.1:0"
 	opts := settings.Gateway{
 		CallerAddr: anyPort, ReadyAddr: anyPort, PeerAddr: anyPort, MetricsAddr: anyPort,
-		StoreAddr: store, Shards: 4, MinTTL: 300 * time.Millisecond, Grace: 4 * time.Second,
+		StoreAddr: storeAddr, Shards: 4, MinTTL: 300 * time.Millisecond, Grace: 4 * time.Second,
 		RevokeWithin: 5 * time.Second, QuotaWindow: 5 * time.Second,
 		QuarantineAfter: quarantine.DefaultThreshold, QuarantineHold: quarantine.DefaultHold,
 	}
@@ -115,10 +118,12 @@
 	}
 }
 
+// ready returns status and text of a readiness check of g.
 func (s *system) ready(g *Gateway) (int, string) {
 	return s.caller.Ready(g.ReadyAddr())
 }
 
+// stopAll stops all gateways and waits until they have ended without error.
 func (s *system) stopAll() {
 	for _, cancel := range s.cancels {
 		cancel()
@@ -133,49 +138,49 @@
 func TestGatewaysServeEveryKindOfRequest(t *testing.T) {
 	s := newSystem(t, 2)
 	defer s.stopAll()
-	a, b := s.gateways[0].CallerAddr(), s.gateways[1].CallerAddr()
-	if status, text := s.caller.Send(a, http.MethodPost, "/call/x?y", "r1", "echo"); status != 200 || text != wiretest.AnswerTo("r1", "echo") {
-		t.Errorf("call: %d %s", status, text)
+	addr1, addr2 := s.gateways[0].CallerAddr(), s.gateways[1].CallerAddr()
+	if status, text := s.caller.Send(addr1, http.MethodPost, "/call/x?y", "r1", "echo"); status != 200 || text != wiretest.AnswerTo("r1", "echo") {
+		t.Errorf("call: status %d, text %s; want 200 and the echo of the body", status, text)
 	}
-	if status, text := s.caller.Send(b, http.MethodPost, "/stream/x", "r2", ""); status != 200 || text != wiretest.Stream("r2", itemEvents) {
-		t.Errorf("stream: %d %s", status, text)
+	if status, text := s.caller.Send(addr2, http.MethodPost, "/stream/x", "r2", ""); status != 200 || text != wiretest.Stream("r2", itemEvents) {
+		t.Errorf("stream: status %d, text %s; want 200 and all 20 events", status, text)
 	}
-	if status, _ := s.caller.Send(a, http.MethodPost, "/none/x", "r3", ""); status != 404 {
-		t.Errorf("no route: %d", status)
+	if status, _ := s.caller.Send(addr1, http.MethodPost, "/none/x", "r3", ""); status != 404 {
+		t.Errorf("request that no route matches: status %d, want 404", status)
 	}
-	s.runJob(a, b)
+	s.runJob(addr1, addr2)
 	if _, text := s.caller.Send(s.gateways[0].MetricsAddr(), http.MethodGet, "/metrics", "", ""); !strings.Contains(text, "online.safe.served 1\n") {
-		t.Errorf("metrics: %s", text)
+		t.Errorf("metrics lack the line online.safe.served 1: %s", text)
 	}
 }
 
-// runJob submits a job at one gateway and reads its results at another.
+// runJob submits a job at one gateway, reads its results at another and ends it.
 func (s *system) runJob(submitAddr, readAddr string) {
 	s.t.Helper()
 	items := []wiretest.Item{{ID: "i1", Path: "/batch/1", Body: []byte("hi"), Tokens: 10}, {ID: "i2", Path: "/batch/2", Tokens: 10}}
 	if status, text := s.caller.Submit(submitAddr, "job-1", items); status != 202 {
-		s.t.Fatalf("job: %d %s", status, text)
+		s.t.Fatalf("submit of job-1: status %d, text %s; want 202", status, text)
 	}
 	if status, text := s.caller.Body(readAddr, "job-1", "i1"); status != 200 || text != "hi" {
-		s.t.Errorf("body: %d %q", status, text)
+		s.t.Errorf("body of item i1: status %d, %q; want 200 and hi", status, text)
 	}
 	for next := 0; next < len(items); {
 		status, page := s.caller.Results(readAddr, "job-1", next, time.Second)
 		if status != 200 || page.Total != len(items) || page.Next != next+len(page.Results) {
-			s.t.Fatalf("results: %d %+v", status, page)
+			s.t.Fatalf("results of job-1: status %d, page %+v; want 200, 2 items in total and Next after the last result", status, page)
 		}
 		next = page.Next
 		for _, r := range page.Results {
 			if r.State != "complete" || r.Text != wiretest.Text(r.ID, itemEvents) {
-				s.t.Errorf("result %+v", r)
+				s.t.Errorf("result of job-1: %+v, want state complete and the text of 20 events", r)
 			}
 		}
 	}
 	if status, _ := s.caller.End(submitAddr, "job-1"); status != 200 {
-		s.t.Errorf("end: %d", status)
+		s.t.Errorf("end of job-1: status %d, want 200", status)
 	}
 	if status, _ := s.caller.Results(submitAddr, "job-none", 0, 0); status != 404 {
-		s.t.Errorf("unknown job: %d", status)
+		s.t.Errorf("results of an unknown job: status %d, want 404", status)
 	}
 }
 
@@ -187,34 +192,36 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if status, text := s.caller.Send(g.CallerAddr(), http.MethodPost, "/call/x", "r1", "echo"); status != 200 || text != wiretest.AnswerTo("r1", "echo") {
-		t.Errorf("call after the stop signal: %d %s", status, text)
+		t.Errorf("call after the stop signal: status %d, text %s; want 200 and the echo of the body", status, text)
 	}
 	if err := <-s.done[0]; err != nil {
 		t.Error(err)
 	}
 }
 
-// itemBodies returns bodies that JSON, CBOR, base64 or the splitting into store records may change.
+// itemBodies returns bodies, by item id, that a fault in the encoding as JSON, CBOR or base64, or in the splitting
+// into store records, would change.
 func itemBodies() map[string]string {
-	all := make([]byte, 256)
-	for i := range all {
-		all[i] = byte(i)
+	allBytes := make([]byte, 256)
+	for i := range allBytes {
+		allBytes[i] = byte(i)
 	}
 	return map[string]string{
 		"empty":      "",
-		"all-bytes":  string(all),
+		"all-bytes":  string(allBytes),
 		"escaped":    "\"\\\b\f\n\r\t\u0000\u2028<>&é\xff\xfe",
 		"line-ends":  "\r\n\r\n0\r\n\r\n",
-		"two-chunks": strings.Repeat(string(all), 1200), // larger than one record of the store
+		"two-chunks": strings.Repeat(string(allBytes), 1200), // larger than one record of the store
 	}
 }
 
-// Guards against changing an item's body between its caller, the store, its target and readers of the job.
+// Guards against changes of an item's body on its way from the caller through the store to the target and to
+// readers of the job.
 func TestItemBodiesAreUnchanged(t *testing.T) {
 	s := newSystemWithoutTargets(t, wiretest.Routes)
 	var mu sync.Mutex
-	sent := make(map[string]string)
-	release := make(chan struct{})
+	targetBodies := make(map[string]string) // by request id
+	release := make(chan struct{})          // closed to let the target answer
 	target := &wiretest.Target{ID: "i-0", Events: itemEvents}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -222,7 +229,7 @@
 			t.Error(err)
 		}
 		mu.Lock()
-		sent[r.Header.Get(wire.HeaderRequestID)] = string(body)
+		targetBodies[r.Header.Get(wire.HeaderRequestID)] = string(body)
 		mu.Unlock()
 		select {
 		case <-release:
@@ -240,12 +247,12 @@
 		items = append(items, wiretest.Item{ID: id, Path: "/batch/" + id, Body: []byte(body), Tokens: 10})
 	}
 	if status, text := s.caller.Submit(s.gateways[0].CallerAddr(), "job", items); status != http.StatusAccepted {
-		t.Fatalf("job: %d %s", status, text)
+		t.Fatalf("submit of the job: status %d, text %s; want 202", status, text)
 	}
 	for id, body := range bodies {
 		for _, g := range s.gateways {
 			if status, got := s.caller.Body(g.CallerAddr(), "job", id); status != http.StatusOK || got != body {
-				t.Errorf("%s: %d and %d bytes read at %s, want %d", id, status, len(got), g.CallerAddr(), len(body))
+				t.Errorf("body of item %s: status %d and %d bytes read at %s, want 200 and the same %d bytes", id, status, len(got), g.CallerAddr(), len(body))
 			}
 		}
 	}
@@ -253,15 +260,15 @@
 	for n := 0; n < len(bodies); { // bounded by the timeout of the test
 		status, page := s.caller.Results(s.gateways[1].CallerAddr(), "job", 0, time.Second)
 		if status != http.StatusOK {
-			t.Fatalf("results: %d", status)
+			t.Fatalf("results of the job: status %d, want 200", status)
 		}
 		n = len(page.Results)
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	for id, body := range bodies {
-		if got, ok := sent[id]; !ok || got != body {
-			t.Errorf("%s: the target got %d bytes, want %d", id, len(got), len(body))
+		if got, ok := targetBodies[id]; !ok || got != body {
+			t.Errorf("body of item %s: the target got %d bytes, want the same %d bytes as submitted", id, len(got), len(body))
 		}
 	}
 }
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -4,12 +4,12 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Names of the metrics of the process's state.
+// Names of the gauges that show the state of a gateway process.
 const (
 	configVersionMetric         = "config.version"
 	configAgeMetric             = "config.age_ms"
-	targetsMetric               = "targets"
-	reportsHubMetric            = "reports.hub_for"
+	targetsMetric               = "targets"         // targets that are known
+	reportsHubMetric            = "reports.hub_for" // gateways whose load reports this one forwards
 	reportsSentMetric           = "reports.sent"
 	reportsSentBytesMetric      = "reports.sent_bytes"
 	reportsForwardedMetric      = "reports.passed_on"
@@ -24,7 +24,7 @@
 	jobsAgeMetric               = "backlog.jobs_age_ms"
 )
 
-// registerGauges registers the gauges of the process's state.
+// registerGauges registers the gauges, which read the state of the process when the metrics are requested.
 func (g *Gateway) registerGauges() {
 	for name, read := range map[string]func() int64{
 		configVersionMetric:         func() int64 { return int64(g.watch.Version()) },
--- a/internal/node/keys_test.go
+++ b/internal/node/keys_test.go
@@ -13,10 +13,11 @@
 // runRecorder records the workspace for which each request ran.
 type runRecorder struct {
 	mu         sync.Mutex
-	workspaces map[string]string
-	keysSeen   int
+	workspaces map[string]string // by request id
+	keysSeen   int               // requests that reached targets with a key
 }
 
+// note records that a request ran for a workspace, and whether it reached the target with a key.
 func (r *runRecorder) note(request, workspace string, hasKey bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,68 +34,69 @@
 	return r.workspaces[request], r.keysSeen
 }
 
-// Covers keys end to end: targets get the workspace but never the key, a job is visible only to its
-// workspace, and all gateways reject a removed key.
+// Covers API keys end to end: targets get the workspace of a key but never the key, a job is visible only to its
+// workspace, and all gateways reject a key after its removal from the configuration.
 func TestKeysEndToEnd(t *testing.T) {
-	seen := &runRecorder{workspaces: make(map[string]string)}
+	recorder := &runRecorder{workspaces: make(map[string]string)}
 	keysByWorkspace := map[string][]string{"w1": {"k1", "k1b"}, "w2": {"k2"}}
-	s := newSystemWith(t, 2, wiretest.KeyedRoutes(1, keysByWorkspace, nil), seen.note)
+	s := newSystemWith(t, 2, wiretest.KeyedRoutes(1, keysByWorkspace, nil), recorder.note)
 	defer s.stopAll()
-	a, b := s.gateways[0].CallerAddr(), s.gateways[1].CallerAddr()
-	first, second := s.caller.WithKey("k1"), s.caller.WithKey("k2")
+	addr1, addr2 := s.gateways[0].CallerAddr(), s.gateways[1].CallerAddr()
+	callerOfW1, callerOfW2 := s.caller.WithKey("k1"), s.caller.WithKey("k2")
 	for id, path := range map[string]string{"r1": "/call/x", "r2": "/stream/x", "r3": "/once/x"} {
-		if status, text := first.Send(a, http.MethodPost, path, id, "", wire.HeaderWorkspace, "w2"); status != http.StatusOK {
-			t.Errorf("%s: %d %s", path, status, text)
+		if status, text := callerOfW1.Send(addr1, http.MethodPost, path, id, "", wire.HeaderWorkspace, "w2"); status != http.StatusOK {
+			t.Errorf("%s with a valid key: status %d, text %s; want 200", path, status, text)
 		}
-		if workspace, keys := seen.get(id); workspace != "w1" || keys > 0 {
-			t.Errorf("%s ran for %q, %d keys seen", path, workspace, keys)
+		if workspace, keys := recorder.get(id); workspace != "w1" || keys > 0 {
+			t.Errorf("%s ran for workspace %q, want w1; %d requests reached targets with a key, want 0", path, workspace, keys)
 		}
 	}
 	for _, unknown := range []*wiretest.Caller{s.caller, s.caller.WithKey("k3")} {
-		if status, _ := unknown.Send(b, http.MethodPost, "/call/x", "r4", ""); status != http.StatusUnauthorized {
-			t.Errorf("without a valid key: %d", status)
+		if status, _ := unknown.Send(addr2, http.MethodPost, "/call/x", "r4", ""); status != http.StatusUnauthorized {
+			t.Errorf("request without a valid key: status %d, want 401", status)
 		}
 	}
 	items := []wiretest.Item{{ID: "i1", Path: "/batch/1", Body: []byte("hi"), Tokens: 10}}
-	if status, text := first.Submit(a, "job", items); status != http.StatusAccepted {
-		t.Fatalf("job: %d %s", status, text)
+	if status, text := callerOfW1.Submit(addr1, "job", items); status != http.StatusAccepted {
+		t.Fatalf("submit of a job: status %d, text %s; want 202", status, text)
 	}
-	status, _ := second.Results(b, "job", 0, 0)
-	for status == http.StatusServiceUnavailable { // the gateway can't decide yet
-		status, _ = second.Results(b, "job", 0, 0)
+	status, _ := callerOfW2.Results(addr2, "job", 0, 0)
+	for status == http.StatusServiceUnavailable { // the gateway can't tell yet whether the job exists
+		status, _ = callerOfW2.Results(addr2, "job", 0, 0)
 	}
 	if status != http.StatusNotFound {
-		t.Errorf("results for another workspace: %d", status)
+		t.Errorf("results of the job for another workspace: status %d, want 404", status)
 	}
 	var page wiretest.Page
 	for len(page.Results) == 0 {
-		if status, page = first.Results(b, "job", 0, time.Second); status == http.StatusNotFound || status == http.StatusUnauthorized {
-			t.Fatalf("results: %d", status)
+		if status, page = callerOfW1.Results(addr2, "job", 0, time.Second); status == http.StatusNotFound || status == http.StatusUnauthorized {
+			t.Fatalf("results of the job for its workspace: status %d, want neither 404 nor 401", status)
 		}
 	}
-	if workspace, keys := seen.get("i1"); workspace != "w1" || keys > 0 {
-		t.Errorf("the item ran for %q, %d keys seen", workspace, keys)
+	if workspace, keys := recorder.get("i1"); workspace != "w1" || keys > 0 {
+		t.Errorf("the item ran for workspace %q, want w1; %d requests reached targets with a key, want 0", workspace, keys)
 	}
 	s.must(wiretest.Configure(t.Context(), s.store, wiretest.KeyedRoutes(2, map[string][]string{"w1": {"k1b"}, "w2": {"k2"}}, nil)))
-	for _, addr := range []string{a, b} {
+	for _, addr := range []string{addr1, addr2} {
 		for status := http.StatusOK; status != http.StatusUnauthorized; {
-			status, _ = first.Send(addr, http.MethodPost, "/call/x", "r5", "")
+			status, _ = callerOfW1.Send(addr, http.MethodPost, "/call/x", "r5", "")
 		}
 	}
-	status, page = s.caller.WithKey("k1b").Results(a, "job", 0, 0)
+	status, page = s.caller.WithKey("k1b").Results(addr1, "job", 0, 0)
 	for status == http.StatusServiceUnavailable {
-		status, page = s.caller.WithKey("k1b").Results(a, "job", 0, 0)
+		status, page = s.caller.WithKey("k1b").Results(addr1, "job", 0, 0)
 	}
 	if status != http.StatusOK || len(page.Results) != 1 {
-		t.Errorf("results by another key of the workspace: %d %+v", status, page)
+		t.Errorf("results read with another key of the workspace: status %d, page %+v; want 200 and 1 result", status, page)
 	}
 }
 
-// Covers a quota across gateways: their requests together exhaust it, and requests over it get 429.
+// Covers a quota that applies to all gateways together: requests to two gateways exhaust it, and a request over it
+// gets status 429.
 func TestQuotaAppliesAcrossGateways(t *testing.T) {
-	seen := &runRecorder{workspaces: make(map[string]string)}
-	const perSecond = 1
-	s := newSystemWith(t, 2, wiretest.KeyedRoutes(1, map[string][]string{"w1": {"k1"}}, map[string]int{"w1": perSecond}), seen.note)
+	recorder := &runRecorder{workspaces: make(map[string]string)}
+	const quotaPerSecond = 1
+	s := newSystemWith(t, 2, wiretest.KeyedRoutes(1, map[string][]string{"w1": {"k1"}}, map[string]int{"w1": quotaPerSecond}), recorder.note)
 	defer s.stopAll()
 	caller := s.caller.WithKey("k1")
 	rejected := 0
@@ -105,7 +107,7 @@
 			case http.StatusTooManyRequests:
 				rejected++
 			default:
-				t.Fatalf("%d %s", status, text)
+				t.Fatalf("request of a workspace with a quota: status %d, text %s; want 200 or 429", status, text)
 			}
 		}
 	}
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -18,19 +18,19 @@
 // for TCP; with a single attempt the start failed. A port that the settings name is tried once, and a failure
 // leaves no socket open.
 func TestPeerPortInUseFailsAndIsReleased(t *testing.T) {
-	taken, err := net.ListenPacket("udp4", ownaddr.New())
+	usedPort, err := net.ListenPacket("udp4", ownaddr.New())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	g := &Gateway{settings: settings.Gateway{PeerAddr: taken.LocalAddr().String()}, log: hclog.NewNullLogger(), reg: metrics.NewRegistry()}
+	defer usedPort.Close()
+	g := &Gateway{settings: settings.Gateway{PeerAddr: usedPort.LocalAddr().String()}, log: hclog.NewNullLogger(), reg: metrics.NewRegistry()}
 	if ln, err := g.listenForPeers("self", g.log); err == nil {
 		ln.Close()
-		t.Fatal("a port in use was opened")
+		t.Fatal("listening for peers succeeded at a port in use, want an error")
 	}
 	reopened, err := net.Listen("tcp", g.settings.PeerAddr)
 	if err != nil {
-		t.Fatalf("the port is still in use: %v", err)
+		t.Fatalf("the failed start left the TCP port in use: %v", err)
 	}
 	reopened.Close()
 }
@@ -44,7 +44,7 @@
 	defer datagrams.Close()
 	if ln, err := net.Listen("tcp", datagrams.LocalAddr().String()); !errors.Is(err, syscall.EADDRINUSE) {
 		ln.Close()
-		t.Errorf("listening at the port of an outgoing TCP connection: %v", err)
+		t.Errorf("listening for TCP at the port of an outgoing TCP connection: error %v, want EADDRINUSE", err)
 	}
 }
 
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// Covers many gateways that each find a free port for both protocols.
+// Covers many gateways in one process that each find a port that is free for both TCP and UDP.
 func TestManyGatewaysFindFreePorts(t *testing.T) {
 	const gatewayCount = 50
 	for range gatewayCount {
@@ -84,7 +84,7 @@
 		}
 		defer ln.Close()
 		if g.loadShare.Addr().String() != ln.Addr().String() {
-			t.Errorf("UDP at %v, TCP at %v", g.loadShare.Addr(), ln.Addr())
+			t.Errorf("peer listener: UDP at %v, TCP at %v; want the same address", g.loadShare.Addr(), ln.Addr())
 		}
 	}
 }
--- a/internal/node/peerdirectory.go
+++ b/internal/node/peerdirectory.go
@@ -15,28 +15,29 @@
 	"arbutusramp/internal/loadshare"
 )
 
-// peerPartition is the partition in which gateways publish their addresses.
+// peerPartition is the partition of the store in which gateways publish their peer addresses.
 var peerPartition = platform.Partition{Topic: "keyed.gateways"}
 
 const (
 	// peerRetryDelay is the pause after a failed call to the store.
 	peerRetryDelay = 300 * time.Millisecond
-	// peerReadInterval is how often the addresses are read again. A gateway that starts sends to all the
-	// addresses that it finds, so the others get its address immediately. Reading again only recovers
-	// missed ones.
+	// peerReadInterval is how often the addresses are read again. A gateway that starts sends load reports to
+	// all addresses that it finds, so the other gateways learn its address immediately. Reading again only
+	// finds addresses whose first reports were lost.
 	peerReadInterval = 15 * time.Second
 )
 
-// peerDirectory publishes the address of this gateway and finds those of the others.
+// peerDirectory publishes the peer address of this gateway in the store and reads those of the other gateways, to
+// which load reports are sent.
 type peerDirectory struct {
 	store     platform.Store
 	loadShare *loadshare.Share
-	self      peerRecord
-	storeLink *dependency.Link
+	self      peerRecord       // published for this gateway
+	storeLink *dependency.Link // tracks whether the store answers
 	log       hclog.Logger
 }
 
-// peerRecord is what a gateway publishes under its address.
+// peerRecord is the stored record of a gateway. Its key is the peer address of the gateway.
 type peerRecord struct {
 	Domain   structs.FailureDomain `cbor:"1,keyasint"`
 	Capacity fanout.Capacity       `cbor:"2,keyasint,omitempty"`
@@ -58,6 +59,7 @@
 	return nil
 }
 
+// write publishes the record of this gateway.
 func (d *peerDirectory) write(ctx context.Context) error {
 	value, err := cbor.Marshal(d.self)
 	if err != nil {
@@ -69,6 +71,7 @@
 	return err
 }
 
+// read adds all published gateways to the peers of loadShare.
 func (d *peerDirectory) read(ctx context.Context) error {
 	_, err := platform.EachNewest(ctx, d.store, peerPartition, "", func(records []platform.StoredRecord) bool {
 		for _, r := range records {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -12,20 +12,24 @@
 )
 
 const (
+	// peerIdleTimeout is how long a connection of a peer stays open between requests.
 	peerIdleTimeout = 2 * time.Minute
+	// peerReadTimeout bounds the time for reading one request of a peer.
 	peerReadTimeout = time.Minute
+	// peerStopTimeout bounds the time that Close waits for requests in flight.
 	peerStopTimeout = time.Second
-	// maxPeerBodyBytes bounds the body of a call between entries: a segment of a job's file, or an outcome.
+	// maxPeerBodyBytes bounds the body of a request between entries, which is a segment of a job's file or the
+	// outcome of an item.
 	maxPeerBodyBytes = 64 << 20
 )
 
-// peerRoute serves a path of the peer listener and the paths below it.
+// peerRoute is the handler for a path of the peer listener, which serves other entries, and for the paths below it.
 type peerRoute struct {
 	path    string
 	handler fasthttp.RequestHandler
 }
 
-// servePeers returns a function that serves routes on the peer listener.
+// servePeers returns a function that starts a server of routes on a listener and returns its closer.
 func servePeers(routes []peerRoute, logger hclog.Logger) func(net.Listener) io.Closer {
 	return func(ln net.Listener) io.Closer {
 		s := &fasthttp.Server{
@@ -47,6 +51,7 @@
 	}
 }
 
+// routePeers returns a handler that calls the first of routes whose path matches.
 func routePeers(routes []peerRoute) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		path := string(ctx.Path())
@@ -60,11 +65,12 @@
 	}
 }
 
+// peerServer is a server whose Close waits up to peerStopTimeout for requests in flight.
 type peerServer struct{ *fasthttp.Server }
 
 // Close implements io.Closer.
-func (p peerServer) Close() error {
+func (s peerServer) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), peerStopTimeout)
 	defer cancel()
-	return p.ShutdownWithContext(ctx)
+	return s.ShutdownWithContext(ctx)
 }
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -23,16 +23,17 @@
 const (
 	// crashBody is the prefix of request and item bodies that crash the targets of a crashFleet.
 	crashBody = "crash"
-	// maxCrashes is the limit of the platform: three crashes, and three retries after the third.
+	// maxCrashes is the most targets that one request or item may crash under the rules of the platform: three,
+	// and three more by retries after the third crash.
 	maxCrashes = 6
-	// callerPause is the pause between two repeats of a request.
+	// callerPause is how long a caller waits before it repeats a request.
 	callerPause = 40 * time.Millisecond
-	// entryTTL is how long the entry of a crashed target stays on the list.
-	entryTTL = 600 * time.Millisecond
+	// unlistDelay is how long a crashed target stays on the list of targets after its replacement has started.
+	unlistDelay = 600 * time.Millisecond
 )
 
-// crashFleet is a set of targets that crash when they receive a body that starts with crashBody. Each crashed
-// target is replaced by another one under a new name.
+// crashFleet is a set of targets of a system that crash when they receive a body that starts with crashBody. Each
+// crashed target is replaced by another one under a new id.
 type crashFleet struct {
 	s *system
 	// acceptsFor is how long the address of a crashed target accepts connections and closes them immediately,
@@ -42,26 +43,28 @@
 	downTime time.Duration
 
 	mu           sync.Mutex
-	started      int
-	crashes      int
+	started      int            // targets started so far, for their ids
+	crashes      int            // crashes so far
 	replacements sync.WaitGroup // replacements in progress
 }
 
-func newCrashFleet(s *system, targets int) *crashFleet {
-	return newSupervisedFleet(s, targets, 0)
+// newCrashFleet returns a fleet whose addresses refuse connections after the crash of their target.
+func newCrashFleet(s *system, targetCount int) *crashFleet {
+	return newSupervisedFleet(s, targetCount, 0)
 }
 
-// newSupervisedFleet is newCrashFleet with addresses that accept connections while their targets are down.
-func newSupervisedFleet(s *system, targets int, acceptsFor time.Duration) *crashFleet {
+// newSupervisedFleet returns a fleet whose addresses accept connections for acceptsFor after the crash of their
+// target. If acceptsFor is 0, they refuse connections.
+func newSupervisedFleet(s *system, targetCount int, acceptsFor time.Duration) *crashFleet {
 	f := &crashFleet{s: s, acceptsFor: acceptsFor}
-	for range targets {
+	for range targetCount {
 		f.start()
 	}
 	return f
 }
 
-// supervisor is a listener that outlives its target and closes connections immediately while the target is
-// down.
+// supervisor is the listener of a target that stays open when the target crashes. While the target is down, it
+// closes each connection immediately.
 type supervisor struct {
 	net.Listener
 	isDown atomic.Bool
@@ -78,22 +81,23 @@
 	}
 }
 
-// crashTarget is the current target at one address.
+// crashTarget is an address of a crashFleet, at which one target after another runs.
 type crashTarget struct {
 	server     *httptest.Server
 	supervisor *supervisor
 
 	mu      sync.Mutex
-	current *wiretest.Target
+	current *wiretest.Target // the target that runs there now or has crashed last
 }
 
+// currentTarget returns the target that runs at the address.
 func (t *crashTarget) currentTarget() *wiretest.Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.current
 }
 
-// startNext starts the next target of an address under a new name.
+// startNext replaces the target at an address by a new one with a new id.
 func (f *crashFleet) startNext(t *crashTarget) {
 	f.mu.Lock()
 	id := fmt.Sprintf("c-%d", f.started)
@@ -104,7 +108,7 @@
 	t.mu.Unlock()
 }
 
-// start adds one more target to the list.
+// start starts a target at a new address and adds it to the list of targets.
 func (f *crashFleet) start() {
 	t := &crashTarget{}
 	f.startNext(t)
@@ -126,7 +130,8 @@
 	f.s.listTarget(t.currentTarget().ID, t.server)
 }
 
-// crash closes the listener and all connections of a target and replaces it.
+// crash simulates a crash of the target with the given id at t: it closes all connections and, unless the fleet is
+// supervised, the listener. It starts the replacement of the target in the background.
 func (f *crashFleet) crash(id string, t *crashTarget) {
 	f.mu.Lock()
 	f.crashes++
@@ -140,16 +145,17 @@
 	f.replacements.Go(func() {
 		f.replace(t)
 		if f.acceptsFor > 0 {
-			return // the entry stays listed: only the answers at the address can reveal the crash
+			return // the target stays listed: only the closed connections at its address show the crash
 		}
-		time.Sleep(entryTTL)
+		time.Sleep(unlistDelay)
 		if err := wiretest.Unlist(f.s.t.Context(), f.s.store, id); err != nil {
-			f.s.t.Logf("entry of %s not removed: %v", id, err)
+			f.s.t.Logf("crashed target %s was not removed from the list of targets: %v", id, err)
 		}
 	})
 }
 
-// replace starts another target in place of a crashed one.
+// replace starts another target for the one that has crashed at t: at a new address or, in a supervised fleet, at
+// the same one.
 func (f *crashFleet) replace(t *crashTarget) {
 	if f.acceptsFor == 0 {
 		time.Sleep(f.downTime)
@@ -169,16 +175,17 @@
 	return f.crashes
 }
 
-// sendCrashing sends the request that crashes targets to the gateways in turn, each time under another id.
-func (f *crashFleet) sendCrashing(path string, times int, gateways ...*Gateway) {
-	for i := range times {
+// sendCrashing sends a request that crashes targets a number of times, to the gateways in turn and each time under
+// another request id.
+func (f *crashFleet) sendCrashing(path string, repeats int, gateways ...*Gateway) {
+	for i := range repeats {
 		g := gateways[i%len(gateways)]
 		f.s.caller.Send(g.CallerAddr(), http.MethodPost, path, fmt.Sprintf("repeat-%d-%s", i, g.CallerAddr()), crashBody)
 		time.Sleep(callerPause)
 	}
 }
 
-// expectServed checks that another request of the same path is served.
+// expectServed checks that gateway g serves a harmless request of the path, within 20 attempts.
 func (f *crashFleet) expectServed(path string, g *Gateway) {
 	f.s.t.Helper()
 	var status int
@@ -189,11 +196,11 @@
 		}
 		time.Sleep(callerPause)
 	}
-	f.s.t.Errorf("another request of %s is answered %d %s", path, status, text)
+	f.s.t.Errorf("harmless request of %s: last of 20 attempts answered with status %d, text %s; want 200", path, status, text)
 }
 
-// Guards against sending a request that crashes targets to one target after the other, whether its caller
-// repeats it under other ids or at other gateways, or a gateway resumes its stream.
+// Guards against sending a request that crashes targets to one target after the other, because its caller
+// repeats it under other ids or at other gateways, or because a gateway resumes its stream.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, path := range []string{"/once/x", "/call/x", "/stream/x"} {
 		t.Run(path, func(t *testing.T) {
@@ -213,7 +220,8 @@
 	}
 }
 
-// Guards against treating whatever accepts connections at the address of a crashed target as that target.
+// Guards against missing crashes of targets whose addresses still accept connections, because a supervisor listens
+// there: a target must not count as running only because its address accepts connections.
 func TestCrashingRequestBehindSupervisorIsQuarantined(t *testing.T) {
 	const acceptsFor, maxRepeats = 300 * time.Millisecond, 150
 	s := newSystemWithoutTargets(t, wiretest.Routes)
@@ -227,30 +235,30 @@
 	}
 	for n := 0; !isQuarantined(); n++ {
 		if n == maxRepeats {
-			t.Fatalf("not quarantined at all gateways after %d repeats and %d crashes", n, f.crashCount())
+			t.Fatalf("the crashing request is not quarantined at all gateways after %d repeats and %d crashes", n, f.crashCount())
 		}
 		f.sendCrashing("/once/x", 1, s.gateways[n%len(s.gateways)])
 	}
-	before := f.crashCount()
+	crashesBefore := f.crashCount()
 	f.sendCrashing("/once/x", 24, s.gateways...)
-	if n := f.crashCount() - before; n > 2 { // at most two trial requests, since the crashes may have been concurrent
-		t.Errorf("%d more targets have crashed", n)
+	if n := f.crashCount() - crashesBefore; n > 2 { // at most two trial requests, since the crashes may have been concurrent
+		t.Errorf("%d more targets have crashed after all gateways had quarantined the request, want at most 2", n)
 	}
 	for _, g := range s.gateways {
 		f.expectServed("/once/x", g)
 	}
 }
 
-// Guards against a caller that changes its content with each repeat and so crashes all targets of a route
-// that other callers need.
+// Guards against a caller that changes the body of its crashing request with each repeat: it must not crash so many
+// targets of a route that other callers are not served.
 func TestCallerWithVaryingContentDoesNotExhaustTargets(t *testing.T) {
 	const (
-		downTime  = 700 * time.Millisecond
-		pause     = 150 * time.Millisecond
-		requests  = 60
-		knownTime = 2 * time.Second // a crash later than this after the third crash counts as late
-		maxLate   = 6
-		minServed = 0.95
+		downTime       = 700 * time.Millisecond
+		pause          = 150 * time.Millisecond
+		requests       = 60
+		lateAfter      = 2 * time.Second // crashes later than this after the third crash count as late
+		maxLateCrashes = 6
+		minServedShare = 0.95 // of the requests of other callers
 	)
 	for _, path := range []string{"/once/x", "/call/x", "/stream/x"} {
 		t.Run(path, func(t *testing.T) {
@@ -267,15 +275,15 @@
 			var others sync.WaitGroup
 			var served atomic.Int64
 			var thirdCrashAt time.Time
-			knownCrashes := 0
+			earlyCrashes := 0
 			for i := range requests {
 				g := s.gateways[i%len(s.gateways)]
 				f.s.caller.Send(g.CallerAddr(), http.MethodPost, path, fmt.Sprintf("varied-%d", i), fmt.Sprint(crashBody, i))
 				if thirdCrashAt.IsZero() && f.crashCount() >= 3 {
 					thirdCrashAt = time.Now()
 				}
-				if thirdCrashAt.IsZero() || time.Since(thirdCrashAt) < knownTime {
-					knownCrashes = f.crashCount()
+				if thirdCrashAt.IsZero() || time.Since(thirdCrashAt) < lateAfter {
+					earlyCrashes = f.crashCount()
 				}
 				others.Go(func() {
 					if status, _ := f.s.caller.Send(g.CallerAddr(), http.MethodPost, path, fmt.Sprintf("other-%d", i), "other"); status == http.StatusOK {
@@ -285,16 +293,16 @@
 				time.Sleep(pause)
 			}
 			others.Wait()
-			late := f.crashCount() - knownCrashes
-			if n := served.Load(); late > maxLate || float64(n) < minServed*requests {
-				t.Errorf("%d late crashes of %d, at most %d are allowed; %d of %d other requests served", late, f.crashCount(), maxLate, n, requests)
+			lateCrashes := f.crashCount() - earlyCrashes
+			if n := served.Load(); lateCrashes > maxLateCrashes || float64(n) < minServedShare*requests {
+				t.Errorf("%d of %d crashes were late, want at most %d; %d of %d requests of other callers were served, want a share of at least 0.95", lateCrashes, f.crashCount(), maxLateCrashes, n, requests)
 			}
 		})
 	}
 }
 
-// Guards against a backlog that repeats an item although it crashes targets, also when it is part of another
-// job.
+// Guards against a backlog that runs an item again and again although it crashes targets, also if the same item is
+// part of two jobs.
 func TestCrashingItemIsQuarantined(t *testing.T) {
 	s := newSystemWithoutTargets(t, wiretest.Routes)
 	f := newCrashFleet(s, 4)
@@ -305,7 +313,7 @@
 		job := fmt.Sprintf("job-%d", i)
 		items := []wiretest.Item{{ID: job + "-bad", Path: "/batch/1", Body: []byte(crashBody), Tokens: 10}, {ID: job + "-ok", Path: "/batch/1", Body: []byte("ok"), Tokens: 10}}
 		if status, text := s.caller.Submit(g.CallerAddr(), job, items); status != http.StatusAccepted {
-			t.Fatalf("job: %d %s", status, text)
+			t.Fatalf("submit of a job: status %d, text %s; want 202", status, text)
 		}
 	}
 	time.Sleep(2 * time.Second) // a run of the item takes a few milliseconds and is followed by a pause of the same length
@@ -315,39 +323,39 @@
 	for i, g := range s.gateways {
 		status, page := s.caller.Results(g.CallerAddr(), fmt.Sprintf("job-%d", i), 0, time.Second)
 		if status != http.StatusOK || len(page.Results) != 1 || page.Results[0].State != "complete" {
-			t.Errorf("results %d %+v, want the harmless item and no result of the other one yet", status, page)
+			t.Errorf("results: status %d, page %+v; want 200 and only the complete result of the harmless item", status, page)
 		}
 	}
 }
 
-// Guards against gateways that lose the quarantine when they restart.
+// Guards against gateways that lose the quarantine when they restart: they must load it from the store.
 func TestRestartedGatewayLoadsQuarantine(t *testing.T) {
 	s := newSystemWithoutTargets(t, wiretest.Routes)
 	f := newCrashFleet(s, 4)
 	s.startGateways(2)
 	defer f.replacements.Wait()
 	f.sendCrashing("/once/x", 12, s.gateways...)
-	before := f.crashCount()
+	crashesBefore := f.crashCount()
 	s.stopAll()
 	s.gateways, s.cancels, s.done = nil, nil, nil
 	s.startGateways(2)
 	defer s.stopAll()
 	f.sendCrashing("/once/x", 6, s.gateways...)
-	if n := f.crashCount(); n > before {
-		t.Errorf("%d more targets have crashed after the restart", n-before)
+	if n := f.crashCount(); n > crashesBefore {
+		t.Errorf("%d more targets have crashed after the restart of the gateways, want 0", n-crashesBefore)
 	}
 	f.expectServed("/once/x", s.gateways[0])
 }
 
-// Guards against gateways that share the quarantine only through the store, which fails during an outage of
-// the store.
+// Guards against gateways that share the quarantine only through the store, so that each gateway must detect the
+// crashes by itself during an outage of the store.
 func TestCrashingRequestIsQuarantinedWithoutStore(t *testing.T) {
 	s := newSystemWithoutTargets(t, wiretest.Routes)
 	f := newCrashFleet(s, maxCrashes+2) // more targets can't be listed without the store
 	s.startGateways(3)
 	defer s.stopAll()
 	store := s.store.(*keyedlog.View)
-	f.s.store = store.Sibling() // for the list of targets
+	f.s.store = store.Sibling() // not affected by the outage, for the list of targets
 	defer f.replacements.Wait()
 	store.Set(keyedlog.Faults{Refuse: true})
 	f.sendCrashing("/once/x", 24, s.gateways...)
@@ -356,12 +364,12 @@
 	}
 	store.Set(keyedlog.Faults{})
 	s.startGateways(1)
-	started, before := s.gateways[len(s.gateways)-1], f.crashCount()
-	for started.quarantine.IsEmpty() { // filled by its peers or the store; bounded by the timeout of the test
+	newGateway, crashesBefore := s.gateways[len(s.gateways)-1], f.crashCount()
+	for newGateway.quarantine.IsEmpty() { // filled by its peers or the store; bounded by the timeout of the test
 		time.Sleep(callerPause)
 	}
-	f.sendCrashing("/once/x", 6, started)
-	if n := f.crashCount(); n > before {
-		t.Errorf("%d more targets have crashed at a gateway that started after the outage", n-before)
+	f.sendCrashing("/once/x", 6, newGateway)
+	if n := f.crashCount(); n > crashesBefore {
+		t.Errorf("%d more targets have crashed through a gateway that started after the outage, want 0", n-crashesBefore)
 	}
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -16,12 +16,12 @@
 // Reloader reloads the settings file of a running process and applies the settings that need no restart: keys,
 // certificates and the log level. It is safe for concurrent use.
 type Reloader struct {
-	load func() (reloadedSettings, error)
-	keys *keyring.Keyring
+	load func() (reloadedSettings, error) // reads the settings file
+	keys *keyring.Keyring                 // keys and certificates of the process
 	log  hclog.Logger
 
 	mu    sync.Mutex // one Reload at a time
-	level string
+	level string     // log level of the last load
 
 	reloads, failures metrics.Counter
 }
@@ -45,14 +45,15 @@
 	})
 }
 
-// NewSideReloader returns the Reloader of p, which was started with s from the file at path.
-func NewSideReloader(path string, s settings.Side, p *side.Side, logger hclog.Logger, reg metrics.Registry) *Reloader {
-	return newReloader(p.Keys(), s.Logs.Level, logger, reg, func() (reloadedSettings, error) {
+// NewSideReloader returns the Reloader of process, which was started with s from the file at path.
+func NewSideReloader(path string, s settings.Side, process *side.Side, logger hclog.Logger, reg metrics.Registry) *Reloader {
+	return newReloader(process.Keys(), s.Logs.Level, logger, reg, func() (reloadedSettings, error) {
 		current, err := settings.LoadSide(path)
 		return reloadedSettings{keyring.SideValues(current), current.Logs.Level, settings.SideRestart(s, current)}, err
 	})
 }
 
+// newReloader returns a Reloader of keys that was started with log level level.
 func newReloader(keys *keyring.Keyring, level string, logger hclog.Logger, reg metrics.Registry, load func() (reloadedSettings, error)) *Reloader {
 	return &Reloader{
 		load:     load,
@@ -64,8 +65,9 @@
 	}
 }
 
-// Reload reads the file again. A file with errors changes nothing, and each error is logged on its own line.
-// Changed settings that need a restart are logged. Error: errs.BadSettings.
+// Reload reads the settings file again and applies the settings that need no restart. A file with errors changes
+// nothing, and each error is logged on its own line. Changed settings that need a restart are logged. Error:
+// errs.BadSettings.
 func (r *Reloader) Reload() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,6 +92,7 @@
 	return nil
 }
 
+// recordFailure logs and counts a failed reload, and returns err.
 func (r *Reloader) recordFailure(err error) error {
 	for line := range strings.Lines(errs.As(err).Detail) {
 		r.log.Error("reload failed; settings unchanged", "fault", strings.TrimSpace(line))
