--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -55,20 +55,20 @@
 
 // admit waits until the request may be sent to a target. It returns nil then, an error of type errs.Overloaded
 // if the request is rejected because of an overload, or the error of ctx if ctx ends first.
-func (x *exchange) admit(ctx context.Context) error {
-	timeLeft := x.callerTimeLeft()
-	initialTimeout := x.gw.timeouts.Note(x.route.Name, timeLeft)
-	request := x.newShedRequest(initialTimeout)
-	ctrl := x.gw.controllers.get(x.service)
+func (ex *exchange) admit(ctx context.Context) error {
+	timeLeft := ex.callerTimeLeft()
+	initialTimeout := ex.gw.timeouts.Note(ex.route.Name, timeLeft)
+	request := ex.newShedRequest(initialTimeout)
+	ctrl := ex.gw.controllers.get(ex.service)
 	ctrl.mu.Lock()
 	decision := ctrl.Arrive(time.Now(), request)
 	ctrl.mu.Unlock()
-	x.logVerdict(decision.Verdict, request)
+	ex.logVerdict(decision.Verdict, request)
 	switch decision.Verdict {
 	case shed.Send:
 		return nil
 	case shed.Queue:
-		return x.queue(ctx, ctrl, decision.Queued, initialTimeout)
+		return ex.queue(ctx, ctrl, decision.Queued, initialTimeout)
 	}
 	err := errs.Newf(errs.Overloaded, "%s: a slot is expected to be free after %d ms, the route's goal for an answer is %d ms",
 		decision.Verdict, request.Wait.Milliseconds(), request.Goal.Milliseconds())
@@ -78,35 +78,35 @@
 // newShedRequest returns the input of an admission decision: the expected wait for a slot of the service, and
 // the deadline, timeouts and rank of the request. initialTimeout is how long callers of the route usually wait
 // for an answer.
-func (x *exchange) newShedRequest(initialTimeout time.Duration) shed.Request {
-	prospect := x.gw.view.Prospect(x.service)
+func (ex *exchange) newShedRequest(initialTimeout time.Duration) shed.Request {
+	prospect := ex.gw.view.Prospect(ex.service)
 	return shed.Request{
-		Wait: prospect.Wait, Hold: prospect.Hold, Pace: prospect.Pace, Goal: x.route.Goal,
-		Remaining: x.callerTimeLeft(), InitialTimeout: initialTimeout, IdleTimeout: x.route.Stay, HigherRanks: x.higherRanks(),
+		Wait: prospect.Wait, Hold: prospect.Hold, Pace: prospect.Pace, Goal: ex.route.Goal,
+		Remaining: ex.callerTimeLeft(), InitialTimeout: initialTimeout, IdleTimeout: ex.route.Stay, HigherRanks: ex.higherRanks(),
 	}
 }
 
 // higherRanks returns the number of ranks whose requests take precedence over this request in an overload. A
 // request of a workspace that is close to its quota yields to all others of its own rank, so that a workspace
 // with many requests does not displace the others before the quota rejects its requests.
-func (x *exchange) higherRanks() int {
-	n := x.route.HigherRanks(x.req.Caller.RankOn(x.route))
-	if x.isNearQuota {
+func (ex *exchange) higherRanks() int {
+	n := ex.route.HigherRanks(ex.req.Caller.RankOn(ex.route))
+	if ex.isNearQuota {
 		n++
 	}
 	return n
 }
 
 // queue waits until the queued request may be sent. It returns the error of ctx if ctx ends first.
-func (x *exchange) queue(ctx context.Context, ctrl *controller, queued *shed.QueuedRequest, initialTimeout time.Duration) error {
+func (ex *exchange) queue(ctx context.Context, ctrl *controller, queued *shed.QueuedRequest, initialTimeout time.Duration) error {
 	began := time.Now()
-	defer func() { x.stages.queueTime = time.Since(began) }()
+	defer func() { ex.stages.queueTime = time.Since(began) }()
 	for {
 		if !sleep.For(ctx, queuePollInterval) {
 			ctrl.dequeue(queued, false)
 			return ctx.Err()
 		}
-		if ctrl.canRecheck(queued) && ctrl.recheck(queued, x.newShedRequest(initialTimeout)) == shed.Send {
+		if ctrl.canRecheck(queued) && ctrl.recheck(queued, ex.newShedRequest(initialTimeout)) == shed.Send {
 			ctrl.dequeue(queued, true)
 			return nil
 		}
@@ -123,10 +123,10 @@
 }
 
 // recheck decides again about a queued request.
-func (c *controller) recheck(queued *shed.QueuedRequest, r shed.Request) shed.Verdict {
+func (c *controller) recheck(queued *shed.QueuedRequest, request shed.Request) shed.Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.Recheck(time.Now(), queued, r)
+	return c.Recheck(time.Now(), queued, request)
 }
 
 // dequeue removes a request from the queue. isAdmitted is true if it is sent to a target now.
@@ -138,19 +138,19 @@
 
 // callerTimeLeft returns the time from the arrival of the request to the deadline that its caller sent; 0 if it
 // sent none.
-func (x *exchange) callerTimeLeft() time.Duration {
-	if x.req.Deadline.IsZero() {
+func (ex *exchange) callerTimeLeft() time.Duration {
+	if ex.req.Deadline.IsZero() {
 		return 0
 	}
-	return x.req.Deadline.Sub(x.req.Arrived)
+	return ex.req.Deadline.Sub(ex.req.Arrived)
 }
 
 // logVerdict logs that a request is queued or rejected, with the values behind the decision. A request that is
 // sent immediately is logged by logSent instead.
-func (x *exchange) logVerdict(v shed.Verdict, r shed.Request) {
-	if v == shed.Send {
+func (ex *exchange) logVerdict(verdict shed.Verdict, request shed.Request) {
+	if verdict == shed.Send {
 		return
 	}
-	x.gw.shedLog.Info(time.Now(), "overload", "request", x.req.ID, "route", x.route.Name, "verdict", v.String(), "wait_ms", r.Wait.Milliseconds(),
-		"hold_ms", r.Hold.Milliseconds(), "pace", r.Pace, "left_ms", r.Remaining.Milliseconds(), "full_ms", r.InitialTimeout.Milliseconds())
+	ex.gw.shedLog.Info(time.Now(), "overload", "request", ex.req.ID, "route", ex.route.Name, "verdict", verdict.String(), "wait_ms", request.Wait.Milliseconds(),
+		"hold_ms", request.Hold.Milliseconds(), "pace", request.Pace, "left_ms", request.Remaining.Milliseconds(), "full_ms", request.InitialTimeout.Milliseconds())
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -39,11 +39,11 @@
 	eventStreamType = "text/event-stream"
 )
 
-// attempt is one execution of a request at one target.
+// attempt is one send of a request to a target, with the relay of its answer.
 type attempt struct {
 	*exchange
-	run    *fleetview.Run
-	cancel context.CancelFunc
+	run    *fleetview.Run     // the execution at the target, which occupies one of its slots
+	cancel context.CancelFunc // ends the attempt
 	// resumedAfter is the id of the event after which the target was asked to resume; empty for a run from
 	// the beginning.
 	resumedAfter string
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -138,38 +138,38 @@
 // Serve handles one request and writes its answer or error to callerAnswer. It returns when the answer is
 // complete or the request has failed.
 func (g *Gateway) Serve(ctx context.Context, route *serving.Route, r *serving.Request, callerAnswer platform.CallerAnswer) {
-	x := &exchange{
+	ex := &exchange{
 		gw: g, route: route, service: route.Service(r.ID), req: r, content: quarantine.NewContent(r).In(route.Name, ""), callerAnswer: callerAnswer,
 		deadline: r.Arrived.Add(route.Timeout), deadlineSource: "route", lastEventID: r.ResumeAfter,
 	}
-	if !r.Deadline.IsZero() && r.Deadline.Before(x.deadline) {
-		x.deadline, x.deadlineSource = r.Deadline, "caller"
+	if !r.Deadline.IsZero() && r.Deadline.Before(ex.deadline) {
+		ex.deadline, ex.deadlineSource = r.Deadline, "caller"
 	}
-	ctx, cancel := context.WithDeadline(ctx, x.deadline)
+	ctx, cancel := context.WithDeadline(ctx, ex.deadline)
 	defer cancel()
-	err := x.gw.quarantine.Check(x.content)
+	err := ex.gw.quarantine.Check(ex.content)
 	if err == nil {
-		err = x.takeQuota()
+		err = ex.takeQuota()
 	}
 	if err == nil {
-		err = x.admit(ctx)
+		err = ex.admit(ctx)
 	}
 	if err == nil {
-		err = x.tryTargets(ctx)
+		err = ex.tryTargets(ctx)
 	}
-	if x.hasTakenQuota && x.possibleRuns == 0 {
-		x.gw.quotas.Refund(r.Caller.Workspace)
+	if ex.hasTakenQuota && ex.possibleRuns == 0 {
+		ex.gw.quotas.Refund(r.Caller.Workspace)
 	}
-	err = x.failureCause(ctx, err)
-	x.record(err)
+	err = ex.failureCause(ctx, err)
+	ex.record(err)
 	if err != nil {
-		x.answerError(ctx, err)
+		ex.answerError(ctx, err)
 	}
 }
 
 // failureCause returns the error to report for a request that failed with err. If ctx has ended, it returns
 // errs.DeadlineExceeded or, for a caller that disconnected, errs.Cancelled. It returns nil for a nil err.
-func (x *exchange) failureCause(ctx context.Context, err error) error {
+func (ex *exchange) failureCause(ctx context.Context, err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -182,17 +182,17 @@
 }
 
 // tryTargets tries targets one after the other. A nil error means that the caller has a complete answer.
-func (x *exchange) tryTargets(ctx context.Context) error {
+func (ex *exchange) tryTargets(ctx context.Context) error {
 	for {
-		err := x.tryNextTarget(ctx)
-		if err == nil || ctx.Err() != nil || !x.canRetry(err) {
+		err := ex.tryNextTarget(ctx)
+		if err == nil || ctx.Err() != nil || !ex.canRetry(err) {
 			return err
 		}
 	}
 }
 
 // canRetry reports whether the request may be sent to another target after err.
-func (x *exchange) canRetry(err error) bool {
+func (ex *exchange) canRetry(err error) bool {
 	e := errs.As(err)
 	switch e.Type {
 	case errs.NoTarget, errs.Cancelled, errs.Unauthenticated, errs.ConfigStale, errs.Quarantined:
@@ -201,101 +201,101 @@
 	if e.Ran == errs.RanNo {
 		return true
 	}
-	return x.route.Idempotent() && x.possibleRuns < x.route.Attempts
+	return ex.route.Idempotent() && ex.possibleRuns < ex.route.Attempts
 }
 
 // tryNextTarget sends the request to one target and relays its answer.
-func (x *exchange) tryNextTarget(ctx context.Context) error {
-	if err := x.recheckKey(); err != nil {
+func (ex *exchange) tryNextTarget(ctx context.Context) error {
+	if err := ex.recheckKey(); err != nil {
 		return err
 	}
-	run, ok := x.gw.view.StartOnline(x.service, x.tried)
+	run, ok := ex.gw.view.StartOnline(ex.service, ex.tried)
 	if !ok {
-		return x.noTargetError()
+		return ex.noTargetError()
 	}
 	defer run.Done()
-	if err := x.gw.quarantine.AdmitRequest(x.content); err != nil {
+	if err := ex.gw.quarantine.AdmitRequest(ex.content); err != nil {
 		return err
 	}
-	x.tried = append(x.tried, run.Target.ID)
-	x.choices = append(x.choices, run.Choice.String())
-	a := &attempt{exchange: x, run: run}
+	ex.tried = append(ex.tried, run.Target.ID)
+	ex.choices = append(ex.choices, run.Choice.String())
+	a := &attempt{exchange: ex, run: run}
 	err := a.sendAndRelay(ctx)
 	if err == nil {
 		run.Held()
-		x.gw.quarantine.Served(x.content)
+		ex.gw.quarantine.Served(ex.content)
 	}
 	return err
 }
 
 // noTargetError returns the error of a request that has been tried at all available targets of its service.
-func (x *exchange) noTargetError() error {
-	e := errs.Newf(errs.NoTarget, "no other target of service %s is available after %d were tried", x.service, len(x.tried))
-	if x.possibleRuns > 0 {
+func (ex *exchange) noTargetError() error {
+	e := errs.Newf(errs.NoTarget, "no other target of service %s is available after %d were tried", ex.service, len(ex.tried))
+	if ex.possibleRuns > 0 {
 		return e.WithRan(errs.RanUnknown)
 	}
 	return e.WithRetry(defaultRetryAfter)
 }
 
 // answerError sends err to the caller or, if the header of an answer has been sent already, aborts that answer.
-func (x *exchange) answerError(ctx context.Context, err error) {
-	if x.hasSentHeader {
-		x.callerAnswer.Abort()
+func (ex *exchange) answerError(ctx context.Context, err error) {
+	if ex.hasSentHeader {
+		ex.callerAnswer.Abort()
 		return
 	}
-	x.callerAnswer.Fail(x.callerError(ctx, err))
+	ex.callerAnswer.Fail(ex.callerError(ctx, err))
 }
 
 // callerError returns the error to send to the caller for err. It has Ran set to errs.RanNo only if no target
 // can have started the request.
-func (x *exchange) callerError(ctx context.Context, err error) *errs.Error {
+func (ex *exchange) callerError(ctx context.Context, err error) *errs.Error {
 	if ctx.Err() != nil {
 		err = errs.New(errs.DeadlineExceeded, "no answer in time")
 	}
-	if ctx.Err() != nil && x.possibleRuns == 0 {
+	if ctx.Err() != nil && ex.possibleRuns == 0 {
 		err = errs.New(errs.NoTarget, "no target accepted the request before the deadline").WithRan(errs.RanNo)
 	}
 	e := errs.As(err)
-	if x.possibleRuns > 0 {
+	if ex.possibleRuns > 0 {
 		return e.WithRan(errs.RanUnknown)
 	}
 	if e.Type == errs.Unauthenticated || e.Type == errs.Quarantined {
 		return e // a retry would fail the same way
 	}
-	return e.WithRan(errs.RanNo).WithRetry(x.retryAfter(time.Duration(e.RetryAfterMs) * time.Millisecond))
+	return e.WithRan(errs.RanNo).WithRetry(ex.retryAfter(time.Duration(e.RetryAfterMs) * time.Millisecond))
 }
 
 // retryAfter returns the time after which the caller should retry: suggested, or defaultRetryAfter if suggested
 // is 0, but at most the time left until the caller's deadline divided by shed.LeftShare.
-func (x *exchange) retryAfter(suggested time.Duration) time.Duration {
+func (ex *exchange) retryAfter(suggested time.Duration) time.Duration {
 	if suggested == 0 {
 		suggested = defaultRetryAfter
 	}
-	if x.req.Deadline.IsZero() {
+	if ex.req.Deadline.IsZero() {
 		return suggested
 	}
-	return max(time.Millisecond, min(suggested, time.Until(x.req.Deadline)/shed.LeftShare))
+	return max(time.Millisecond, min(suggested, time.Until(ex.req.Deadline)/shed.LeftShare))
 }
 
 // record logs the outcome of the request and counts it in the metrics.
-func (x *exchange) record(err error) {
+func (ex *exchange) record(err error) {
 	now := time.Now()
-	total := now.Sub(x.req.Arrived)
-	x.observeStages(now)
+	total := now.Sub(ex.req.Arrived)
+	ex.observeStages(now)
 	outcome := "served"
 	if err != nil {
 		outcome = string(errs.As(err).Type)
 	}
-	metrics.GetOrRegisterCounter("online."+x.route.Kind.String()+"."+outcome, x.gw.reg).Inc(1)
+	metrics.GetOrRegisterCounter("online."+ex.route.Kind.String()+"."+outcome, ex.gw.reg).Inc(1)
 	fields := []any{
-		"request", x.req.ID, "workspace", x.req.Caller.Workspace, "route", x.route.Name, "config", x.gw.config.Version(),
-		"config_age_ms", x.gw.config.Age().Milliseconds(), "service", x.service, "targets", x.choices,
-		"may_have_run", x.possibleRuns, "held_ms", x.stages.queueTime.Milliseconds(), "first_ms", x.stages.timeToAnswerStart().Milliseconds(), "outcome", outcome, "ms", total.Milliseconds(),
+		"request", ex.req.ID, "workspace", ex.req.Caller.Workspace, "route", ex.route.Name, "config", ex.gw.config.Version(),
+		"config_age_ms", ex.gw.config.Age().Milliseconds(), "service", ex.service, "targets", ex.choices,
+		"may_have_run", ex.possibleRuns, "held_ms", ex.stages.queueTime.Milliseconds(), "first_ms", ex.stages.timeToAnswerStart().Milliseconds(), "outcome", outcome, "ms", total.Milliseconds(),
 	}
 	if err == nil {
-		x.gw.servedLog.Info(now, "request", fields...)
+		ex.gw.servedLog.Info(now, "request", fields...)
 		return
 	}
-	x.gw.log.Warn("request", append(fields, "content", x.content.Fingerprint().String(), "error", err.Error(), "begun", x.hasSentHeader, "last_event", x.lastEventID,
-		"limit_ms", x.deadline.Sub(x.req.Arrived).Milliseconds(), "limit_of", x.deadlineSource)...)
+	ex.gw.log.Warn("request", append(fields, "content", ex.content.Fingerprint().String(), "error", err.Error(), "begun", ex.hasSentHeader, "last_event", ex.lastEventID,
+		"limit_ms", ex.deadline.Sub(ex.req.Arrived).Milliseconds(), "limit_of", ex.deadlineSource)...)
 }
--- a/internal/gateway/stages.go
+++ b/internal/gateway/stages.go
@@ -43,19 +43,19 @@
 // observeStages adds the durations of the request to the histograms of its route's kind: the total, and those of
 // the stages that it reached. The time in the queue of a target is part of first_ms. A slow caller, or pauses of
 // the target in a stream, increase relay_ms.
-func (x *exchange) observeStages(now time.Time) {
-	kind := "online." + x.route.Kind.String()
-	telemetry.Observe(x.gw.reg, kind+".ms", now.Sub(x.req.Arrived))
-	if x.stages.queueTime > 0 {
-		telemetry.Observe(x.gw.reg, kind+".held_ms", x.stages.queueTime)
+func (ex *exchange) observeStages(now time.Time) {
+	kind := "online." + ex.route.Kind.String()
+	telemetry.Observe(ex.gw.reg, kind+".ms", now.Sub(ex.req.Arrived))
+	if ex.stages.queueTime > 0 {
+		telemetry.Observe(ex.gw.reg, kind+".held_ms", ex.stages.queueTime)
 	}
-	if x.stages.firstSent.IsZero() {
+	if ex.stages.firstSent.IsZero() {
 		return
 	}
-	telemetry.Observe(x.gw.reg, kind+".choose_ms", x.stages.firstSent.Sub(x.req.Arrived))
-	if x.stages.answerStart.IsZero() {
+	telemetry.Observe(ex.gw.reg, kind+".choose_ms", ex.stages.firstSent.Sub(ex.req.Arrived))
+	if ex.stages.answerStart.IsZero() {
 		return
 	}
-	telemetry.Observe(x.gw.reg, kind+".first_ms", x.stages.answerStart.Sub(x.stages.firstSent))
-	telemetry.Observe(x.gw.reg, kind+".relay_ms", now.Sub(x.stages.answerStart))
+	telemetry.Observe(ex.gw.reg, kind+".first_ms", ex.stages.answerStart.Sub(ex.stages.firstSent))
+	telemetry.Observe(ex.gw.reg, kind+".relay_ms", now.Sub(ex.stages.answerStart))
 }
