--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway serves online requests, whose callers wait for the answer. It sends each request to a
-// target, relays the answer, and decides when to retry at another target and when to give up.
+// Package gateway serves online requests, which are requests whose callers wait for the answer. It sends each
+// request to a target, relays the answer, and decides when to retry at another target and when to give up.
+// The gateway process uses it for all requests that are not part of batch jobs.
 package gateway
 
 import (
@@ -23,8 +24,8 @@
 )
 
 const (
-	// defaultRetryAfter is the time after which a caller should retry if no target was available and the
-	// error names no other time. It is about as long as an online stream holds its slot.
+	// defaultRetryAfter is the time after which a caller should retry if the error names no other time. It is
+	// about as long as an online stream occupies a slot of its target.
 	defaultRetryAfter = 600 * time.Millisecond
 )
 
@@ -33,12 +34,12 @@
 	targets   platform.TargetCaller
 	view      *fleetview.View
 	config    Beliefs
-	log       hclog.Logger
-	servedLog *logging.Routine
-	sentLog   *logging.Routine
-	shedLog   *logging.Routine
+	log       hclog.Logger     // failed requests and failures of targets
+	servedLog *logging.Routine // requests that were served
+	sentLog   *logging.Routine // requests that are sent to a target
+	shedLog   *logging.Routine // requests that are queued or rejected
 	reg       metrics.Registry
-	// timeouts holds, for each route, how long its callers usually wait.
+	// timeouts estimates for each route how long callers wait for an answer before they give up.
 	timeouts    *shed.CallerTimeouts
 	controllers *controllers
 	access      Access
@@ -46,50 +47,54 @@
 	quarantine  Quarantine
 }
 
-// Access authorizes requests.
+// Access checks the API keys of callers.
 type Access interface {
-	// Authorize returns the caller of a request to a route. Errors: errs.Unauthenticated, errs.ConfigStale.
-	Authorize(route *serving.Route, c workspace.Credential) (serving.Caller, error)
+	// Authorize checks the API key of a request to a route and returns the caller that the key belongs to.
+	// Errors: errs.Unauthenticated, errs.ConfigStale.
+	Authorize(route *serving.Route, key workspace.Credential) (serving.Caller, error)
 }
 
 // Quotas limits the request rate of workspaces.
 type Quotas interface {
-	// Admit takes one request from the quota of a workspace.
+	// Admit takes one request from the quota of a workspace, if the quota allows it.
 	Admit(workspace string) quota.Decision
-	// Refund returns a request to the quota of its workspace, if no target has run it.
+	// Refund undoes one admission of Admit. It is called for a request that no target has run.
 	Refund(workspace string)
 }
 
-// Quarantine blocks requests that have crashed targets.
+// Quarantine blocks requests whose content has crashed targets, and collects the outcomes of runs from which it
+// derives which content to block.
 type Quarantine interface {
-	// Check returns an error of type errs.Quarantined if a request must not be sent to a target.
+	// Check returns an error of type errs.Quarantined if a request with content c must not be sent to a target.
 	Check(c *quarantine.Content) error
-	// AdmitRequest is like Check, for a request that is about to be sent.
+	// AdmitRequest is Check for a request that is sent to a target immediately afterwards.
 	AdmitRequest(c *quarantine.Content) error
-	// BrokenOff records a run that its target broke off.
-	BrokenOff(b quarantine.Broken)
+	// BrokenOff records a run that its target broke off: the connection failed before the answer was complete,
+	// or the target has restarted.
+	BrokenOff(run quarantine.Broken)
 	// FellSilent records a run that this process ended because its target sent nothing for too long.
-	FellSilent(b quarantine.Broken)
-	// Passed records that a run lasted for quarantine.PassTime after its first event.
+	FellSilent(run quarantine.Broken)
+	// Passed records that a run has sent events for quarantine.PassTime, which shows that its content does not
+	// crash a target at the beginning of a run.
 	Passed(c *quarantine.Content)
 	// Served records that a target has answered a request completely.
 	Served(c *quarantine.Content)
 }
 
-// Beliefs is the state of the configuration in this process, for logs.
+// Beliefs provides the version and age of the configuration, which are logged with each request.
 type Beliefs interface {
-	// Version returns the version of the configuration in force.
+	// Version returns the version of the configuration that this process uses.
 	Version() uint64
-	// Age returns the time since the store last confirmed the configuration.
+	// Age returns the time since the store last confirmed that this version is the newest.
 	Age() time.Duration
 }
 
 // Options configures a Gateway. All fields but Off are required.
 type Options struct {
-	Targets platform.TargetCaller
-	View    *fleetview.View
+	Targets platform.TargetCaller // sends requests to targets
+	View    *fleetview.View       // chooses the targets
 	Beliefs Beliefs
-	Access  Access
+	Access  Access // checks keys again before each send
 	Quotas  Quotas
 	// Quarantine is checked when a request arrives and before each send.
 	Quarantine Quarantine
@@ -99,71 +104,72 @@
 	Metrics metrics.Registry
 }
 
-// New returns a gateway that serves with the given options.
+// New returns a Gateway with the given options.
 func New(o Options) *Gateway {
 	return &Gateway{targets: o.Targets, view: o.View, config: o.Beliefs, access: o.Access, quotas: o.Quotas, quarantine: o.Quarantine, log: o.Log,
 		servedLog: logging.NewRoutine(o.Log), sentLog: logging.NewRoutine(o.Log), shedLog: logging.NewRoutine(o.Log),
 		reg: o.Metrics, timeouts: shed.NewCallerTimeouts(), controllers: newControllers(o.Off)}
 }
 
-// exchange is the state of one request and its answer.
+// exchange is the state of one request of a caller, over all its attempts at targets.
 type exchange struct {
 	gw             *Gateway
 	route          *serving.Route
 	service        string
 	req            *serving.Request
-	content        *quarantine.Content
-	out            platform.CallerAnswer
-	deadline       time.Time // the request ends with an answer or an error by then
-	deadlineSource string    // source of that deadline, for the log: "route" or "caller"
+	content        *quarantine.Content   // identifies the request and its repeats for the quarantine
+	callerAnswer   platform.CallerAnswer // writes the answer to the caller
+	deadline       time.Time             // by then the caller has an answer or an error
+	deadlineSource string                // source of that deadline, for the log: "route" or "caller"
 
-	tried []string // ids of the targets that got the request or were unreachable
+	tried []string // ids of the targets of the attempts so far, including attempts that could not connect
 	// possibleRuns counts the targets that may have started the request.
 	possibleRuns int
-	// hasQuota is true once the request has taken from the quota of its workspace.
-	hasQuota bool
-	// isNearLimit is true if the workspace is close to its quota.
-	isNearLimit   bool
+	// hasTakenQuota is true once the request has been taken from the quota of its workspace.
+	hasTakenQuota bool
+	// isNearQuota is true if the workspace has used up most of its quota.
+	isNearQuota   bool
 	hasSentHeader bool     // the header of an answer has been sent to the caller
-	lastEventID   string   // id of the last event that was sent to the caller
-	choices       []string // the targets with the reasons for their choice, for the log
+	lastEventID   string   // id of the last stream event that the caller has received, possibly from an earlier request
+	choices       []string // for each attempt the target and why it was chosen, for the log
 	stages        stages
 }
 
-// Serve answers one request. It returns when the answer is complete or the request has failed.
-func (g *Gateway) Serve(ctx context.Context, route *serving.Route, r *serving.Request, out platform.CallerAnswer) {
-	x := &exchange{
-		gw: g, route: route, service: route.Service(r.ID), req: r, content: quarantine.NewContent(r).In(route.Name, ""), out: out,
+// Serve handles one request and writes its answer or error to callerAnswer. It returns when the answer is
+// complete or the request has failed.
+func (g *Gateway) Serve(ctx context.Context, route *serving.Route, r *serving.Request, callerAnswer platform.CallerAnswer) {
+	ex := &exchange{
+		gw: g, route: route, service: route.Service(r.ID), req: r, content: quarantine.NewContent(r).In(route.Name, ""), callerAnswer: callerAnswer,
 		deadline: r.Arrived.Add(route.Timeout), deadlineSource: "route", lastEventID: r.ResumeAfter,
 	}
-	if !r.Deadline.IsZero() && r.Deadline.Before(x.deadline) {
-		x.deadline, x.deadlineSource = r.Deadline, "caller"
+	if !r.Deadline.IsZero() && r.Deadline.Before(ex.deadline) {
+		ex.deadline, ex.deadlineSource = r.Deadline, "caller"
 	}
-	ctx, cancel := context.WithDeadline(ctx, x.deadline)
+	ctx, cancel := context.WithDeadline(ctx, ex.deadline)
 	defer cancel()
-	err := x.gw.quarantine.Check(x.content)
+	err := ex.gw.quarantine.Check(ex.content)
 	if err == nil {
-		err = x.takeQuota()
+		err = ex.takeQuota()
 	}
 	if err == nil {
-		err = x.admit(ctx)
+		err = ex.admit(ctx)
 	}
 	if err == nil {
-		err = x.tryTargets(ctx)
+		err = ex.tryTargets(ctx)
 	}
-	if x.hasQuota && x.possibleRuns == 0 {
-		x.gw.quotas.Refund(r.Caller.Workspace)
+	if ex.hasTakenQuota && ex.possibleRuns == 0 {
+		ex.gw.quotas.Refund(r.Caller.Workspace)
 	}
-	err = x.failureCause(ctx, err)
-	x.record(err)
+	err = ex.failureCause(ctx, err)
+	ex.record(err)
 	if err != nil {
-		x.answerError(ctx, err)
+		ex.answerError(ctx, err)
 	}
 }
 
-// failureCause returns why the request failed. An attempt only sees that its context has ended; this separates an
-// expired deadline from a caller that disconnected. A nil err stays nil.
-func (x *exchange) failureCause(ctx context.Context, err error) error {
+// failureCause returns the error to report for a request that failed with err. If ctx has ended, it returns
+// errs.DeadlineExceeded or, for a caller that disconnected, errs.Cancelled. It returns nil for a nil err.
+func (ex *exchange) failureCause(ctx context.Context, err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -176,17 +182,17 @@
 }
 
 // tryTargets tries targets one after the other. A nil error means that the caller has a complete answer.
-func (x *exchange) tryTargets(ctx context.Context) error {
+func (ex *exchange) tryTargets(ctx context.Context) error {
 	for {
-		err := x.tryNextTarget(ctx)
-		if err == nil || ctx.Err() != nil || !x.canRetry(err) {
+		err := ex.tryNextTarget(ctx)
+		if err == nil || ctx.Err() != nil || !ex.canRetry(err) {
 			return err
 		}
 	}
 }
 
 // canRetry reports whether the request may be sent to another target after err.
-func (x *exchange) canRetry(err error) bool {
+func (ex *exchange) canRetry(err error) bool {
 	e := errs.As(err)
 	switch e.Type {
 	case errs.NoTarget, errs.Cancelled, errs.Unauthenticated, errs.ConfigStale, errs.Quarantined:
@@ -195,102 +201,101 @@
 	if e.Ran == errs.RanNo {
 		return true
 	}
-	return x.route.Idempotent() && x.possibleRuns < x.route.Attempts
+	return ex.route.Idempotent() && ex.possibleRuns < ex.route.Attempts
 }
 
 // tryNextTarget sends the request to one target and relays its answer.
-func (x *exchange) tryNextTarget(ctx context.Context) error {
-	if err := x.recheckKey(); err != nil {
+func (ex *exchange) tryNextTarget(ctx context.Context) error {
+	if err := ex.recheckKey(); err != nil {
 		return err
 	}
-	run, ok := x.gw.view.StartOnline(x.service, x.tried)
+	run, ok := ex.gw.view.StartOnline(ex.service, ex.tried)
 	if !ok {
-		return x.noTargetError()
+		return ex.noTargetError()
 	}
 	defer run.Done()
-	if err := x.gw.quarantine.AdmitRequest(x.content); err != nil {
+	if err := ex.gw.quarantine.AdmitRequest(ex.content); err != nil {
 		return err
 	}
-	x.tried = append(x.tried, run.Target.ID)
-	x.choices = append(x.choices, run.Choice.String())
-	a := &attempt{exchange: x, run: run}
+	ex.tried = append(ex.tried, run.Target.ID)
+	ex.choices = append(ex.choices, run.Choice.String())
+	a := &attempt{exchange: ex, run: run}
 	err := a.sendAndRelay(ctx)
 	if err == nil {
 		run.Held()
-		x.gw.quarantine.Served(x.content)
+		ex.gw.quarantine.Served(ex.content)
 	}
 	return err
 }
 
-// noTargetError returns the error of a request for which no untried target is left.
-func (x *exchange) noTargetError() error {
-	e := errs.Newf(errs.NoTarget, "no target of service %s is left after trying %d", x.service, len(x.tried))
-	if x.possibleRuns > 0 {
+// noTargetError returns the error of a request that has been tried at all available targets of its service.
+func (ex *exchange) noTargetError() error {
+	e := errs.Newf(errs.NoTarget, "no other target of service %s is available after %d were tried", ex.service, len(ex.tried))
+	if ex.possibleRuns > 0 {
 		return e.WithRan(errs.RanUnknown)
 	}
 	return e.WithRetry(defaultRetryAfter)
 }
 
-// answerError fails the request: with an error answer or, if a part of an answer has been sent, by aborting
-// that answer.
-func (x *exchange) answerError(ctx context.Context, err error) {
-	if x.hasSentHeader {
-		x.out.Abort()
+// answerError sends err to the caller or, if the header of an answer has been sent already, aborts that answer.
+func (ex *exchange) answerError(ctx context.Context, err error) {
+	if ex.hasSentHeader {
+		ex.callerAnswer.Abort()
 		return
 	}
-	x.out.Fail(x.callerError(ctx, err))
+	ex.callerAnswer.Fail(ex.callerError(ctx, err))
 }
 
-// callerError returns the error that the caller gets. It states that the request has not run only if no
-// target may have started it.
-func (x *exchange) callerError(ctx context.Context, err error) *errs.Error {
+// callerError returns the error to send to the caller for err. It has Ran set to errs.RanNo only if no target
+// can have started the request.
+func (ex *exchange) callerError(ctx context.Context, err error) *errs.Error {
 	if ctx.Err() != nil {
 		err = errs.New(errs.DeadlineExceeded, "no answer in time")
 	}
-	if ctx.Err() != nil && x.possibleRuns == 0 {
+	if ctx.Err() != nil && ex.possibleRuns == 0 {
 		err = errs.New(errs.NoTarget, "no target accepted the request before the deadline").WithRan(errs.RanNo)
 	}
 	e := errs.As(err)
-	if x.possibleRuns > 0 {
+	if ex.possibleRuns > 0 {
 		return e.WithRan(errs.RanUnknown)
 	}
 	if e.Type == errs.Unauthenticated || e.Type == errs.Quarantined {
 		return e // a retry would fail the same way
 	}
-	return e.WithRan(errs.RanNo).WithRetry(x.retryAfter(time.Duration(e.RetryAfterMs) * time.Millisecond))
+	return e.WithRan(errs.RanNo).WithRetry(ex.retryAfter(time.Duration(e.RetryAfterMs) * time.Millisecond))
 }
 
-// retryAfter returns when the caller should retry: after the time that the error names, or defaultRetryAfter
-// if it names none, but early enough before the deadline of the caller.
-func (x *exchange) retryAfter(suggested time.Duration) time.Duration {
+// retryAfter returns the time after which the caller should retry: suggested, or defaultRetryAfter if suggested
+// is 0, but at most the time left until the caller's deadline divided by shed.LeftShare.
+func (ex *exchange) retryAfter(suggested time.Duration) time.Duration {
 	if suggested == 0 {
 		suggested = defaultRetryAfter
 	}
-	if x.req.Deadline.IsZero() {
+	if ex.req.Deadline.IsZero() {
 		return suggested
 	}
-	return max(time.Millisecond, min(suggested, time.Until(x.req.Deadline)/shed.LeftShare))
+	return max(time.Millisecond, min(suggested, time.Until(ex.req.Deadline)/shed.LeftShare))
 }
 
 // record logs the outcome of the request and counts it in the metrics.
-func (x *exchange) record(err error) {
+func (ex *exchange) record(err error) {
 	now := time.Now()
-	total := now.Sub(x.req.Arrived)
-	x.observeStages(now)
+	total := now.Sub(ex.req.Arrived)
+	ex.observeStages(now)
 	outcome := "served"
 	if err != nil {
 		outcome = string(errs.As(err).Type)
 	}
-	metrics.GetOrRegisterCounter("online."+x.route.Kind.String()+"."+outcome, x.gw.reg).Inc(1)
-	args := []any{
-		"request", x.req.ID, "workspace", x.req.Caller.Workspace, "route", x.route.Name, "config", x.gw.config.Version(),
-		"config_age_ms", x.gw.config.Age().Milliseconds(), "service", x.service, "targets", x.choices,
-		"may_have_run", x.possibleRuns, "held_ms", x.stages.queueTime.Milliseconds(), "first_ms", x.stages.timeToAnswerStart().Milliseconds(), "outcome", outcome, "ms", total.Milliseconds(),
+	metrics.GetOrRegisterCounter("online."+ex.route.Kind.String()+"."+outcome, ex.gw.reg).Inc(1)
+	fields := []any{
+		"request", ex.req.ID, "workspace", ex.req.Caller.Workspace, "route", ex.route.Name, "config", ex.gw.config.Version(),
+		"config_age_ms", ex.gw.config.Age().Milliseconds(), "service", ex.service, "targets", ex.choices,
+		"may_have_run", ex.possibleRuns, "held_ms", ex.stages.queueTime.Milliseconds(), "first_ms", ex.stages.timeToAnswerStart().Milliseconds(), "outcome", outcome, "ms", total.Milliseconds(),
 	}
 	if err == nil {
-		x.gw.servedLog.Info(now, "request", args...)
+		ex.gw.servedLog.Info(now, "request", fields...)
 		return
 	}
-	x.gw.log.Warn("request", append(args, "content", x.content.Fingerprint().String(), "error", err.Error(), "begun", x.hasSentHeader, "last_event", x.lastEventID,
-		"limit_ms", x.deadline.Sub(x.req.Arrived).Milliseconds(), "limit_of", x.deadlineSource)...)
+	ex.gw.log.Warn("request", append(fields, "content", ex.content.Fingerprint().String(), "error", err.Error(), "begun", ex.hasSentHeader, "last_event", ex.lastEventID,
+		"limit_ms", ex.deadline.Sub(ex.req.Arrived).Milliseconds(), "limit_of", ex.deadlineSource)...)
 }
