--- a/core/backlog/codec.go
+++ b/core/backlog/codec.go
@@ -15,13 +15,13 @@
 // Kinds of records: the first part of a record's key.
 const (
 	kindJob      = "j" // j/JOB: an accepted job
-	kindCancel   = "e" // e/JOB: the job's cancellation by its caller
+	kindCancel   = "e" // e/JOB: the cancellation of a job by its caller
 	kindResult   = "r" // r/JOB/POSITION: the result at a position of the job's result list
-	kindProgress = "p" // p/SHARD/JOB/ITEM INDEX: progress; the keys of one shard are adjacent
+	kindProgress = "p" // p/SHARD/JOB/ITEM INDEX: the progress of an item; the keys of one shard are adjacent
 )
 
 const (
-	// MaxIDBytes bounds the length of a job id. The id becomes part of record keys, which hold at most 255
+	// MaxIDBytes is the maximum length of a job id. The id becomes part of record keys, which hold at most 255
 	// bytes.
 	MaxIDBytes = 128
 	// chunkBytes is the largest part of a value that goes into one record. The store accepts records of up to
@@ -30,30 +30,33 @@
 	// chunkHeaderBytes is the length of the header of a chunk: the index of the chunk and the number of
 	// chunks, two bytes each.
 	chunkHeaderBytes = 4
-	maxChunks        = 1 << 16
+	// maxChunks is one more than the largest number of chunks that the header of a chunk can hold.
+	maxChunks = 1 << 16
 )
 
-// EncodeJob returns the records of a job.
+// EncodeJob returns the records that store a job. Errors: errs.BodyTooLarge, errs.Internal.
 func EncodeJob(j *Job) ([]platform.KeyedRecord, error) {
 	return encodeRecords(joinKey(kindJob, j.ID), j)
 }
 
-// EncodeEnd returns the records of a job's cancellation.
+// EncodeEnd returns the records that store the cancellation of a job. Errors: those of EncodeJob.
 func EncodeEnd(job string) ([]platform.KeyedRecord, error) {
 	return encodeRecords(joinKey(kindCancel, job), job)
 }
 
-// EncodeResult returns the records of a result.
+// EncodeResult returns the records that store an item's result. Errors: those of EncodeJob.
 func EncodeResult(r *Result) ([]platform.KeyedRecord, error) {
 	return encodeRecords(joinKey(kindResult, r.Job, strconv.Itoa(r.Position)), r)
 }
 
-// EncodeProgress returns the records of the progress of the job's item at that index.
+// EncodeProgress returns the records that store the progress of an item. shard is the shard of its job, index
+// the item's index in the job. Errors: those of EncodeJob.
 func EncodeProgress(p *Progress, shard, index int) ([]platform.KeyedRecord, error) {
 	return encodeRecords(ProgressPrefix(shard)+joinKey(p.Job, strconv.Itoa(index)), p)
 }
 
-// Drop returns the tombstones (records without a value) that delete the written records.
+// Drop returns a tombstone, a record with the same key and no value, for each written record. Writing the
+// tombstones deletes the records from the store.
 func Drop(written []platform.KeyedRecord) []platform.KeyedRecord {
 	var records []platform.KeyedRecord
 	for _, r := range written {
@@ -62,11 +65,11 @@
 	return records
 }
 
-// ProgressPrefix is the common prefix of all progress keys of a shard; no other keys have it. Numbers are
-// zero-padded to a fixed length because the store returns the newest records in key order.
+// ProgressPrefix returns the prefix that exactly the progress keys of a shard have in common. The number of the
+// shard is zero-padded to a fixed length because the store returns the newest records in key order.
 func ProgressPrefix(shard int) string { return fmt.Sprintf("%s/%06d/", kindProgress, shard) }
 
-// parseProgressKey returns the job id and the item index that a progress key holds.
+// parseProgressKey returns the job id and the item index that a progress key holds. ok is false for other keys.
 func parseProgressKey(key string) (job string, index int, ok bool) {
 	key, _, _ = strings.Cut(key, "#")
 	kind, rest, _ := strings.Cut(key, "/")
@@ -81,7 +84,7 @@
 
 func joinKey(parts ...string) string { return strings.Join(parts, "/") }
 
-// encodeRecords splits the encoded value into records of a size that the store accepts.
+// encodeRecords encodes v as CBOR and splits the encoding into records of a size that the store accepts.
 func encodeRecords(key string, v any) ([]platform.KeyedRecord, error) {
 	data, err := cbor.Marshal(v)
 	if err != nil {
@@ -110,10 +113,12 @@
 	return key + "#" + strconv.Itoa(i)
 }
 
-// chunkAssembler reassembles values from their chunks.
+// chunkAssembler reassembles values from their chunks. partial holds the chunks of incomplete values by key and
+// index; a chunk that has not been added is nil.
 type chunkAssembler struct{ partial map[string][][]byte }
 
-// add takes one record. It returns the whole value with the last missing chunk, and a nil value before.
+// add adds one record. It returns the key of the value to which the record belongs, and the value if the record
+// was its last missing chunk; otherwise a nil value. Errors: errs.BadFrame.
 func (a *chunkAssembler) add(r platform.KeyedRecord) (key string, value []byte, err error) {
 	if len(r.Value) < chunkHeaderBytes {
 		return "", nil, errs.Newf(errs.BadFrame, "record %s of %d bytes is shorter than a chunk header", r.Key, len(r.Value))
--- a/core/backlog/pace.go
+++ b/core/backlog/pace.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// ewmaWeight is the weight of a new observation in the moving averages, which follow a change within a few
-// dozen items.
+// ewmaWeight is the weight of a new observation in the moving averages. With this weight the averages follow a
+// change of run times within a few dozen items.
 const ewmaWeight = 0.05
 
-// minRunEvents is the least number of events of a run that is used to estimate the time per event. In shorter
-// runs the processing of the prompt dominates.
+// minRunEvents is the minimum number of events of a run from which the time per event is estimated. In shorter
+// runs the processing of the prompt takes most of the time.
 const minRunEvents = 20
 
-// Pace estimates for each route how long its items run, to predict which items can still meet their due time.
-// It is safe for concurrent use.
+// Pace estimates how long the items of each route run. The scheduler predicts from it which items can still
+// meet their due time. Use NewPace to create one; it is safe for concurrent use.
 type Pace struct {
 	mu      sync.Mutex
-	byRoute map[string]*routeEstimate
+	byRoute map[string]*routeEstimate // by route name
 }
 
+// routeEstimate holds the moving averages of one route.
 type routeEstimate struct {
-	secondsPerEvent ewma // includes prompt processing and queueing
-	eventsPerToken  ewma // of complete items
+	secondsPerEvent ewma // of runs, including prompt processing and queueing at the target
+	eventsPerToken  ewma // of complete items; the tokens are those of Item.Tokens
 }
 
-// ewma is an exponentially weighted moving average; 0 before the first observation.
+// ewma is an exponentially weighted moving average. It is 0 before the first observation.
 type ewma float64
 
 func (m *ewma) add(v float64) {
@@ -39,44 +40,47 @@
 // NewPace returns a Pace without observations.
 func NewPace() *Pace { return &Pace{byRoute: make(map[string]*routeEstimate)} }
 
-func (p *Pace) estimateFor(name string) *routeEstimate {
-	r, ok := p.byRoute[name]
+// estimateFor returns the estimate of a route and adds an empty one for a new route. The caller holds the lock.
+func (e *Pace) estimateFor(route string) *routeEstimate {
+	estimate, ok := e.byRoute[route]
 	if !ok {
-		r = &routeEstimate{}
-		p.byRoute[name] = r
+		estimate = &routeEstimate{}
+		e.byRoute[route] = estimate
 	}
-	return r
+	return estimate
 }
 
-// Ran adds a run that produced the given number of events in the given time.
-func (p *Pace) Ran(route string, events int, took time.Duration) {
+// Ran adds an observation: a run on the route produced the given number of events and took the given time. Runs
+// of fewer than minRunEvents events are ignored.
+func (e *Pace) Ran(route string, events int, took time.Duration) {
 	if events < minRunEvents {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.estimateFor(route).secondsPerEvent.add(took.Seconds() / float64(events))
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.estimateFor(route).secondsPerEvent.add(took.Seconds() / float64(events))
 }
 
-// Done adds a complete item.
-func (p *Pace) Done(route string, events int, tokens int64) {
+// Done adds an observation: an item of that many tokens is complete and produced the given number of events in
+// all its runs.
+func (e *Pace) Done(route string, events int, tokens int64) {
 	if events <= 0 || tokens <= 0 {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.estimateFor(route).eventsPerToken.add(float64(events) / float64(tokens))
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.estimateFor(route).eventsPerToken.add(float64(events) / float64(tokens))
 }
 
-// Left returns the expected remaining run time of an item of that many tokens that has already produced
-// eventsDone events. It returns 0 until a run of the route has been observed.
-func (p *Pace) Left(route string, tokens int64, eventsDone int) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r, ok := p.byRoute[route]
+// Left returns the expected remaining run time of an item that has the given number of tokens and has already
+// produced eventsDone events. It returns 0 before the first observation on the route.
+func (e *Pace) Left(route string, tokens int64, eventsDone int) time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	estimate, ok := e.byRoute[route]
 	if !ok {
 		return 0
 	}
-	events := max(1, float64(r.eventsPerToken)*float64(tokens)-float64(eventsDone))
-	return time.Duration(float64(r.secondsPerEvent) * events * float64(time.Second))
+	events := max(1, float64(estimate.eventsPerToken)*float64(tokens)-float64(eventsDone))
+	return time.Duration(float64(estimate.secondsPerEvent) * events * float64(time.Second))
 }
--- a/core/backlog/pace_test.go
+++ b/core/backlog/pace_test.go
@@ -6,14 +6,14 @@
 )
 
 func TestRemainingRunTimeEstimate(t *testing.T) {
-	p := NewPace()
-	if got := p.Left("r", 1000, 0); got != 0 {
-		t.Errorf("before any observation: %v", got)
+	e := NewPace()
+	if got := e.Left("r", 1000, 0); got != 0 {
+		t.Errorf("remaining run time before any observation is %v, want 0", got)
 	}
-	p.Ran("r", minRunEvents-1, time.Hour) // too short to be used
+	e.Ran("r", minRunEvents-1, time.Hour) // ignored: too few events
 	for range 100 {
-		p.Ran("r", 300, 4500*time.Millisecond)
-		p.Done("r", 300, 1000)
+		e.Ran("r", 300, 4500*time.Millisecond)
+		e.Done("r", 300, 1000)
 	}
 	cases := []struct {
 		tokens     int64
@@ -23,14 +23,14 @@
 		{1000, 0, 4500 * time.Millisecond},
 		{2000, 0, 9 * time.Second},
 		{1000, 200, 1500 * time.Millisecond},
-		{1000, 400, 15 * time.Millisecond}, // longer than expected: at least one more event
+		{1000, 400, 15 * time.Millisecond}, // more events than expected: one more is assumed
 	}
 	for _, c := range cases {
-		if got := p.Left("r", c.tokens, c.eventsDone); got.Round(time.Millisecond) != c.want {
-			t.Errorf("%d tokens, %d events done: %v, want %v", c.tokens, c.eventsDone, got, c.want)
+		if got := e.Left("r", c.tokens, c.eventsDone); got.Round(time.Millisecond) != c.want {
+			t.Errorf("remaining run time of an item of %d tokens after %d events is %v, want %v", c.tokens, c.eventsDone, got, c.want)
 		}
 	}
-	if got := p.Left("other", 1000, 0); got != 0 {
-		t.Errorf("another route: %v", got)
+	if got := e.Left("other", 1000, 0); got != 0 {
+		t.Errorf("remaining run time on a route without observations is %v, want 0", got)
 	}
 }
--- a/core/backlog/scope.go
+++ b/core/backlog/scope.go
@@ -6,12 +6,13 @@
 	"net/url"
 )
 
-// maxScopeBytes bounds the workspace's part of a scoped id, which becomes part of keys of at most 255 bytes.
+// maxScopeBytes is the maximum length of the workspace's part of a scoped id. The id becomes part of record
+// keys, which hold at most 255 bytes.
 const maxScopeBytes = 64
 
-// ScopedID returns the id under which a workspace's job is stored. Workspaces choose their job ids freely, so
-// two may choose the same one; the scope keeps each workspace from finding the jobs of others. Without a
-// workspace the scoped id is the caller's id.
+// ScopedID returns the id under which a workspace's job is stored: the workspace and the caller's id, joined by
+// a slash. Workspaces choose their job ids freely, so two may choose the same one, and none may find the jobs
+// of another. If workspace is empty, the scoped id is the caller's id.
 func ScopedID(workspace, id string) string {
 	if workspace == "" {
 		return id
--- a/core/backlog/state.go
+++ b/core/backlog/state.go
@@ -14,25 +14,26 @@
 // zero value is not usable. State has no lock of its own: callers serialize access.
 type State struct {
 	chunks chunkAssembler
-	jobs   map[string]*jobState
+	jobs   map[string]*jobState // by job id
 }
 
-// jobState is the state of one job. Its records may arrive in any order, since the newest records are read in
-// key order.
+// jobState is the state of one job. Its records may be applied in any order: a process that loads the backlog
+// reads the newest record of each key in key order.
 type jobState struct {
-	job         *Job // nil until the job's record has been read
+	job         *Job // nil until the job's record has been applied
 	isCancelled bool
-	results     []*Result // by position; nil where a later result was read first
-	doneItems   map[string]bool
-	progress    map[string]Progress
+	results     []*Result           // by position; nil at positions whose result has not been applied yet
+	doneItems   map[string]bool     // ids of the items that have a result
+	progress    map[string]Progress // of unfinished items, by item id
 }
 
-// NewState returns an empty state.
+// NewState returns a state without jobs.
 func NewState() *State {
 	return &State{chunks: chunkAssembler{partial: make(map[string][][]byte)}, jobs: make(map[string]*jobState)}
 }
 
-// Apply applies one record. Applying a record twice has no further effect. Errors: errs.BadFrame.
+// Apply applies one record, of any kind. Applying a record again has no effect. Errors: errs.BadFrame for a
+// malformed record.
 func (s *State) Apply(r platform.KeyedRecord) error {
 	if len(r.Value) == 0 {
 		s.applyTombstone(r.Key)
@@ -56,6 +57,7 @@
 	return errs.Newf(errs.BadFrame, "record %q is of an unknown kind", key)
 }
 
+// decodeAndApply decodes a value from CBOR and passes it to applyValue. Errors: errs.BadFrame.
 func decodeAndApply[T any](value []byte, applyValue func(*T)) error {
 	v := new(T)
 	if err := cbor.Unmarshal(value, v); err != nil {
@@ -65,8 +67,9 @@
 	return nil
 }
 
-// applyTombstone handles the deletion of a key. Only whole jobs and progress are deleted; tombstones of
-// progress have no effect on the state.
+// applyTombstone applies the deletion of a key. The tombstone of a job's first chunk removes the whole job from
+// the state. Other tombstones have no effect: a job's other records are deleted with it, and progress is only
+// deleted once it is obsolete.
 func (s *State) applyTombstone(key string) {
 	kind, id, _ := strings.Cut(key, "/")
 	if kind == kindJob && !strings.Contains(id, "#") {
@@ -74,6 +77,7 @@
 	}
 }
 
+// jobStateFor returns the state of a job and adds an empty one for a new id.
 func (s *State) jobStateFor(id string) *jobState {
 	j, ok := s.jobs[id]
 	if !ok {
@@ -117,7 +121,7 @@
 	}
 }
 
-// Job returns an accepted job.
+// Job returns the accepted job with the id, and false if there is none.
 func (s *State) Job(id string) (*Job, bool) {
 	st, ok := s.jobs[id]
 	if !ok || st.job == nil {
@@ -132,13 +136,14 @@
 	return ok && st.isCancelled
 }
 
-// Done reports whether an item has a result.
+// Done reports whether an item of a job has a result.
 func (s *State) Done(job, item string) bool {
 	st, ok := s.jobs[job]
 	return ok && st.doneItems[item]
 }
 
-// Listed returns the number of results before the first gap in the positions.
+// Listed returns the number of a job's results before the first position without one. Only these are returned
+// to callers.
 func (s *State) Listed(id string) int {
 	st, ok := s.jobs[id]
 	if !ok {
@@ -150,8 +155,8 @@
 	return len(st.results)
 }
 
-// Page returns the results from a position on: at least one if there is one, and beyond the first no more
-// than maxBytes of text.
+// Page returns a page of a job's results that begins at position from. It holds the first result, if there is
+// one, and further ones as long as the texts of all of them have at most maxBytes.
 func (s *State) Page(id string, from, maxBytes int) Page {
 	st, ok := s.jobs[id]
 	if !ok || st.job == nil {
@@ -170,7 +175,7 @@
 	return page
 }
 
-// Progress returns the progress of the item that its former owners have stored.
+// Progress returns the stored progress of an item. Only its fields Job and Item are set if there is none.
 func (s *State) Progress(job, item string) Progress {
 	st, ok := s.jobs[job]
 	if !ok {
@@ -181,8 +186,8 @@
 	return p
 }
 
-// Unneeded reports whether a progress record is obsolete: its item has a result, or its job is cancelled or
-// deleted, so no owner resumes from it.
+// Unneeded reports whether the progress record with the key is obsolete, because its item has a result or its
+// job is cancelled or deleted. It is false for keys of other records.
 func (s *State) Unneeded(key string) bool {
 	job, index, ok := parseProgressKey(key)
 	if !ok {
@@ -195,7 +200,8 @@
 	return index >= len(st.job.Items) || st.doneItems[st.job.Items[index].ID]
 }
 
-// Queued returns the number of tokens of unfinished items of the workspace's jobs on a route.
+// Queued returns the number of tokens of all unfinished items of a workspace's jobs on a route. Items of
+// cancelled jobs don't count.
 func (s *State) Queued(workspace, route string) int64 {
 	var sum int64
 	for _, st := range s.jobs {
@@ -220,11 +226,11 @@
 	}
 }
 
-// Expired calls visit for each job that was submitted before a time, in milliseconds since 1970, and is
+// Expired calls visit for each job that was submitted before beforeMs, in milliseconds since 1970, and is
 // cancelled or has all its results.
-func (s *State) Expired(before int64, visit func(*Job)) {
+func (s *State) Expired(beforeMs int64, visit func(*Job)) {
 	for _, st := range s.jobs {
-		if st.job == nil || st.job.Submitted >= before {
+		if st.job == nil || st.job.Submitted >= beforeMs {
 			continue
 		}
 		if st.isCancelled || len(st.doneItems) == len(st.job.Items) {
@@ -233,11 +239,12 @@
 	}
 }
 
-// Forgotten holds the tombstones that delete a job and everything that belongs to it, by partition.
+// Forgotten holds the tombstones that delete a job, its cancellation, its results and their texts, by the
+// partition of the store into which they are written.
 type Forgotten struct{ Jobs, Results, Texts []platform.KeyedRecord }
 
-// Forget returns the tombstones that delete a job and everything that belongs to it. It does not change the
-// state.
+// Forget returns the tombstones that delete a job; none for an unknown job. It does not change the state.
+// Errors: those of EncodeJob.
 func (s *State) Forget(id string) (Forgotten, error) {
 	st, ok := s.jobs[id]
 	if !ok || st.job == nil {
@@ -247,7 +254,7 @@
 	if err != nil {
 		return Forgotten{}, err
 	}
-	f := Forgotten{Jobs: Drop(jobs)}
+	tombstones := Forgotten{Jobs: Drop(jobs)}
 	for _, r := range st.results {
 		if r == nil {
 			continue
@@ -256,11 +263,11 @@
 		if err != nil {
 			return Forgotten{}, err
 		}
-		f.Results = append(f.Results, Drop(records)...)
-		f.Texts = append(f.Texts, r.textTombstones()...)
+		tombstones.Results = append(tombstones.Results, Drop(records)...)
+		tombstones.Texts = append(tombstones.Texts, r.textTombstones()...)
 	}
 	if st.isCancelled {
-		f.Jobs = append(f.Jobs, platform.KeyedRecord{Key: joinKey(kindCancel, id)})
+		tombstones.Jobs = append(tombstones.Jobs, platform.KeyedRecord{Key: joinKey(kindCancel, id)})
 	}
-	return f, nil
+	return tombstones, nil
 }
--- a/core/backlog/state_test.go
+++ b/core/backlog/state_test.go
@@ -10,6 +10,7 @@
 	"arbutusramp/core/platform"
 )
 
+// testJob returns a job of the items i0, i1 and i2, of 10 tokens each, on route r.
 func testJob() *Job {
 	j := &Job{ID: "job", Route: "r", Attempts: 3}
 	for i := range 3 {
@@ -18,8 +19,8 @@
 	return j
 }
 
-// recordsOfTestJob returns the records of a job with results for its first two items, one of them larger than
-// a record may be, and with progress of the third.
+// recordsOfTestJob returns the records of testJob, of results for its first two items and of progress of the
+// third. The result of i1 is too large for one record.
 func recordsOfTestJob(t *testing.T) []platform.KeyedRecord {
 	t.Helper()
 	var all []platform.KeyedRecord
@@ -37,8 +38,8 @@
 	return all
 }
 
-// The state must not depend on the order in which records are read or on how often: the newest records are
-// read in key order, and a read that follows returns some of them again.
+// The state must not depend on the order in which records are applied, or on how often. A process that loads the
+// backlog reads the newest records in key order, and then reads some of them again.
 func TestStateIndependentOfRecordOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 50 {
@@ -52,13 +53,13 @@
 		}
 		page := s.Page("job", 0, 1<<30)
 		if page.Total != 3 || page.Next != 2 || page.Results[0].Item != "i1" || len(page.Results[0].Text) != 3*chunkBytes || page.Results[1].Outcome != Errored {
-			t.Fatalf("page %d to %d of %d", len(page.Results), page.Next, page.Total)
+			t.Fatalf("page has %d results, next position %d and total %d, want 2 results (all of i1, then i0 errored), next position 2 and total 3", len(page.Results), page.Next, page.Total)
 		}
 		if p := s.Progress("job", "i2"); p.LastID != "2" || p.Text != "a\nb" {
-			t.Fatalf("progress %+v", p)
+			t.Fatalf("progress of i2 is %+v, want last event 2 and the two lines a and b", p)
 		}
 		if q := s.Queued("", "r"); q != 10 || s.Queued("", "other") != 0 {
-			t.Fatalf("%d tokens are queued, want 10", q)
+			t.Fatalf("%d tokens are queued on route r, want 10 there and 0 on another route", q)
 		}
 	}
 }
@@ -69,19 +70,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range append(records, recordsOfTestJob(t)...) { // the cancellation is read before the job
+	for _, r := range append(records, recordsOfTestJob(t)...) { // the cancellation is applied before the job
 		if err := s.Apply(r); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.Open(func(j *Job) { t.Errorf("job %s is open", j.ID) })
+	s.Open(func(j *Job) { t.Errorf("cancelled job %s is visited as open, want no open job", j.ID) })
 	if !s.Ended("job") || s.Queued("", "r") != 0 || s.Listed("job") != 2 {
-		t.Errorf("cancelled %v, queued %d, listed %d", s.Ended("job"), s.Queued("", "r"), s.Listed("job"))
+		t.Errorf("cancelled is %v, queued tokens %d, listed results %d, want true, 0 and 2", s.Ended("job"), s.Queued("", "r"), s.Listed("job"))
 	}
 }
 
-// A gap in the positions hides the results behind it: positions must not change once they have been returned.
-func TestResultsListedWithoutGaps(t *testing.T) {
+// Results after a position without a result must not be listed: the position would show another result later,
+// after a caller has read it.
+func TestListedCountStopsAtFirstGap(t *testing.T) {
 	s := NewState()
 	for _, p := range []int{2, 0} {
 		records, err := EncodeResult(&Result{Job: "job", Position: p, Item: fmt.Sprint("i", p), Outcome: Complete})
@@ -93,7 +95,7 @@
 		}
 	}
 	if s.Listed("job") != 1 {
-		t.Errorf("%d results are listed", s.Listed("job"))
+		t.Errorf("%d results are listed while position 1 has none, want 1", s.Listed("job"))
 	}
 }
 
@@ -105,17 +107,17 @@
 		}
 	}
 	if p := s.Page("job", 0, 10); len(p.Results) != 1 || p.Next != 1 {
-		t.Errorf("%d results, next position %d", len(p.Results), p.Next)
+		t.Errorf("page of at most 10 bytes has %d results and next position %d, want 1 and 1", len(p.Results), p.Next)
 	}
 	if p := s.Page("job", 2, 10); len(p.Results) != 0 || p.Next != 2 || p.Total != 3 {
-		t.Errorf("page at the end: %+v", p)
+		t.Errorf("page after the last result is %+v, want no results, next position 2 and total 3", p)
 	}
 }
 
-func TestForgetDeletesEveryKey(t *testing.T) {
+func TestJobTombstonesCoverEveryKey(t *testing.T) {
 	s := NewState()
 	keys := make(map[string]bool)
-	end, err := EncodeEnd("job")
+	cancellation, err := EncodeEnd("job")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,26 +129,26 @@
 	for _, r := range texts { // texts are in a partition of their own
 		keys[r.Key] = true
 	}
-	listed, err := EncodeResult(&Result{Job: "job", Position: 2, Item: "i2", Index: 2, Outcome: Complete, Size: len(text.Text), Sum: Sum(text.Text)})
+	thirdResult, err := EncodeResult(&Result{Job: "job", Position: 2, Item: "i2", Index: 2, Outcome: Complete, Size: len(text.Text), Sum: Sum(text.Text)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range append(append(recordsOfTestJob(t), end...), listed...) {
-		if !strings.HasPrefix(r.Key, kindProgress) { // deleted by the process that wrote it
+	for _, r := range append(append(recordsOfTestJob(t), cancellation...), thirdResult...) {
+		if !strings.HasPrefix(r.Key, kindProgress) { // progress is deleted by the process that wrote it
 			keys[r.Key] = true
 		}
 		if err := s.Apply(r); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f, err := s.Forget("job")
+	tombstones, err := s.Forget("job")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range append(append(f.Texts, f.Results...), f.Jobs...) {
+	for _, r := range append(append(tombstones.Texts, tombstones.Results...), tombstones.Jobs...) {
 		delete(keys, r.Key)
 		if len(r.Value) != 0 {
-			t.Errorf("record of key %s has a value, want a tombstone", r.Key)
+			t.Errorf("tombstone of key %s has a value, want none", r.Key)
 		}
 		if strings.HasPrefix(r.Key, kindText) {
 			continue
@@ -156,48 +158,49 @@
 		}
 	}
 	if len(keys) != 0 {
-		t.Errorf("keys without a tombstone: %v", keys)
+		t.Errorf("keys without a tombstone: %v, want none", keys)
 	}
 	if _, ok := s.Job("job"); ok {
-		t.Error("the deleted job is still in the state")
+		t.Error("the job is still in the state after its tombstones were applied, want it gone")
 	}
 }
 
-// The last missing chunk completes a text, in whatever order the records are read.
+// A text must be complete exactly when its last missing record has been added, in whatever order.
 func TestTextReassembledFromChunks(t *testing.T) {
 	want := Text{Job: "a/b", Index: 3, Text: strings.Repeat("some text ", chunkBytes/4)}
 	records, err := EncodeText(want)
 	if err != nil || len(records) < 3 {
-		t.Fatalf("%d records, %v", len(records), err)
+		t.Fatalf("a text of some chunks has %d records, error %v; want at least 3 records and no error", len(records), err)
 	}
 	if r := (&Result{Size: len(want.Text)}); r.TextRecords() != len(records) {
-		t.Errorf("TextRecords is %d, the text has %d records", r.TextRecords(), len(records))
+		t.Errorf("TextRecords is %d, want the %d records of the text", r.TextRecords(), len(records))
 	}
 	records[0], records[1] = records[1], records[0]
 	reader := NewTextReader()
 	for i, r := range records {
 		key, text, isComplete, err := reader.Put(r)
 		if err != nil || isComplete != (i == len(records)-1) {
-			t.Fatalf("record %d of %d: complete %v, %v", i, len(records), isComplete, err)
+			t.Fatalf("after record %d of %d: complete is %v, error %v; want complete after the last record only, and no error", i, len(records), isComplete, err)
 		}
 		if isComplete && (key != TextKey(want.Job, want.Index, Sum(want.Text)) || text != want.Text) {
-			t.Errorf("key %s, %d bytes", key, len(text))
+			t.Errorf("the complete text has key %s and %d bytes, want the encoded key and text", key, len(text))
 		}
 	}
 	if _, _, _, err := reader.Put(platform.KeyedRecord{Key: "t/a/0/0", Value: []byte{0, 0, 0, 1, 0xa0}}); !errs.Is(err, errs.BadFrame) {
-		t.Errorf("a record that is not a text: %v", err)
+		t.Errorf("a record that is not a text: error is %v, want errs.BadFrame", err)
 	}
 }
 
-// TextRecords must match the number of records that are written, for any length of the text.
-func TestTextRecordCountMatchesEncoding(t *testing.T) {
+// TextRecords must not be less than the number of records that are written, for any length of the text:
+// otherwise records of deleted texts stay in the store.
+func TestTextRecordCountIsUpperBound(t *testing.T) {
 	for size := chunkBytes - 20; size < chunkBytes+20; size++ {
 		records, err := EncodeText(Text{Job: "j", Text: strings.Repeat("x", size)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if r := (&Result{Size: size}); r.TextRecords() < len(records) {
-			t.Errorf("a text of %d bytes has %d records, TextRecords is %d", size, len(records), r.TextRecords())
+			t.Errorf("a text of %d bytes has %d records, TextRecords is %d, want at least as many", size, len(records), r.TextRecords())
 		}
 	}
 }
@@ -211,7 +214,7 @@
 		{Key: "z/x", Value: []byte{0, 0, 0, 1, 0xa0}},
 	} {
 		if err := s.Apply(r); !errs.Is(err, errs.BadFrame) {
-			t.Errorf("%s %v: %v", r.Key, r.Value, err)
+			t.Errorf("record %s with value %v: error is %v, want errs.BadFrame", r.Key, r.Value, err)
 		}
 	}
 }
@@ -227,15 +230,15 @@
 		"p/000007/job/0":    true, // the item has a result
 		"p/000007/job/0#1":  true,
 		"p/000007/job/2":    false,
-		"p/000007/job/9":    true, // no such item
-		"p/000007/gone/0":   true,
+		"p/000007/job/9":    true,  // the job has no item of that index
+		"p/000007/gone/0":   true,  // no such job
 		"p/000007/a/b/0":    true,  // a job id may contain slashes
 		"p/000007/job":      false, // not a progress key
 		"j/job":             false,
 		"p/000007/job/nine": false,
 	} {
 		if s.Unneeded(key) != want {
-			t.Errorf("%s: %v", key, !want)
+			t.Errorf("key %s: obsolete is %v, want the opposite", key, !want)
 		}
 	}
 }
--- a/core/backlog/text.go
+++ b/core/backlog/text.go
@@ -10,53 +10,54 @@
 	"arbutusramp/core/platform"
 )
 
-// kindText is the prefix of the key of a text that is stored separately from its result: t/JOB/ITEM
-// INDEX/CHECKSUM. These texts are in a partition of their own.
+// kindText is the kind of the records of a text that is stored separately from its result, in a partition of
+// its own. Their key is t/JOB/ITEM INDEX/CHECKSUM.
 const kindText = "t"
 
-// maxTextHeaderBytes is the longest header that the codec writes before a text.
+// maxTextHeaderBytes is the maximum length of the header that CBOR puts before a text.
 const maxTextHeaderBytes = 9
 
 // Text is an item's output that is stored separately from its result.
 type Text struct {
-	Job   string
-	Index int // of the item in its job
-	Text  string
+	Job   string // id of the job
+	Index int    // of the item in its job
+	Text  string // the item's whole output
 }
 
-// Sum returns a checksum that distinguishes texts. It does not protect against texts that are crafted to
-// collide.
+// Sum returns the checksum of a text that becomes part of its key. It does not protect against texts that are
+// crafted to collide.
 func Sum(text string) uint64 { return xxhash.Sum64String(text) }
 
-// TextPrefix is the common prefix of the keys of a job's texts.
+// TextPrefix returns the prefix that the keys of all separately stored texts of a job have in common.
 func TextPrefix(job string) string { return joinKey(kindText, job) + "/" }
 
-// TextKey returns the key of a text.
+// TextKey returns the key of the separately stored text of a job's item. checksum is that of the text.
 //
-// The key depends on the text because an owner writes the text of an item before it can tell whether it still
-// owns the item's shard. A process that was frozen may have read a stream that its target ended early; under
-// a key without the checksum its text would replace that of the result which another owner has stored
-// meanwhile, and the position would show a different result than before. With the checksum in the key and in
-// the result's record, a result always refers to the text with which it was stored.
-func TextKey(job string, index int, sum uint64) string {
-	return TextPrefix(job) + strconv.Itoa(index) + "/" + strconv.FormatUint(sum, 16)
+// The key contains the checksum because a process writes the text of an item before it can tell whether it
+// still owns the item's shard. If the process was frozen, the stream that it read may have ended early, and the
+// next owner may have stored a result with the whole text meanwhile. Under a key without the checksum, the
+// shorter text would replace that of the stored result, and a caller would read a different result than before.
+// With the checksum in the key and in the result's record, a result always refers to its own text.
+func TextKey(job string, index int, checksum uint64) string {
+	return TextPrefix(job) + strconv.Itoa(index) + "/" + strconv.FormatUint(checksum, 16)
 }
 
-// EncodeText returns the records of a text.
+// EncodeText returns the records that store a text separately from its result. Errors: those of EncodeJob.
 func EncodeText(t Text) ([]platform.KeyedRecord, error) {
 	return encodeRecords(TextKey(t.Job, t.Index, Sum(t.Text)), t.Text)
 }
 
-// Apart reports whether the result's text is stored separately from it.
+// Apart reports whether the text is stored separately from the result.
 func (r *Result) Apart() bool { return r.Size > 0 }
 
 // TextKey returns the key of the result's separately stored text.
 func (r *Result) TextKey() string { return TextKey(r.Job, r.Index, r.Sum) }
 
-// TextRecords returns the number of records of the result's separately stored text.
+// TextRecords returns the number of records of the result's separately stored text. It is one too large for
+// some sizes close to a multiple of chunkBytes.
 func (r *Result) TextRecords() int { return (r.Size+maxTextHeaderBytes)/chunkBytes + 1 }
 
-// textTombstones returns the tombstones that delete the text of a result.
+// textTombstones returns the tombstones that delete the result's separately stored text; nil without one.
 func (r *Result) textTombstones() []platform.KeyedRecord {
 	if !r.Apart() {
 		return nil
@@ -71,13 +72,13 @@
 // TextReader reassembles texts from their records.
 type TextReader struct{ chunks chunkAssembler }
 
-// NewTextReader returns a TextReader without records.
+// NewTextReader returns a TextReader to which no record has been added.
 func NewTextReader() *TextReader {
 	return &TextReader{chunkAssembler{partial: make(map[string][][]byte)}}
 }
 
-// Put takes one record. isComplete reports that the record completed the text of the returned key. Errors:
-// errs.BadFrame.
+// Put adds one record. If that was the last missing record of a text, it returns the text, its key and true in
+// isComplete. Errors: errs.BadFrame for a malformed record.
 func (t *TextReader) Put(r platform.KeyedRecord) (key, text string, isComplete bool, err error) {
 	key, value, err := t.chunks.add(r)
 	if err != nil || value == nil {
--- a/core/backlog/types.go
+++ b/core/backlog/types.go
@@ -1,38 +1,38 @@
-// Package backlog builds the state of batch jobs from the records in the platform's store: which jobs are
-// accepted, which items have which result at which position, and which jobs are cancelled. The state is
-// deterministic, and applying a record again has no effect, so processes that have read the same records have
-// the same state. The package does no I/O.
+// Package backlog defines the records in which batch jobs, their results and their progress are stored, and
+// builds the state of all jobs from them. Each gateway uses it to derive the state from the records that it has
+// read; gateways that have read the same records have the same state. The package also computes the order in
+// which items start. It does no I/O.
 package backlog
 
 import (
 	"time"
 )
 
-// Job is an accepted batch job.
+// Job is an accepted batch job: a list of requests that run in the background.
 type Job struct {
-	ID        string        `cbor:"1,keyasint"`
-	Route     string        `cbor:"2,keyasint"` // name of the route on which it was submitted
-	Host      string        `cbor:"3,keyasint"`
-	Submitted int64         `cbor:"4,keyasint"` // milliseconds since 1970, by the accepting process's clock
-	Due       time.Duration `cbor:"5,keyasint"`
-	Retain    time.Duration `cbor:"6,keyasint"`
-	Attempts  int           `cbor:"7,keyasint"` // failed runs after which an item gets the outcome Errored
-	Items     []Item        `cbor:"8,keyasint"`
-	Rank      int           `cbor:"9,keyasint,omitempty"` // see serving.Caller.RankOn
-	// Workspace is the workspace that submitted the job; empty where requests need no keys.
+	ID        string        `cbor:"1,keyasint"`           // of a stored job: as returned by ScopedID
+	Route     string        `cbor:"2,keyasint"`           // name of the route on which the job was submitted
+	Host      string        `cbor:"3,keyasint"`           // host name of the submission; selects the items' route
+	Submitted int64         `cbor:"4,keyasint"`           // milliseconds since 1970, by the accepting process's clock
+	Due       time.Duration `cbor:"5,keyasint"`           // time after Submitted within which the items should be finished
+	Retain    time.Duration `cbor:"6,keyasint"`           // time after Submitted during which no quarantined item is given up
+	Attempts  int           `cbor:"7,keyasint"`           // failed runs after which an item gets the outcome Errored
+	Items     []Item        `cbor:"8,keyasint"`           // the requests of the job
+	Rank      int           `cbor:"9,keyasint,omitempty"` // urgency of the job among all jobs; 0 is the most urgent
+	// Workspace is the workspace that submitted the job; empty if the cluster requires no API keys.
 	Workspace string `cbor:"10,keyasint,omitempty"`
 }
 
-// Item is one request of a job.
+// Item is one request of a job. URI, Header and Body are sent to the target as they are.
 type Item struct {
-	ID     string              `cbor:"1,keyasint"`
-	URI    string              `cbor:"2,keyasint"`
+	ID     string              `cbor:"1,keyasint"` // unique within the job
+	URI    string              `cbor:"2,keyasint"` // path and query
 	Header map[string][]string `cbor:"3,keyasint"`
 	Body   []byte              `cbor:"4,keyasint"`
-	Tokens int64               `cbor:"5,keyasint"` // prompt tokens plus the maximum output
+	Tokens int64               `cbor:"5,keyasint"` // prompt tokens plus the maximum number of output tokens
 }
 
-// Tokens returns the sum over the job's items.
+// Tokens returns the sum of the tokens of the job's items.
 func (j *Job) Tokens() int64 {
 	var sum int64
 	for i := range j.Items {
@@ -45,49 +45,51 @@
 type Outcome string
 
 const (
-	// Complete items have their whole output.
+	// Complete is the outcome of an item whose whole output has been received.
 	Complete Outcome = "complete"
-	// Errored items were given up.
+	// Errored is the outcome of an item that was given up. Its text is empty.
 	Errored Outcome = "errored"
 )
 
 // Result is the final result of an item, at its position in the job's list of results.
 type Result struct {
-	Job      string  `cbor:"1,keyasint"`
-	Position int     `cbor:"2,keyasint"`
-	Item     string  `cbor:"3,keyasint"`
-	Outcome  Outcome `cbor:"4,keyasint"`
-	Text     string  `cbor:"5,keyasint,omitempty"` // empty if it is stored separately
-	// Index is the item's index in its job; with Sum it identifies a separately stored text.
+	Job      string  `cbor:"1,keyasint"`           // id of the job
+	Position int     `cbor:"2,keyasint"`           // in the job's list of results, from 0
+	Item     string  `cbor:"3,keyasint"`           // id of the item
+	Outcome  Outcome `cbor:"4,keyasint"`           // Complete or Errored
+	Text     string  `cbor:"5,keyasint,omitempty"` // output of the item; empty if it is stored separately
+	// Index is the item's index in its job. Job, Index and Sum identify a separately stored text.
 	Index int `cbor:"6,keyasint,omitempty"`
 	// Size is the length in bytes of a separately stored text; 0 if Text holds the text.
-	Size int    `cbor:"7,keyasint,omitempty"`
-	Sum  uint64 `cbor:"8,keyasint,omitempty"`
-	// TextAt is the offset at which a separately stored text was written. While the store keeps its history,
-	// the text can be read there without a search.
+	Size int `cbor:"7,keyasint,omitempty"`
+	// Sum is the checksum of a separately stored text.
+	Sum uint64 `cbor:"8,keyasint,omitempty"`
+	// TextAt is the offset in its partition at which a separately stored text was written. As long as the store
+	// keeps the history of the partition, the text is read from there without a search by key.
 	TextAt uint64 `cbor:"9,keyasint,omitempty"`
 }
 
-// Progress is the state of an unfinished item that its owner stores for the next owner.
+// Progress is how far an item has been run. The process that owns the item's shard stores it, so that the next
+// owner can resume the item.
 type Progress struct {
-	Job    string `cbor:"1,keyasint"`
-	Item   string `cbor:"2,keyasint"`
+	Job    string `cbor:"1,keyasint"` // id of the job
+	Item   string `cbor:"2,keyasint"` // id of the item
 	LastID string `cbor:"3,keyasint"` // id of the last event in Text
-	Text   string `cbor:"4,keyasint"`
+	Text   string `cbor:"4,keyasint"` // data of the events so far, joined by newlines
 	// Failures is the number of runs that a target has answered with a failure. Without it each new owner
-	// would allow all attempts again, and an item that always fails would end only if its owner stays the
-	// same.
+	// would allow all attempts again, and an item that always fails would be given up only if its owner stays
+	// the same.
 	Failures int `cbor:"5,keyasint,omitempty"`
-	// Outcome is the item's outcome if its owner could not write the result any more; empty while the item is
-	// unfinished. Without it the next owner would have a target resume an output that is already complete.
+	// Outcome is the outcome of an item whose owner could not write the result any more; empty for an
+	// unfinished item. Without it the next owner would have a target resume an output that is already complete.
 	Outcome Outcome `cbor:"6,keyasint,omitempty"`
 }
 
-// Begun reports whether there is anything to resume from.
+// Begun reports whether a run of the item has produced an event, a failure or an outcome.
 func (p Progress) Begun() bool { return p.LastID != "" || p.Failures > 0 || p.Outcome != "" }
 
-// Merge merges another record of the same item: the longest text, since events are the same from every
-// target, the most failures, and an outcome if there is one.
+// Merge merges other progress of the same item into p. It keeps the longer text, because all targets produce
+// the same events for an item, the larger number of failures, and the outcome if either has one.
 func (p *Progress) Merge(o Progress) {
 	if len(o.Text) > len(p.Text) {
 		p.LastID, p.Text = o.LastID, o.Text
@@ -98,9 +100,9 @@
 	}
 }
 
-// Page is a part of a job's results.
+// Page is a part of a job's list of results.
 type Page struct {
-	Total   int // number of items of the job
-	Results []Result
-	Next    int // position after the last result of the page
+	Total   int      // number of items of the job; 0 for an unknown job
+	Results []Result // in the order of their positions
+	Next    int      // position after the last result of the page
 }
