--- a/internal/backlog/bench_test.go
+++ b/internal/backlog/bench_test.go
@@ -14,7 +14,7 @@
 	"arbutusramp/standin/keyedlog"
 )
 
-// BenchmarkScan measures one scan of the backlog of a fleet by a process that owns none of its shards.
+// BenchmarkScan measures one scan of all jobs by the scheduler of a process that owns no shards.
 func BenchmarkScan(b *testing.B) {
 	const items = 10
 	for _, jobs := range []int{50, 500} {
@@ -32,6 +32,7 @@
 	}
 }
 
+// encodedJob returns the records of a job with the given number of items.
 func encodedJob(b *testing.B, index, items int) []platform.KeyedRecord {
 	j := &backlog.Job{ID: fmt.Sprintf("job-%d", index), Route: "batch", Host: "h"}
 	for k := range items {
--- a/internal/backlog/compact.go
+++ b/internal/backlog/compact.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// compactionInterval is the interval between searches for expired jobs.
+	// compactionInterval is the interval between two searches for expired jobs.
 	compactionInterval = 10 * time.Second
-	// maxClockSkew is how much longer than promised a job is kept, and a quarantined item is retried. Both
-	// times are counted from the submission time by the clock of the accepting process, and clocks differ
-	// between hosts.
+	// maxClockSkew is added to the time for which a job is kept and to the time for which a quarantined item is
+	// retried. Both begin at the submission time by the clock of the accepting process, and clocks differ between
+	// hosts.
 	maxClockSkew = time.Minute
 )
 
-// compact deletes expired jobs of this process's shards. The store keeps the newest record of each key for
-// ever: without deletion it would fill up and refuse new jobs.
+// compact deletes the expired jobs of this process's shards until ctx ends. The store keeps the newest record
+// of each key forever: without deletion it would fill up and reject new jobs.
 func (m *Manager) compact(ctx context.Context) error {
 	for sleep.For(ctx, compactionInterval) {
 		for _, id := range m.expiredJobs(time.Now()) {
@@ -33,12 +33,13 @@
 	return nil
 }
 
-// expiredJobs returns the jobs of this process's shards whose retention time is over.
+// expiredJobs returns the ids of the jobs of this process's shards that have expired: they are cancelled or
+// complete, and were submitted longer ago than Options.Keep.
 func (m *Manager) expiredJobs(now time.Time) []string {
-	before := now.Add(-m.opts.Keep - maxClockSkew).UnixMilli()
+	submittedBefore := now.Add(-m.opts.Keep - maxClockSkew).UnixMilli()
 	var ids []string
 	m.replica.withState(func(st *backlog.State) {
-		st.Expired(before, func(j *backlog.Job) {
+		st.Expired(submittedBefore, func(j *backlog.Job) {
 			ids = append(ids, j.ID)
 		})
 	})
@@ -51,19 +52,19 @@
 	return ownIDs
 }
 
-// deleteJob deletes a job's texts and results before its own records: a job without its record is not found
-// by compaction again.
+// deleteJob deletes a job from the store, its texts and results first: compaction finds a job by its own
+// record, so that record must remain until the others are deleted.
 func (m *Manager) deleteJob(ctx context.Context, id string) error {
-	var f backlog.Forgotten
+	var tombstones backlog.Forgotten
 	var err error
-	m.replica.withState(func(st *backlog.State) { f, err = st.Forget(id) })
+	m.replica.withState(func(st *backlog.State) { tombstones, err = st.Forget(id) })
 	if err != nil {
 		return err
 	}
 	for _, a := range []platform.Append{
-		{Partition: textPartition, Records: f.Texts},
-		{Partition: resultPartition, Records: f.Results},
-		{Partition: jobPartition, Records: f.Jobs},
+		{Partition: textPartition, Records: tombstones.Texts},
+		{Partition: resultPartition, Records: tombstones.Results},
+		{Partition: jobPartition, Records: tombstones.Jobs},
 	} {
 		if len(a.Records) == 0 {
 			continue
@@ -75,11 +76,11 @@
 	return nil
 }
 
-// owns reports whether this process runs a shard.
-func (d *scheduler) owns(index int) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for s := range d.shards {
+// owns reports whether this process owns the shard of that index and runs its items.
+func (sc *scheduler) owns(index int) bool {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	for s := range sc.shards {
 		if s.index == index {
 			return true
 		}
--- a/internal/backlog/faulty_builds_test.go
+++ b/internal/backlog/faulty_builds_test.go
@@ -9,15 +9,15 @@
 	"arbutusramp/core/platform"
 )
 
-// faultyBuildSeeds is the number of random runs within which a faulty build must be detected.
+// faultyBuildSeeds is the maximum number of random runs after which a faulty build must have been detected.
 const faultyBuildSeeds = 60
 
-// Random runs that never fail prove nothing. Each faulty build omits one mechanism that the guarantees depend
-// on; the runs that the unmodified code passes must detect it.
+// The random runs must detect violated guarantees: a check that can't fail proves nothing. Each faulty build
+// omits one mechanism that the guarantees depend on, and at least one random run must report a violation.
 func TestRandomFaultsDetectFaultyBuilds(t *testing.T) {
 	for name, build := range map[string]func(platform.Store) platform.Store{
-		"results without an epoch":                      func(s platform.Store) platform.Store { return unfencedStore{s} },
-		"takeovers that read no results":                func(s platform.Store) platform.Store { return emptyResultsStore{s} },
+		"results are written without an epoch":          func(s platform.Store) platform.Store { return unfencedStore{s} },
+		"takeovers read no results":                     func(s platform.Store) platform.Store { return emptyResultsStore{s} },
 		"a lost answer is treated as a failed write":    func(s platform.Store) platform.Store { return unknownAsFailedStore{s} },
 		"cancellations are acknowledged but not stored": func(s platform.Store) platform.Store { return unstoredCancelStore{s} },
 	} {
@@ -28,24 +28,26 @@
 					return
 				}
 			}
-			t.Errorf("%d random runs did not detect it", faultyBuildSeeds)
+			t.Errorf("%d random runs reported no violation by the faulty build, want at least 1", faultyBuildSeeds)
 		})
 	}
 }
 
-// countViolations returns the number of violations in a random run of a build.
-func countViolations(t *testing.T, seed uint64, wrapStore func(platform.Store) platform.Store) (n int) {
+// countViolations returns the number of failures that a random run reports if wrapStore wraps the store of each
+// process.
+func countViolations(t *testing.T, seed uint64, wrapStore func(platform.Store) platform.Store) (violations int) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFaultRun(t, seed)
-		w.hasLateWrites = true
-		w.wrapStore = wrapStore
-		w.reportFailure = func(string, ...any) { n++ }
-		w.run()
+		fr := newFaultRun(t, seed)
+		fr.hasLateWrites = true
+		fr.wrapStore = wrapStore
+		fr.reportFailure = func(string, ...any) { violations++ }
+		fr.run()
 	})
-	return n
+	return violations
 }
 
-// unfencedStore writes results whether or not a newer owner exists.
+// unfencedStore writes results without the epoch of their owner, so that the store does not reject replaced
+// owners.
 type unfencedStore struct{ platform.Store }
 
 func (s unfencedStore) Append(ctx context.Context, a platform.Append) (platform.Appended, error) {
@@ -53,7 +55,7 @@
 	return s.Store.Append(ctx, a)
 }
 
-// emptyResultsStore returns no results for the first load of their partition.
+// emptyResultsStore returns no results to a process that loads their partition.
 type emptyResultsStore struct{ platform.Store }
 
 func (s emptyResultsStore) Newest(ctx context.Context, p platform.Partition, after string) (platform.NewestPage, error) {
@@ -64,18 +66,18 @@
 	return page, err
 }
 
-// unknownAsFailedStore reports writes without an answer as not done.
+// unknownAsFailedStore reports writes whose answer was lost as failed, though they may have succeeded.
 type unknownAsFailedStore struct{ platform.Store }
 
 func (s unknownAsFailedStore) Append(ctx context.Context, a platform.Append) (platform.Appended, error) {
-	done, err := s.Store.Append(ctx, a)
+	appended, err := s.Store.Append(ctx, a)
 	if errs.Is(err, errs.AppendUnknown) {
-		err = errs.New(errs.LogDown, "treated as not done")
+		err = errs.New(errs.LogDown, "the lost answer is treated as a failed write")
 	}
-	return done, err
+	return appended, err
 }
 
-// unstoredCancelStore acknowledges cancellations of jobs that the store has not received.
+// unstoredCancelStore acknowledges cancellations of jobs without storing them.
 type unstoredCancelStore struct{ platform.Store }
 
 func (s unstoredCancelStore) Append(ctx context.Context, a platform.Append) (platform.Appended, error) {
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -30,142 +30,147 @@
 const (
 	testShards     = 4
 	testMinTTL     = time.Second
-	testKeep       = 2 * time.Minute
+	testKeepFor    = 2 * time.Minute
 	eventInterval  = 15 * time.Millisecond
-	itemEvents     = 40
-	longItemEvents = 200 // of items whose ids begin with "okay"
+	itemEvents     = 40  // number of events of other items
+	longItemEvents = 200 // number of events of items whose ids begin with "okay"
 )
 
-// cluster holds a store, some targets and the managers of some processes.
+// cluster simulates a fleet: a store, targets and processes that each run a Manager.
 type cluster struct {
-	t              *testing.T
-	store          *keyedlog.Store
-	targets        *fakeTargets
-	route          *serving.Route
-	isRouteRemoved atomic.Bool // the current configuration lacks the route
-	nodesMu        sync.Mutex  // guards changes of nodes against concurrent readers outside the test's goroutine
-	nodes          []*node
-	keepFor        time.Duration // how long jobs stay readable
-	inlineBytes    int           // see Options.SpreadBytes; 0 stores all texts separately
-	// wrapStore wraps the store of each process; nil for the unmodified code.
+	t                  *testing.T
+	store              *keyedlog.Store
+	targets            *fakeTargets
+	route              *serving.Route
+	isRouteRemoved     atomic.Bool // the current configuration lacks the route
+	nodesMu            sync.Mutex  // held for changes of nodes, and for reads outside the test's goroutine
+	nodes              []*node
+	keepFor            time.Duration // see Options.Keep
+	maxInlineReadBytes int           // see Options.SpreadBytes; 0 stores all texts separately
+	// wrapStore wraps the store of each process that is started; nil leaves it as it is.
 	wrapStore func(platform.Store) platform.Store
-	// rank returns how many processes precede a node as owners of shards; nil makes all of them members.
+	// rank is Options.Rank of each process that is started; nil makes all processes members.
 	rank     func(n *node) (rank int, isKnown bool)
-	restarts sync.WaitGroup // pending replacements of targets
-	// reportFailure is called for each violated expectation.
+	restarts sync.WaitGroup // replacements of targets that are not finished
+	// reportFailure is called for each violated expectation; t.Errorf unless a test replaces it.
 	reportFailure func(format string, args ...any)
 }
 
-// node is one process with a manager.
+// node simulates one process, which runs a Manager.
 type node struct {
-	w       *cluster
+	cl      *cluster
 	name    string
 	view    *keyedlog.View
 	fleet   *fleetview.View
 	manager *Manager
-	// quarantine gets no records from the store: it holds only what the process itself has observed.
+	// quarantine reads no records from the store: it contains only what this process has observed.
 	quarantine *quarantine.Quarantine
 	cancel     context.CancelFunc
 	done       chan struct{}
 }
 
+// newCluster returns a cluster with that many running processes.
 func newCluster(t *testing.T, nodes int) *cluster {
-	w := &cluster{
-		t: t, store: keyedlog.New(testShards), targets: newFakeTargets(), reportFailure: t.Errorf, keepFor: testKeep,
+	cl := &cluster{
+		t: t, store: keyedlog.New(testShards), targets: newFakeTargets(), reportFailure: t.Errorf, keepFor: testKeepFor,
 		route: &serving.Route{
 			Name: "batch", Host: "h", Prefix: "/b/", Kind: serving.KindBatch, Attempts: 3,
 			Shares: []serving.Share{{Service: "llm", Weight: 1}}, Due: 18 * time.Second, Retain: time.Minute,
 		},
 	}
-	w.targets.replace = w.replaceTarget
-	w.startNodes(nodes)
-	return w
+	cl.targets.replace = cl.replaceTarget
+	cl.startNodes(nodes)
+	return cl
 }
 
-// restartTime is how long a target that has crashed under an item is down.
+// restartTime is the time from the end of a target until its replacement is added.
 const restartTime = 5 * time.Second
 
-// replaceTarget removes a target from the list and lists another start in its place after restartTime.
-func (w *cluster) replaceTarget(target string, crashes int) {
-	start := serving.Target{ID: fmt.Sprintf("restart-%d", crashes), Service: "llm", Addr: "127.0.0.1:1", Domain: "d", Slots: 8}
-	w.restarts.Go(func() {
+// replaceTarget removes a target from the views of all processes after half of restartTime, and adds another
+// one after restartTime. crashes, the number of targets that have ended, distinguishes the replacements.
+func (cl *cluster) replaceTarget(target string, crashes int) {
+	replacement := serving.Target{ID: fmt.Sprintf("restart-%d", crashes), Service: "llm", Addr: "127.0.0.1:1", Domain: "d", Slots: 8}
+	cl.restarts.Go(func() {
 		time.Sleep(restartTime / 2)
-		w.eachNode(func(n *node) {
+		cl.eachNode(func(n *node) {
 			n.fleet.Put(nil, []string{target})
 			n.quarantine.TargetsGone([]string{target})
 		})
 		time.Sleep(restartTime / 2)
-		w.eachNode(func(n *node) { n.fleet.Put([]serving.Target{start}, nil) })
+		cl.eachNode(func(n *node) { n.fleet.Put([]serving.Target{replacement}, nil) })
 	})
 }
 
-func (w *cluster) eachNode(f func(n *node)) {
-	w.nodesMu.Lock()
-	defer w.nodesMu.Unlock()
-	for _, n := range w.nodes {
+// eachNode calls f for each process.
+func (cl *cluster) eachNode(f func(n *node)) {
+	cl.nodesMu.Lock()
+	defer cl.nodesMu.Unlock()
+	for _, n := range cl.nodes {
 		f(n)
 	}
 }
 
-func (w *cluster) startNodes(nodes int) {
+// startNodes starts that many processes.
+func (cl *cluster) startNodes(nodes int) {
 	for i := range nodes {
-		w.start(fmt.Sprintf("node-%d", i))
+		cl.start(fmt.Sprintf("node-%d", i))
 	}
 }
 
-// withCluster runs f in virtual time with processes among which the shards have been distributed.
-func withCluster(t *testing.T, nodes int, f func(t *testing.T, w *cluster)) {
+// withCluster runs f in virtual time with a cluster of that many processes, after the shards have been
+// divided among them.
+func withCluster(t *testing.T, nodes int, f func(t *testing.T, cl *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t, nodes)
-		defer w.stopAll()
+		cl := newCluster(t, nodes)
+		defer cl.stopAll()
 		time.Sleep(2 * time.Second)
-		f(t, w)
+		f(t, cl)
 	})
 }
 
-// start starts a process under a name that was not used before.
-func (w *cluster) start(name string) *node {
-	n := &node{w: w, name: name, view: w.store.View(), done: make(chan struct{})}
+// start starts a process. The name must not have been used before.
+func (cl *cluster) start(name string) *node {
+	n := &node{cl: cl, name: name, view: cl.store.View(), done: make(chan struct{})}
 	n.fleet = fleetview.New(fleet.Options{Domain: "d", Self: fleet.Peer(name), StartSpare: 0, PeerTTL: time.Second})
 	for i := range 3 {
 		n.fleet.Put([]serving.Target{{ID: fmt.Sprintf("target-%d", i), Service: "llm", Addr: "127.0.0.1:1", Domain: "d", Slots: 8}}, nil)
 	}
 	log := testLogger(name)
 	var store platform.Store = n.view
-	if w.wrapStore != nil {
-		store = w.wrapStore(store)
+	if cl.wrapStore != nil {
+		store = cl.wrapStore(store)
 	}
 	n.quarantine = quarantine.New(quarantine.Options{
-		Threshold: corequarantine.DefaultThreshold, Hold: corequarantine.DefaultHold, Prober: w.targets, Fleet: n.fleet, Log: log, Metrics: metrics.NewRegistry(),
+		Threshold: corequarantine.DefaultThreshold, Hold: corequarantine.DefaultHold, Prober: cl.targets, Fleet: n.fleet, Log: log, Metrics: metrics.NewRegistry(),
 	})
-	o := Options{Member: name, Shards: testShards, MinTTL: testMinTTL, Keep: w.keepFor, SpreadBytes: w.inlineBytes, Quarantine: n.quarantine}
-	if w.rank != nil {
-		o.Rank = func() (int, bool) { return w.rank(n) }
+	o := Options{Member: name, Shards: testShards, MinTTL: testMinTTL, Keep: cl.keepFor, SpreadBytes: cl.maxInlineReadBytes, Quarantine: n.quarantine}
+	if cl.rank != nil {
+		o.Rank = func() (int, bool) { return cl.rank(n) }
 	}
-	n.manager = New(o, store, w.targets, n.fleet, n, log, metrics.NewRegistry())
+	n.manager = New(o, store, cl.targets, n.fleet, n, log, metrics.NewRegistry())
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	go func() {
 		defer close(n.done)
 		if err := n.manager.Run(ctx); err != nil {
-			w.reportFailure("%s: %v", name, err)
+			cl.reportFailure("process %s: Manager.Run returned error %v, want none", name, err)
 		}
 	}()
-	w.nodesMu.Lock()
-	defer w.nodesMu.Unlock()
-	w.nodes = append(w.nodes, n)
+	cl.nodesMu.Lock()
+	defer cl.nodesMu.Unlock()
+	cl.nodes = append(cl.nodes, n)
 	return n
 }
 
-// Route implements Router.
+// Route implements Router: there is one route, unless isRouteRemoved is set.
 func (n *node) Route(string, string) (*serving.Route, serving.Limits, error) {
-	if n.w.isRouteRemoved.Load() {
+	if n.cl.isRouteRemoved.Load() {
 		return nil, serving.Limits{}, errs.New(errs.NotFound, "no route")
 	}
-	return n.w.route, serving.Limits{}, nil
+	return n.cl.route, serving.Limits{}, nil
 }
 
-// stop ends a process as planned.
+// stop ends a process as planned: it hands its items over first.
 func (n *node) stop() {
 	n.cancel()
 	<-n.done
@@ -177,43 +182,46 @@
 	n.stop()
 }
 
-func (w *cluster) stopAll() {
-	for _, n := range w.nodes {
+// stopAll stops all processes and waits for the replacements of targets.
+func (cl *cluster) stopAll() {
+	for _, n := range cl.nodes {
 		n.stop()
 	}
-	w.restarts.Wait()
+	cl.restarts.Wait()
 }
 
-// job returns a job whose item ids begin with the given kinds; see fakeTargets.
-func (w *cluster) job(id string, items ...string) *backlog.Job {
-	j := &backlog.Job{ID: id, Route: w.route.Name, Host: "h", Submitted: time.Now().UnixMilli(),
-		Due: w.route.Due, Retain: w.route.Retain, Attempts: w.route.Attempts}
-	for i, kind := range items {
+// job returns a job with an item of each of the kinds, with which the item ids begin; see fakeTargets.
+func (cl *cluster) job(id string, kinds ...string) *backlog.Job {
+	j := &backlog.Job{ID: id, Route: cl.route.Name, Host: "h", Submitted: time.Now().UnixMilli(),
+		Due: cl.route.Due, Retain: cl.route.Retain, Attempts: cl.route.Attempts}
+	for i, kind := range kinds {
 		j.Items = append(j.Items, backlog.Item{ID: fmt.Sprintf("%s-%s-%d", kind, id, i), URI: "/b/1", Body: []byte(id), Tokens: 100})
 	}
 	return j
 }
 
+// repeat returns a list that contains kind n times.
 func repeat(kind string, n int) []string {
 	return strings.Fields(strings.Repeat(kind+" ", n))
 }
 
-// submit submits a job at the node until it is accepted.
+// submit submits a job to the process until it is accepted; 20 times at most.
 func (n *node) submit(j *backlog.Job) {
 	for range 20 {
-		if err := n.manager.Submit(context.Background(), n.w.route, j); err == nil {
+		if err := n.manager.Submit(context.Background(), n.cl.route, j); err == nil {
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	n.w.t.Fatalf("job %s was not accepted", j.ID)
+	n.cl.t.Fatalf("job %s was not accepted in 20 submissions, want it accepted", j.ID)
 }
 
-// results reads a job at the node until it is complete or the time is over.
+// results reads a job's results from the process until there is one for each item or the time is over, and
+// returns those that were read.
 func (n *node) results(j *backlog.Job, within time.Duration) []backlog.Result {
-	until := time.Now().Add(within)
+	deadline := time.Now().Add(within)
 	var list []backlog.Result
-	for len(list) < len(j.Items) && time.Now().Before(until) {
+	for len(list) < len(j.Items) && time.Now().Before(deadline) {
 		page, err := n.manager.Results(context.Background(), serving.Caller{}, j.ID, len(list), time.Second)
 		if err != nil {
 			time.Sleep(200 * time.Millisecond)
@@ -224,28 +232,30 @@
 	return list
 }
 
-// checkResults expects each item exactly once and with its whole output.
-func (w *cluster) checkResults(j *backlog.Job, list []backlog.Result) {
-	w.t.Helper()
+// checkResults reports a failure unless list holds each item of the job exactly once, with its whole output and
+// Complete if its id begins with "ok", and without text and Errored otherwise.
+func (cl *cluster) checkResults(j *backlog.Job, list []backlog.Result) {
+	cl.t.Helper()
 	if len(list) != len(j.Items) {
-		w.reportFailure("job %s: %d results of %d items", j.ID, len(list), len(j.Items))
+		cl.reportFailure("job %s has %d results, want one for each of its %d items", j.ID, len(list), len(j.Items))
 	}
 	seen := make(map[string]int)
 	for _, r := range list {
 		seen[r.Item]++
 		if seen[r.Item] > 1 {
-			w.reportFailure("job %s: item %s has two positions", j.ID, r.Item)
+			cl.reportFailure("job %s: item %s has more than one position, want one", j.ID, r.Item)
 		}
 		want, outcome := expectedOutput(r.Item), backlog.Complete
 		if !strings.HasPrefix(r.Item, "ok") {
 			want, outcome = "", backlog.Errored
 		}
 		if r.Outcome != outcome || r.Text != want {
-			w.reportFailure("job %s: item %s is %s with %d bytes, want %s with %d", j.ID, r.Item, r.Outcome, len(r.Text), outcome, len(want))
+			cl.reportFailure("job %s: the result of item %s is %s with a text of %d bytes, want %s with the expected text of %d bytes", j.ID, r.Item, r.Outcome, len(r.Text), outcome, len(want))
 		}
 	}
 }
 
+// expectedOutput returns the whole output of an item: the data of all its events, joined by newlines.
 func expectedOutput(item string) string {
 	var lines []string
 	for i := 1; i <= eventCountOf(item); i++ {
@@ -254,6 +264,7 @@
 	return strings.Join(lines, "\n")
 }
 
+// eventCountOf returns the number of events that targets send for an item.
 func eventCountOf(item string) int {
 	if strings.HasPrefix(item, "okay") {
 		return longItemEvents
@@ -261,29 +272,31 @@
 	return itemEvents
 }
 
-// crashDelay is how long a target runs an item before the item crashes it.
+// crashDelay is how long a target runs an item of kind "doom" or "mute" before it ends.
 const crashDelay = 50 * time.Millisecond
 
-// fakeTargets respond according to the prefix of the item id: "ok" runs to its end, "never" is rejected for
-// good with 422, "fail" fails with 500. "crash" crashes the target, "doom" does so after crashDelay, together
-// with all other runs of the target. "mute" makes the target hang after crashDelay and ends it with its
-// connections open.
+// fakeTargets simulates all targets. They respond according to the kind of an item, the prefix of its id: the
+// whole output of "ok" and "okay" is streamed, "never" is answered with 422, "fail" with 500. "crash" ends
+// its target at once, without an effect on other runs. "doom" ends its target after crashDelay, which breaks
+// off all other runs of the target. "mute" makes its target send nothing more after crashDelay, with its
+// connections open, until the target is replaced.
 type fakeTargets struct {
 	mu           sync.Mutex
-	runs         map[string]int // by item
-	startTimes   map[string][]time.Time
-	resumedAfter map[string]string // the event after which the last run of an item began
-	// crashed are the targets that have ended. Another takes the place of each at once, under the same id.
+	runs         map[string]int         // number of runs by item id
+	startTimes   map[string][]time.Time // of the runs, by item id
+	resumedAfter map[string]string      // id of the event after which the last run began, by item id
+	// crashed holds the ids of targets that have crashed. A probe reports them as gone.
 	crashed map[string]bool
-	// crashes counts the targets that have ended; streams are the open answers by target.
+	// crashes is the number of targets that were replaced after they had crashed or stopped sending.
 	crashes  int
-	hung     map[string]bool
-	refusing map[string]bool // targets that refuse connections
-	streams  map[string][]*io.PipeWriter
-	// replace lists another start in the place of a target that has ended.
+	hung     map[string]bool             // ids of targets that send nothing more
+	refusing map[string]bool             // ids of targets that refuse connections
+	streams  map[string][]*io.PipeWriter // open answers by target id
+	// replace is called for each target that has ended; see cluster.replaceTarget.
 	replace func(target string, crashes int)
 }
 
+// newFakeTargets returns targets that have not run any item. The caller sets replace.
 func newFakeTargets() *fakeTargets {
 	return &fakeTargets{
 		runs: make(map[string]int), startTimes: make(map[string][]time.Time), resumedAfter: make(map[string]string), crashed: make(map[string]bool),
@@ -291,7 +304,7 @@
 	}
 }
 
-// crash ends a target. All its runs break off, one after the other.
+// crash ends a target, breaks off all its runs, one after the other, and has it replaced.
 func (f *fakeTargets) crash(target string) {
 	f.mu.Lock()
 	f.crashed[target], f.refusing[target] = true, true
@@ -305,14 +318,15 @@
 	f.replace(target, crashes)
 }
 
-// hang makes a target send nothing more, with its connections open.
+// hang makes a target send nothing more, with its connections open. It is not replaced.
 func (f *fakeTargets) hang(target string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hung[target] = true
 }
 
-// hangAndReplace ends a target whose connections stay open.
+// hangAndReplace makes a target send nothing more, with its connections open, and has it replaced. It has no
+// effect on a target that hangs already.
 func (f *fakeTargets) hangAndReplace(target string) {
 	f.mu.Lock()
 	isFirst := !f.hung[target]
@@ -327,20 +341,21 @@
 	}
 }
 
+// isHung reports whether a target sends nothing more.
 func (f *fakeTargets) isHung(target string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.hung[target]
 }
 
-// crashCount returns how many targets have ended.
+// crashCount returns how many targets were replaced after they had crashed or stopped sending.
 func (f *fakeTargets) crashCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashes
 }
 
-// Send implements platform.TargetCaller.
+// Send implements platform.TargetCaller; see fakeTargets.
 func (f *fakeTargets) Send(ctx context.Context, c platform.TargetCall) (*platform.TargetAnswer, error) {
 	if ctx.Err() != nil {
 		return nil, errs.New(errs.TargetFailed, "cancelled").WithRan(errs.RanNo)
@@ -355,12 +370,12 @@
 	if isDown {
 		return nil, errs.New(errs.TargetFailed, "connection refused").WithRan(errs.RanNo)
 	}
-	ans := &platform.TargetAnswer{Status: http.StatusOK, Header: http.Header{}, Length: -1, Body: io.NopCloser(strings.NewReader(""))}
+	answer := &platform.TargetAnswer{Status: http.StatusOK, Header: http.Header{}, Length: -1, Body: io.NopCloser(strings.NewReader(""))}
 	switch {
 	case strings.HasPrefix(id, "never"):
-		ans.Status = http.StatusUnprocessableEntity
+		answer.Status = http.StatusUnprocessableEntity
 	case strings.HasPrefix(id, "fail"):
-		ans.Status = http.StatusInternalServerError
+		answer.Status = http.StatusInternalServerError
 	case strings.HasPrefix(id, "crash"):
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -375,13 +390,14 @@
 	case strings.HasPrefix(id, "doom"):
 		return nil, f.crashDuringRequest(ctx, c.Target.ID)
 	default:
-		ans.Body = f.stream(ctx, c)
+		answer.Body = f.stream(ctx, c)
 	}
-	return ans, nil
+	return answer, nil
 }
 
-// crashDuringRequest crashes a target under a request, unless the request is cancelled before. The other runs
-// break off a moment earlier.
+// crashDuringRequest crashes a target crashDelay after it has received a request, unless the request is
+// cancelled before, and returns the error of the request. The target's other runs are broken off 1 ms
+// earlier.
 func (f *fakeTargets) crashDuringRequest(ctx context.Context, target string) error {
 	if sleep.For(ctx, crashDelay) {
 		f.crash(target)
@@ -392,7 +408,7 @@
 	return errs.New(errs.TargetFailed, "EOF").WithRan(errs.RanUnknown)
 }
 
-// Probe implements platform.TargetProber.
+// Probe implements platform.TargetProber: crashed targets are gone, those that hang can't be probed.
 func (f *fakeTargets) Probe(_ context.Context, t serving.Target) platform.ProbeResult {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -405,13 +421,14 @@
 	return platform.ProbeAlive
 }
 
+// runCount returns how often an item was sent to a target.
 func (f *fakeTargets) runCount(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runs[id]
 }
 
-// lastStart returns when the item was last sent; zero if it never was.
+// lastStart returns the time at which an item was last sent to a target; zero if it never was.
 func (f *fakeTargets) lastStart(id string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -421,7 +438,7 @@
 	return time.Time{}
 }
 
-// lastStartOf returns when the last of a job's items was sent.
+// lastStartOf returns the time at which any of a job's items was last sent to a target; zero if none was.
 func (f *fakeTargets) lastStartOf(j *backlog.Job) time.Time {
 	var last time.Time
 	for _, item := range j.Items {
@@ -432,36 +449,38 @@
 	return last
 }
 
-// lastResumedAfter returns the event after which the item's last run began.
+// lastResumedAfter returns the id of the event after which an item's last run began; empty for a run from the
+// start.
 func (f *fakeTargets) lastResumedAfter(id string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.resumedAfter[id]
 }
 
-// stream sends the item's events after the one from which the call resumes.
+// stream returns the body of an answer with an item's events, sent at eventInterval, after the one from which
+// the call resumes. The stream stops without an end if the target hangs, and breaks off when ctx ends.
 func (f *fakeTargets) stream(ctx context.Context, c platform.TargetCall) io.ReadCloser {
-	id, from := c.Request.ID, c.ResumeAfter
-	r, wr := io.Pipe()
+	id, resumeAfter := c.Request.ID, c.ResumeAfter
+	r, writer := io.Pipe()
 	f.mu.Lock()
-	f.streams[c.Target.ID] = append(f.streams[c.Target.ID], wr)
+	f.streams[c.Target.ID] = append(f.streams[c.Target.ID], writer)
 	f.mu.Unlock()
 	first := 1
-	if n, err := strconv.Atoi(from); err == nil {
+	if n, err := strconv.Atoi(resumeAfter); err == nil {
 		first = n + 1
 	}
 	go func() {
 		for i := first; i <= eventCountOf(id); i++ {
 			if !sleep.For(ctx, eventInterval) || f.isHung(c.Target.ID) {
 				<-ctx.Done()
-				_ = wr.CloseWithError(ctx.Err())
+				_ = writer.CloseWithError(ctx.Err())
 				return
 			}
-			if _, err := fmt.Fprintf(wr, "id: %d\ndata: %s:%d\n\n", i, id, i); err != nil {
+			if _, err := fmt.Fprintf(writer, "id: %d\ndata: %s:%d\n\n", i, id, i); err != nil {
 				return
 			}
 		}
-		_ = wr.Close()
+		_ = writer.Close()
 	}()
 	return r
 }
--- a/internal/backlog/item.go
+++ b/internal/backlog/item.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// itemIdleTimeout is how long an item's stream may be idle before the item is moved to another target. A
-	// stream may wait in its target's queue, so the timeout is longer than the one for a target that sends
-	// nothing on any stream, and at least twice the normal silence of a working target.
+	// itemIdleTimeout is how long an item's stream may be idle before its run is cancelled and the item is
+	// moved to another target. A stream may wait in its target's queue, so the timeout is longer than the one
+	// for a target that sends nothing on any stream, and at least twice the normal silence of a working target.
 	itemIdleTimeout = 1500 * time.Millisecond
-	// watchdogInterval is how often a watchdog checks its run.
+	// watchdogInterval is the interval at which a watchdog checks its run.
 	watchdogInterval = 100 * time.Millisecond
 )
 
-// Histograms of the stages of an item in this process, in milliseconds.
+// Names of the histograms of the stages of an item in this process, in milliseconds.
 const (
-	waitMetric = "item.wait_ms" // from when this process takes the item on until its first run
-	runMetric  = "item.run_ms"  // one run at a target
+	waitMetric = "item.wait_ms" // from the creation of the item's task to its first run
+	runMetric  = "item.run_ms"  // duration of one run at a target
 	listMetric = "item.list_ms" // from the item's outcome until its result is in the store
 )
 
@@ -41,11 +41,12 @@
 const (
 	runInterrupted runVerdict = iota // the item resumes later, after its last event
 	runComplete                      // the item has its whole output
-	runFailed                        // the target has answered with a failure
-	runRejected                      // no target can run the item
+	runFailed                        // the target has answered with status 500; counts as a failed attempt
+	runRejected                      // the target has answered with status 422; no target can run the item
 )
 
-// runItem runs a task at one target, resuming after the task's last event.
+// runItem runs a task's item once, at the target of r, from the event after the task's last one. It applies the
+// outcome of the run to the task.
 func (m *Manager) runItem(ctx context.Context, t *task, r *fleetview.Run, route *serving.Route) {
 	fromEvent, eventsBefore := t.lastEvent(), t.eventCount()
 	began := time.Now()
@@ -72,13 +73,16 @@
 		"first_ms", first.Milliseconds(), "idle_ms", idle.Milliseconds(), "verdict", v.String(), "preempted", isPreempted, "error", errText(err))
 }
 
+// String returns the verdict as it is logged.
 func (v runVerdict) String() string {
 	return [...]string{"go on", "complete", "failed", "hopeless"}[v]
 }
 
-// bodyChecksum identifies an item's body in the log lines about receiving, sending and returning it.
+// bodyChecksum returns the checksum that identifies an item's body in the log lines about receiving, sending
+// and returning it.
 func bodyChecksum(body []byte) string { return strconv.FormatUint(xxhash.Sum64(body), 16) }
 
+// errText returns the message of err; empty for nil.
 func errText(err error) string {
 	if err == nil {
 		return ""
@@ -86,13 +90,13 @@
 	return err.Error()
 }
 
-// finishRun decides how a task continues after a run and reports whether the run was preempted. The run
-// counts as active until the verdict is applied: a task without an active run and without an outcome is
-// started again.
+// finishRun applies the verdict on a run at the target to the task, and passes the item's result to the shard
+// if the run decides it. It reports whether the run was preempted. The run counts as active until the verdict
+// is applied: the scheduler starts a task again that has no active run and no outcome.
 func (t *task) finishRun(target string, v runVerdict) (isPreempted bool) {
 	result, isPreempted := t.applyVerdict(target, v)
 	if result != nil && !t.shard.enqueueResult(result) {
-		// A process that was frozen reads what its targets have sent in the meantime after it has released
+		// A process that was frozen reads what its targets have sent in the meantime only after it has released
 		// its shards. If the result were discarded here, the next owner would run the whole item again.
 		t.shard.m.log.Info("end handed over", "job", t.job.ID, "item", t.item().ID, "shard", t.shard.index, "epoch", t.shard.epoch, "outcome", result.outcome)
 		t.shard.m.saveProgress([]*task{t})
@@ -100,8 +104,8 @@
 	return isPreempted
 }
 
-// applyVerdict updates the task after a run. It returns the item's result, if the run decides it; the caller
-// passes it to the shard, which must not happen under the task's lock.
+// applyVerdict updates the task after a run at the target. It returns the item's result if the run decides
+// it, else nil. The caller passes the result to the shard, which must not happen under the task's lock.
 func (t *task) applyVerdict(target string, v runVerdict) (result *pendingResult, isPreempted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -126,7 +130,8 @@
 	return nil, false
 }
 
-// streamItem sends the item and reads its event stream.
+// streamItem sends the item to the target of r and appends the events of its stream to the task. It returns the
+// verdict on the run, and the reason unless that is runComplete.
 func (m *Manager) streamItem(ctx context.Context, t *task, r *fleetview.Run, route *serving.Route) (runVerdict, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -159,7 +164,7 @@
 	}
 }
 
-// appendEvent appends an event to the item's text.
+// appendEvent appends an event to the task's text, on a line of its own.
 func (t *task) appendEvent(e events.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -172,28 +177,29 @@
 	t.unsavedEvents++
 }
 
-// classifyAnswer returns the verdict on answers that are no event stream of the item; runComplete means that
-// the answer is one.
+// classifyAnswer returns the verdict on an answer before its body is read, and the reason. runComplete means
+// that the answer is the item's event stream, which is to be read.
 func (m *Manager) classifyAnswer(t *task, r *fleetview.Run, answer *platform.TargetAnswer) (runVerdict, error) {
 	switch {
 	case answer.OtherInstance:
 		m.view.Drop(r.Target.ID)
 		return runInterrupted, errs.New(errs.TargetFailed, "another target has the address")
 	case answer.NotRun:
-		return runInterrupted, errs.Newf(errs.TargetFailed, "the target refuses the item with status %d", answer.Status)
+		return runInterrupted, errs.Newf(errs.TargetFailed, "the target rejected the item with status %d", answer.Status)
 	case answer.Foreign:
 		return runInterrupted, errs.New(errs.TargetFailed, "the answer belongs to another request")
 	case answer.Status == http.StatusOK:
 		return runComplete, nil
 	case answer.Status == http.StatusUnprocessableEntity:
-		return runRejected, errs.New(errs.TargetRefused, "no target can process the item")
+		return runRejected, errs.New(errs.TargetRefused, "the target answered with status 422: no target can process the item")
 	case answer.Status == http.StatusInternalServerError:
-		return runFailed, errs.New(errs.TargetFailed, "the target failed the item")
+		return runFailed, errs.New(errs.TargetFailed, "the target answered with status 500")
 	}
 	return runInterrupted, errs.Newf(errs.TargetFailed, "the target answered with status %d", answer.Status)
 }
 
-// brokenRun describes, for the quarantine, a run that resumed after the event fromEvent and was broken off.
+// brokenRun returns the description that the quarantine records of a run that has ended before the item's
+// output was complete. The run began after the event fromEvent; err is the reason of its end.
 func brokenRun(t *task, r *fleetview.Run, fromEvent string, err error) quarantine.Broken {
 	return quarantine.Broken{
 		Content: t.content, Target: r.Target, Start: r.Target.ID, Began: r.Began(), From: fromEvent, To: t.lastEvent(),
@@ -201,8 +207,9 @@
 	}
 }
 
-// classifyRunError returns the error of a broken run and reports the run to the quarantine. A lost connection
-// counts as a failure of the target, unless this process has cancelled the run.
+// classifyRunError reports a run that has ended with err to the quarantine, and returns the error that states
+// why it ended. A lost connection counts as a failure of the target, unless this process has cancelled the
+// run.
 func (m *Manager) classifyRunError(ctx context.Context, t *task, wd *watchdog, fromEvent string, err error) error {
 	r := wd.run
 	if r.HasEnded() && errs.As(err).Ran != errs.RanNo {
--- a/internal/backlog/load.go
+++ b/internal/backlog/load.go
@@ -10,23 +10,24 @@
 	"arbutusramp/core/platform"
 )
 
-// pageLimits bounds the time for one page and the pause after a page that failed. If a hundred processes each
-// read 1 MB from a store that sends 80 MB/s, a page takes 1.3 s.
+// pageLimits bounds the time for one page of a load and the pause after a page that failed. If a hundred
+// processes each read 1 MB from a store that sends 80 MB/s, a page takes 1.3 s.
 var pageLimits = paging.Limits{Patience: 10 * time.Second, Backoff: 3 * time.Second}
 
-// tailReadInterval is how often a load also reads the records written since it began. The store discards its
-// history after some 20 s: a load that takes longer would have to start over.
+// tailReadInterval is the interval at which a load also reads the tail, the records that were written since
+// it began. The store discards its history after some 20 s: if the tail were read only at the end, a load
+// that takes longer would have to start over.
 const tailReadInterval = 3 * time.Second
 
-// partitionLoad is the state of an unfinished first read of a partition.
+// partitionLoad is the state of an unfinished load of a partition.
 type partitionLoad struct {
 	pages      *paging.Reader
-	tailOffset uint64 // offset of the next record of the tail: of those written since the load began
-	tailReadAt time.Time
+	tailOffset uint64    // offset of the next record of the tail; see tailReadInterval
+	tailReadAt time.Time // time of the last read of the tail; at first that of the first page
 }
 
-// load reads the newest record of each key. Records that are written meanwhile are read again, from the end
-// of the partition at the first page on; applying a record twice has no effect. After an error the next call
+// load reads the newest record of each key of a partition, page by page in key order. It also reads the records
+// that were written since its first page; applying a record twice has no effect. After an error the next call
 // resumes at the same page.
 func (r *Replica) load(ctx context.Context, p platform.Partition) error {
 	l := r.currentLoad(p)
@@ -48,22 +49,25 @@
 	}
 }
 
-// startTail sets, with the first page, the offset at which the tail begins.
+// startTail sets the offset at which the tail begins to the end that the partition had at the first page. It
+// has no effect after later pages.
 func (l *partitionLoad) startTail() {
 	if l.tailReadAt.IsZero() {
 		l.tailOffset, l.tailReadAt = l.pages.End(), l.pages.Began()
 	}
 }
 
+// logMissedPage logs a page of a load that the store did not return in time.
 func (r *Replica) logMissedPage(p platform.Partition, err error) {
-	var m *paging.Missed
-	if errors.As(err, &m) {
-		r.log.Info("page of the backlog not read", "topic", p.Topic, "after", m.After, "took_ms", m.Took.Milliseconds(),
-			"patience_ms", m.Patience.Milliseconds(), "pause_ms", m.Pause.Milliseconds(), "error", m.Err)
+	var missed *paging.Missed
+	if errors.As(err, &missed) {
+		r.log.Info("page of the backlog not read", "topic", p.Topic, "after", missed.After, "took_ms", missed.Took.Milliseconds(),
+			"patience_ms", missed.Patience.Milliseconds(), "pause_ms", missed.Pause.Milliseconds(), "error", missed.Err)
 	}
 }
 
-// readTail reads the records written since the load began, at most once per tailReadInterval.
+// readTail reads the next records of the tail, at most once per tailReadInterval. It returns an error only if
+// they have expired, so that the load has to start over.
 func (r *Replica) readTail(ctx context.Context, p platform.Partition, l *partitionLoad) error {
 	if time.Since(l.tailReadAt) < tailReadInterval {
 		return nil
@@ -83,19 +87,19 @@
 	return nil
 }
 
-// currentLoad returns the partition's unfinished load, or a new one.
+// currentLoad returns a partition's unfinished load, or starts one.
 func (r *Replica) currentLoad(p platform.Partition) *partitionLoad {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.partitions[p]
-	if t.loading == nil {
-		t.loading = &partitionLoad{pages: paging.New(r.store, p, pageLimits, r.memberID)}
+	ps := r.partitions[p]
+	if ps.loading == nil {
+		ps.loading = &partitionLoad{pages: paging.New(r.store, p, pageLimits, r.memberID)}
 	}
-	return t.loading
+	return ps.loading
 }
 
-// restartLoad makes the next load begin with the first page: the store no longer has all records written
-// since the first one.
+// restartLoad discards a partition's unfinished load, so that the next one begins with the first page. It is
+// called when the store no longer has all records of the tail.
 func (r *Replica) restartLoad(p platform.Partition) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/backlog/load_test.go
+++ b/internal/backlog/load_test.go
@@ -17,8 +17,8 @@
 
 const (
 	startupProcesses = 88 // processes that start at once
-	// The state is 1.4 MB, at a store that sends 8 MB a second. All processes together need 15 s to read it,
-	// and a page takes 1.5 s while each process requests one.
+	// The results have 1.4 MB, and the store sends 8 MB a second. All processes together need 15 s to read the
+	// results, and a page takes 1.5 s while each process requests one.
 	startupResults   = 70
 	startupTextBytes = 20_000
 	startupReadRate  = 8e6
@@ -27,7 +27,7 @@
 	historyRetention = 20 * time.Second
 )
 
-// writeTestResults writes n results of one job, the first at position from.
+// writeTestResults writes n results of job j, of startupTextBytes each, the first at position from.
 func writeTestResults(t *testing.T, v *keyedlog.View, from, n int) {
 	t.Helper()
 	for i := from; i < from+n; i++ {
@@ -43,10 +43,10 @@
 	}
 }
 
-// All processes of a large deployment must load the backlog after a simultaneous start. 88 processes each
-// read all results, 8 MB, from a store that sends 80 MB a second to all of them together, so a page of 1 MB
-// takes 1.5 s. If a load abandons each page after a fixed 1.2 s and begins with the first one again, it never
-// ends, and each request for results is answered with 503, as was seen half a minute after the start.
+// All processes of a large fleet must load the backlog after a simultaneous start. 88 processes each read all
+// results, 8 MB, from a store that sends 80 MB a second to all of them together, so a page of 1 MB takes
+// 1.5 s. If a load abandons each page after a fixed 1.2 s and begins with the first page again, it never ends:
+// half a minute after the start, each request for results was still answered with 503.
 func TestSimultaneousStartsLoadBacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := keyedlog.New(1)
@@ -67,20 +67,21 @@
 				}
 			}()
 		}
-		var last time.Duration
+		var lastLoad time.Duration
 		timeout := sleep.NewTimer(2 * startupMinTime)
 		defer timeout.Stop()
 		for i := range startupProcesses {
 			select {
-			case last = <-loaded:
+			case lastLoad = <-loaded:
 			case <-timeout.C:
-				t.Fatalf("%d of %d processes have loaded the backlog after %v; the store can send it to all within %v", i, startupProcesses, 2*startupMinTime, startupMinTime)
+				t.Fatalf("%d processes have loaded the backlog, want all %d within %v; the store can send it to all within %v", i, startupProcesses, 2*startupMinTime, startupMinTime)
 			}
 		}
-		t.Logf("all processes loaded after %v; the store needs %v", last, startupMinTime)
+		t.Logf("all processes loaded after %v; the store needs %v", lastLoad, startupMinTime)
 	})
 }
 
+// After a failed page a load must resume after the last page that it has read, not with the first one.
 func TestLoadResumesAfterLastPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := keyedlog.New(1)
@@ -92,17 +93,17 @@
 			failures++
 		}
 		if failures != 2 || len(pages.After) != 5 || pages.After[2] == "" || pages.After[3] <= pages.After[2] {
-			t.Errorf("%d failures, pages after %q", failures, pages.After)
+			t.Errorf("the load had %d failures and requested the pages after keys %q, want 2 failures and 5 requests, the 3rd after some key and the 4th after a later one", failures, pages.After)
 		}
 		r.withState(func(s *backlog.State) {
 			if n := s.Listed("j"); n != 20 {
-				t.Errorf("%d results", n)
+				t.Errorf("%d results are listed after the load, want 20", n)
 			}
 		})
 	})
 }
 
-// Records written during a load that takes longer than the store keeps its history must not be missed.
+// A load that takes longer than the store keeps its history must not miss records that are written meanwhile.
 func TestLoadReadsRecordsWrittenMeanwhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := keyedlog.New(1)
@@ -110,7 +111,7 @@
 		writeTestResults(t, store.View(), 0, old)
 		store.LimitReads(old * startupTextBytes / (2 * historyRetention.Seconds()))
 		go func() {
-			// The job's key precedes those that are being read.
+			// The keys of this job's results precede those that are being read.
 			for i := range added {
 				time.Sleep(historyRetention / added)
 				records, err := backlog.EncodeResult(&backlog.Result{Job: "a", Position: i, Item: fmt.Sprint(i), Outcome: backlog.Complete})
@@ -128,7 +129,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
 			for ctx.Err() == nil {
-				_ = r.readOnce(ctx, resultPartition) // retried
+				_ = r.readOnce(ctx, resultPartition) // the error is ignored: the next call continues the load
 			}
 		}()
 		began := time.Now()
@@ -137,13 +138,13 @@
 				break
 			}
 			if time.Since(began) > 4*historyRetention {
-				t.Fatal("not loaded")
+				t.Fatal("the partition is not loaded after four times the retention of the history, want it loaded")
 			}
 			time.Sleep(time.Second)
 		}
 		r.withState(func(s *backlog.State) {
-			if j, a := s.Listed("j"), s.Listed("a"); j != old || a != added {
-				t.Errorf("%d of %d old results, %d of %d results written meanwhile", j, old, a, added)
+			if oldRead, addedRead := s.Listed("j"), s.Listed("a"); oldRead != old || addedRead != added {
+				t.Errorf("%d results from before the load are listed, want %d; %d results written meanwhile, want %d", oldRead, old, addedRead, added)
 			}
 		})
 		cancel()
@@ -151,10 +152,10 @@
 	})
 }
 
-// noPeers is the peer count of a single process.
+// noPeers is the function peerCount of a Replica without other processes.
 func noPeers() int { return 0 }
 
-// countingReader counts the reads of a process that follows a partition.
+// countingReader counts the calls of Read of a store.
 type countingReader struct {
 	platform.Store
 	calls atomic.Int64
@@ -165,26 +166,26 @@
 	return c.Store.Read(ctx, r)
 }
 
-// The number of calls to the store, each of which has a cost, must grow more slowly than the number of idle
-// processes. 26 results are listed per second, and each process reads once there is one and its pause is
-// over; with a constant pause the calls grow with the number of processes. Eleven times as many processes may
-// make at most six times as many calls.
+// The number of reads from the store, each of which has a cost, must grow more slowly than the number of idle
+// processes. 26 results are written per second, and each process reads as soon as there is one and its pause
+// is over; with a constant pause the reads would grow with the number of processes. Eleven times as many
+// processes may make at most six times as many reads.
 func TestReadRatePerProcessFallsWithFleetSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		few, many := readsOfFollower(t, 8), readsOfFollower(t, 88)
-		if 88*many > 6*8*few {
-			t.Errorf("8 processes make %d calls each, 88 make %d", few, many)
+		readsAmong8, readsAmong88 := readsOfFollower(t, 8), readsOfFollower(t, 88)
+		if 88*readsAmong88 > 6*8*readsAmong8 {
+			t.Errorf("8 processes make %d reads each and 88 make %d each, want at most 6 times as many in total", readsAmong8, readsAmong88)
 		}
 	})
 }
 
-// readsOfFollower returns the number of reads that one of that many processes makes in the ten seconds in
-// which results are listed.
+// readsOfFollower returns the number of reads that one of that many processes makes while 260 results are
+// written in ten seconds.
 func readsOfFollower(t *testing.T, processes int) int64 {
 	t.Helper()
 	const (
-		listEvery = time.Second / 26
-		listed    = 260
+		writeInterval = time.Second / 26
+		written       = 260
 	)
 	store := keyedlog.New(1)
 	reads := &countingReader{Store: store.View()}
@@ -196,16 +197,16 @@
 			t.Error(err)
 		}
 	}()
-	for i := range listed {
+	for i := range written {
 		writeTestResults(t, store.View(), i, 1)
-		time.Sleep(listEvery)
+		time.Sleep(writeInterval)
 	}
 	time.Sleep(maxExtraReadPause + resultReadPause)
 	synctest.Wait()
-	listedHere := 0
-	r.withState(func(st *backlog.State) { listedHere = st.Listed("j") })
-	if listedHere != listed {
-		t.Errorf("%d of %d results are known %v after the last was listed", listedHere, listed, maxExtraReadPause+resultReadPause)
+	listed := 0
+	r.withState(func(st *backlog.State) { listed = st.Listed("j") })
+	if listed != written {
+		t.Errorf("%d results are listed, want all %d within %v of the last write", listed, written, maxExtraReadPause+resultReadPause)
 	}
 	return reads.calls.Load()
 }
--- a/internal/backlog/logger_test.go
+++ b/internal/backlog/logger_test.go
@@ -6,6 +6,7 @@
 	"github.com/hashicorp/go-hclog"
 )
 
+// testLogger returns a logger that discards its lines, unless the environment variable BACKLOG_LOG is set.
 func testLogger(name string) hclog.Logger {
 	if os.Getenv("BACKLOG_LOG") == "" {
 		return hclog.NewNullLogger()
--- a/internal/backlog/manager.go
+++ b/internal/backlog/manager.go
@@ -21,55 +21,61 @@
 	"arbutusramp/internal/logging"
 )
 
-// Router looks up the route of an item in the current configuration.
+// Router looks up routes in the current configuration.
 type Router interface {
+	// Route returns the route of requests to a host and URI, with its limits. Errors: errs.NotFound if there is
+	// none.
 	Route(host, uri string) (*serving.Route, serving.Limits, error)
 }
 
-// Quarantine blocks items that have crashed targets.
+// Quarantine decides from the runs of items which contents crash targets, and blocks items with such a content.
 type Quarantine interface {
-	// Check returns an error of type errs.Quarantined if an item must not be sent to a target.
+	// Check returns an error of type errs.Quarantined if items with the content must not be sent to a target.
 	Check(c *quarantine.Content) error
-	// IsSuspect reports that an item may crash targets like others of its resource or job.
+	// IsSuspect reports whether the content may crash targets because others of its resource or job have.
 	IsSuspect(c *quarantine.Content) bool
-	// AdmitRequest is Check for an item that is about to be sent.
+	// AdmitRequest is called right before an item is sent. It returns an error like Check if the item must not be
+	// sent.
 	AdmitRequest(c *quarantine.Content) error
-	// BrokenOff records a run that a target has broken off.
+	// BrokenOff records a run that its target has broken off, or whose connection was lost.
 	BrokenOff(b quarantine.Broken)
-	// Interrupted records a run that this process has ended. Its target may still have crashed because of it.
+	// Interrupted records a run that this process has cancelled. Its target may still have crashed because of it.
 	Interrupted(b quarantine.Broken)
-	// FellSilent records a run that this process has ended because its target sent nothing for too long.
+	// FellSilent records a run that this process has cancelled because its target sent nothing for too long.
 	FellSilent(b quarantine.Broken)
-	// Passed records that a run has passed; see quarantine.PassTime.
+	// Passed records that a run has gone on for quarantine.PassTime after its first event: the content does not
+	// crash targets at the start of a run.
 	Passed(c *quarantine.Content)
-	// Served records that a target has served a request completely.
+	// Served records that a target has sent the whole output for the content.
 	Served(c *quarantine.Content)
 }
 
 // Options are the settings of a Manager.
 type Options struct {
-	// Member identifies this start of this process among the members of the group; it must never be reused.
+	// Member identifies this start of this process among the members of the group that owns the shards. It must
+	// never be reused.
 	Member string
-	// Shards is the number of partitions that the store assigns for each topic.
+	// Shards is the number of shards into which jobs are divided: the number of partitions of each of the store's
+	// topics.
 	Shards int
-	// MinTTL is the shortest time after which the store removes a silent member.
+	// MinTTL is the shortest time without a call after which the store may remove a member from the group.
 	MinTTL time.Duration
-	// SpreadBytes is how many bytes all processes together may read of a text that is stored in the record of
-	// its result. Longer texts are stored separately.
+	// SpreadBytes bounds the length of a text that is stored in the record of its result: all processes together
+	// read at most that many bytes of it. Longer texts are stored separately.
 	SpreadBytes int
 	// Keep is the minimum time for which a job stays readable after its submission.
 	Keep time.Duration
 	// Off holds the mechanisms that are switched off.
 	Off policy.Off
-	// Quarantine is asked before each run of an item.
+	// Quarantine decides before each run of an item whether it may be sent.
 	Quarantine Quarantine
-	// Rank returns how many other processes precede this one as owners of shards, if that is known; nil means
-	// none.
+	// Rank returns how many other processes precede this one as members of the group; isKnown is false while
+	// that can't be determined. If Rank is nil, every process is a member.
 	Rank func() (rank int, isKnown bool)
 }
 
-// Manager runs batch jobs. Lock order: scheduler or shard, replica, task, fleet view. None of the earlier
-// locks is taken while a later one is held.
+// Manager accepts, runs and returns batch jobs in one process. Use New to create one. Lock order: scheduler or
+// shard, replica, task, fleet view; no lock is taken while one that follows it in this list is held.
 type Manager struct {
 	opts      Options
 	store     platform.Store
@@ -85,15 +91,16 @@
 	textStore *textStore
 	scheduler *scheduler
 	runTimes  *backlog.Pace
-	// isMember reports that the store may assign shards to this process.
+	// isMember is set while this process is a member of the group among which the store divides the shards.
 	isMember atomic.Bool
-	// pendingSaves counts the unfinished writes of progress; saveCtx cancels them when the process stops.
+	// pendingSaves counts the unfinished background writes of progress. They use saveCtx, which stopSaving
+	// cancels.
 	pendingSaves sync.WaitGroup
 	saveCtx      context.Context
 	stopSaving   context.CancelFunc
 }
 
-// New returns a manager with an empty state.
+// New returns a manager that has not read anything from the store. Call Run to start it.
 func New(o Options, store platform.Store, targets platform.TargetCaller, view *fleetview.View, router Router, log hclog.Logger, reg metrics.Registry) *Manager {
 	m := &Manager{
 		opts: o, store: store, targets: targets, view: view, router: router, log: log, registry: reg, runTimes: backlog.NewPace(),
@@ -107,8 +114,9 @@
 	return m
 }
 
-// Loaded reports whether the jobs have been read, so that new ones can be accepted. The results are many
-// times as large; until they are loaded, their readers get an error that asks them to retry.
+// Loaded reports whether all jobs have been read from the store, so that new ones can be accepted. The
+// results are many times as large; until they have been read, calls of Results return an error that asks for
+// a retry.
 func (m *Manager) Loaded() bool {
 	_, isLoaded := m.replica.nextOffset(jobPartition)
 	return isLoaded
@@ -116,21 +124,21 @@
 
 // Counts is a snapshot of a manager's load.
 type Counts struct {
-	Items   int // unfinished items of its shards
-	Running int
-	Shards  int
-	JobsAge time.Duration // age of its state of jobs and cancellations
+	Items   int           // unfinished items of the shards that the process owns
+	Running int           // those of the items that have an active run
+	Shards  int           // shards that the process owns
+	JobsAge time.Duration // maximum age of the process's state of jobs and cancellations
 }
 
-// Counts returns the current counts.
+// Counts returns the manager's current load.
 func (m *Manager) Counts() Counts {
 	c := m.scheduler.counts()
 	c.JobsAge = m.replica.stateAge(jobPartition)
 	return c
 }
 
-// Run follows the store, maintains the group membership and runs items until ctx ends. Then it hands its
-// items over.
+// Run reads new records from the store, maintains the group membership and runs items until ctx ends. Then it
+// writes the progress of its items and releases its shards. It must be called once.
 func (m *Manager) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return m.replica.follow(ctx, jobPartition) })
@@ -142,14 +150,15 @@
 	return g.Wait()
 }
 
-// shardOf returns the shard of a job.
+// shardOf returns the index of the shard to which a job belongs.
 func (m *Manager) shardOf(job string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(job)) // Write of a hash never fails
 	return int(h.Sum32() % uint32(m.opts.Shards))
 }
 
-// countOutcome counts the outcome of a call.
+// countOutcome counts a call that returned err. The counter has the given name, followed by a dot and "done"
+// or the type of err.
 func (m *Manager) countOutcome(name string, err error) {
 	outcome := "done"
 	if err != nil {
--- a/internal/backlog/members_test.go
+++ b/internal/backlog/members_test.go
@@ -13,7 +13,7 @@
 	"arbutusramp/core/serving"
 )
 
-// countingStore counts the calls of one process.
+// countingStore counts the join and read calls of one process.
 type countingStore struct {
 	platform.Store
 	mu           sync.Mutex
@@ -34,7 +34,7 @@
 	return s.Store.Read(ctx, r)
 }
 
-// takeCounts returns the counts since the last call.
+// takeCounts returns the numbers of calls since it was last called.
 func (s *countingStore) takeCounts() (joins, reads int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,8 +43,8 @@
 	return joins, reads
 }
 
-// largeCluster has more processes than are needed as members. Each process ranks after the live ones before
-// it.
+// largeCluster is a cluster with more processes than are needed as members of the group that owns the shards.
+// The rank of a process is the number of live processes that were started before it.
 type largeCluster struct {
 	*cluster
 	mu       sync.Mutex
@@ -53,134 +53,140 @@
 }
 
 const (
-	largeClusterSize = 24
-	memberCount      = joinRanksPerShard * testShards
+	largeClusterSize = 24                             // number of processes
+	memberCount      = joinRanksPerShard * testShards // number of processes that join
 )
 
-func withLargeCluster(t *testing.T, f func(m *largeCluster)) {
+// withLargeCluster runs f in virtual time with a large cluster, after the shards have been divided among the
+// members.
+func withLargeCluster(t *testing.T, f func(lc *largeCluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t, 0)
-		m := &largeCluster{cluster: w, isKilled: make(map[int]bool)}
-		w.wrapStore = func(s platform.Store) platform.Store {
+		cl := newCluster(t, 0)
+		lc := &largeCluster{cluster: cl, isKilled: make(map[int]bool)}
+		cl.wrapStore = func(s platform.Store) platform.Store {
 			c := &countingStore{Store: s}
-			m.stores = append(m.stores, c)
+			lc.stores = append(lc.stores, c)
 			return c
 		}
-		w.rank = m.rank
-		w.startNodes(largeClusterSize)
-		defer w.stopAll()
+		cl.rank = lc.rank
+		cl.startNodes(largeClusterSize)
+		defer cl.stopAll()
 		time.Sleep(3 * time.Second)
-		f(m)
+		f(lc)
 	})
 }
 
-func (m *largeCluster) rank(n *node) (rank int, isKnown bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.nodesMu.Lock()
-	defer m.nodesMu.Unlock()
-	for i, other := range m.nodes {
+// rank returns the rank of a process; see largeCluster.
+func (lc *largeCluster) rank(n *node) (rank int, isKnown bool) {
+	lc.mu.Lock()
+	defer lc.mu.Unlock()
+	lc.nodesMu.Lock()
+	defer lc.nodesMu.Unlock()
+	for i, other := range lc.nodes {
 		if other == n {
 			break
 		}
-		if !m.isKilled[i] {
+		if !lc.isKilled[i] {
 			rank++
 		}
 	}
 	return rank, true
 }
 
-func (m *largeCluster) kill(index int) {
-	m.mu.Lock()
-	m.isKilled[index] = true
-	m.mu.Unlock()
-	m.nodes[index].kill()
+// kill kills the process of that index and no longer counts it in ranks.
+func (lc *largeCluster) kill(index int) {
+	lc.mu.Lock()
+	lc.isKilled[index] = true
+	lc.mu.Unlock()
+	lc.nodes[index].kill()
 }
 
-// Processes without shards must not make calls to the store that grow with the fleet.
+// Processes that are not members must not join, and must read rarely. Otherwise the calls to the store grow
+// with the fleet.
 func TestNonMembersCallStoreRarely(t *testing.T) {
-	withLargeCluster(t, func(m *largeCluster) {
+	withLargeCluster(t, func(lc *largeCluster) {
 		const seconds = 20
-		for _, c := range m.stores {
+		for _, c := range lc.stores {
 			c.takeCounts()
 		}
 		for i := range seconds {
-			m.nodes[i%largeClusterSize].submit(m.job(fmt.Sprint("job-", i), "ok"))
+			lc.nodes[i%largeClusterSize].submit(lc.job(fmt.Sprint("job-", i), "ok"))
 			time.Sleep(time.Second)
 		}
-		for i, c := range m.stores {
+		for i, c := range lc.stores {
 			joins, reads := c.takeCounts()
 			if isMember := i < memberCount; isMember != (joins > 0) {
-				t.Errorf("process %d joined %d times", i, joins)
+				t.Errorf("process %d made %d join calls, want at least 1 of processes 0 to 7 and 0 of the others", i, joins)
 			}
-			if most := 2*seconds/int(idleReadInterval.Seconds()) + 4; i >= memberCount && reads > most {
-				t.Errorf("process %d made %d reads in %d s, want %d at most", i, reads, seconds, most)
+			if maxReads := 2*seconds/int(idleReadInterval.Seconds()) + 4; i >= memberCount && reads > maxReads {
+				t.Errorf("process %d made %d reads in %d s, want %d at most", i, reads, seconds, maxReads)
 			}
 		}
 	})
 }
 
-// Processes that do not follow the store must still find a job, its results and its cancellation.
+// Processes that are not members, and so read rarely, must still return the results of a job that was accepted
+// elsewhere, accept it again and determine that a job does not exist.
 func TestAnyProcessAnswersForAnyJob(t *testing.T) {
-	withLargeCluster(t, func(m *largeCluster) {
-		last := m.nodes[largeClusterSize-1]
-		j := m.job("job", repeat("ok", 6)...)
-		last.submit(j)
-		for _, n := range []*node{m.nodes[largeClusterSize-2], m.nodes[0], last} {
+	withLargeCluster(t, func(lc *largeCluster) {
+		lastNode := lc.nodes[largeClusterSize-1]
+		j := lc.job("job", repeat("ok", 6)...)
+		lastNode.submit(j)
+		for _, n := range []*node{lc.nodes[largeClusterSize-2], lc.nodes[0], lastNode} {
 			list := n.results(j, 20*time.Second)
 			if len(list) != len(j.Items) {
-				t.Fatalf("%s: %d results", n.name, len(list))
+				t.Fatalf("process %s returned %d results, want one for each of the 6 items", n.name, len(list))
 			}
-			m.checkResults(j, list)
+			lc.checkResults(j, list)
 		}
-		again := m.nodes[largeClusterSize-3]
-		again.submit(j)
-		if list := again.results(j, time.Second); len(list) != len(j.Items) {
-			t.Errorf("%d results after the job was resubmitted", len(list))
+		otherNode := lc.nodes[largeClusterSize-3]
+		otherNode.submit(j)
+		if list := otherNode.results(j, time.Second); len(list) != len(j.Items) {
+			t.Errorf("%d results were returned after the job was resubmitted, want one for each of the 6 items", len(list))
 		}
-		if err := m.nodes[largeClusterSize-4].manager.End(context.Background(), serving.Caller{}, "none"); !errs.Is(err, errs.NotFound) {
-			t.Errorf("a job that does not exist: %v", err)
+		if err := lc.nodes[largeClusterSize-4].manager.End(context.Background(), serving.Caller{}, "none"); !errs.Is(err, errs.NotFound) {
+			t.Errorf("cancellation of a job that does not exist: error is %v, want errs.NotFound", err)
 		}
 	})
 }
 
-// Shards must not stay without an owner after the loss of all members at once.
+// After the loss of all members at once, other processes must join and own the shards.
 func TestNonMembersTakeOverAfterLossOfAllMembers(t *testing.T) {
-	withLargeCluster(t, func(m *largeCluster) {
-		last := m.nodes[largeClusterSize-1]
-		j := m.job("job", repeat("ok", 6)...)
-		last.submit(j)
+	withLargeCluster(t, func(lc *largeCluster) {
+		lastNode := lc.nodes[largeClusterSize-1]
+		j := lc.job("job", repeat("ok", 6)...)
+		lastNode.submit(j)
 		for i := range memberCount {
-			m.kill(i)
+			lc.kill(i)
 		}
-		if list := last.results(j, 20*time.Second); len(list) != len(j.Items) {
-			t.Errorf("%d of %d results", len(list), len(j.Items))
+		if list := lastNode.results(j, 20*time.Second); len(list) != len(j.Items) {
+			t.Errorf("%d results were returned after the loss of all members, want %d", len(list), len(j.Items))
 		}
 	})
 }
 
-// A state must not count as current if its answer was delayed on the network or the process waited for the
-// CPU.
+// The time of a state must not be that at which the store's answer arrived: the answer may have been delayed
+// on the network, or the process may have waited for the CPU.
 func TestStateAgeCountsFromRequest(t *testing.T) {
-	const late = time.Second
+	const lateAnswer = time.Second
 	synctest.Test(t, func(t *testing.T) {
 		for name, c := range map[string]struct {
 			wait, took time.Duration
 			records    int
-			want       time.Duration // after the request
+			want       time.Duration // time from the request to the time of the state
 		}{
-			"an immediate answer":            {0, 0, 0, 0},
-			"late":                           {0, late, 0, 0},
-			"no new records within the wait": {600 * time.Millisecond, 600 * time.Millisecond, 0, 600 * time.Millisecond},
-			"no new records, late":           {600 * time.Millisecond, late, 0, 600 * time.Millisecond},
-			"no new records, early":          {600 * time.Millisecond, 100 * time.Millisecond, 0, 0},
-			"new records, late":              {600 * time.Millisecond, late, 1, 0},
+			"an immediate answer to a read without a wait":         {0, 0, 0, 0},
+			"a late answer to a read without a wait":               {0, lateAnswer, 0, 0},
+			"an answer without records after the wait":             {600 * time.Millisecond, 600 * time.Millisecond, 0, 600 * time.Millisecond},
+			"a late answer without records":                        {600 * time.Millisecond, lateAnswer, 0, 600 * time.Millisecond},
+			"an answer without records before the end of the wait": {600 * time.Millisecond, 100 * time.Millisecond, 0, 0},
+			"a late answer with records":                           {600 * time.Millisecond, lateAnswer, 1, 0},
 		} {
 			requestedAt := time.Now()
 			time.Sleep(c.took)
 			got := provenCurrentAt(requestedAt, c.wait, platform.Records{Records: make([]platform.StoredRecord, c.records)})
 			if got.Sub(requestedAt) != c.want {
-				t.Errorf("%s: proven %v after the request, want %v", name, got.Sub(requestedAt), c.want)
+				t.Errorf("%s: the state is proven current %v after the request, want %v", name, got.Sub(requestedAt), c.want)
 			}
 		}
 	})
--- a/internal/backlog/membership.go
+++ b/internal/backlog/membership.go
@@ -9,41 +9,45 @@
 	"arbutusramp/internal/dependency"
 )
 
-// The store's group among whose members the shards are distributed. Its topic holds no records.
+// The store divides the partitions of shardTopic among the members of shardGroup. Each partition stands for a
+// shard and holds no records.
 const (
 	shardGroup = "backlog"
 	shardTopic = "shards"
 )
 
 const (
-	// joinsPerTTL is the number of join calls of a member within the time after which the store removes a
-	// silent member.
+	// joinsPerTTL is the number of join calls that a member makes within its TTL, the time after which the store
+	// removes a member that has not called.
 	joinsPerTTL = 3
-	// memberTTLFactor makes a member's TTL longer than the shortest that the store allows, so that one late
-	// call does not move all its shards.
+	// memberTTLFactor is the ratio of a member's TTL to the shortest that the store allows. It exceeds 1 so that
+	// one late call does not move all shards of a member.
 	memberTTLFactor = 1.5
-	// rejoinDelay is the pause after a failed call of the store. The sooner all members are back after an
-	// outage, the fewer shards move.
+	// rejoinDelay is the pause after a failed join call. The sooner all members are back after an outage of the
+	// store, the fewer shards move.
 	rejoinDelay = 150 * time.Millisecond
-	// rejoinGracePeriod is the time after the end of an outage within which the last members rejoin: a call
-	// that the store does not answer is abandoned after 1.2 s and repeated rejoinDelay later.
+	// rejoinGracePeriod is the time after the end of an outage of the store within which the last members rejoin:
+	// a call that the store does not answer is abandoned after 1.2 s and repeated rejoinDelay later.
 	rejoinGracePeriod = 1500 * time.Millisecond
-	// leaveTimeout bounds how long a process takes to leave the group.
+	// leaveTimeout bounds the time for which a process that leaves the group writes progress and results.
 	leaveTimeout = 700 * time.Millisecond
 )
 
-// Members of the group call the store several times a second. Of many processes only those of the lowest
-// ranks are members: one owner per shard, and as many more that can take over at once.
+// Members of the group call the store several times a second, so in a large fleet only some processes are
+// members: those of the lowest ranks. The rank of a process is the number of processes that precede it; see
+// Options.Rank.
 const (
+	// joinRanksPerShard is the number of ranks per shard that join: one for its owner and one for a process that
+	// can take over at once.
 	joinRanksPerShard = 2
-	// leaveRanksPerShard is larger than joinRanksPerShard, so that members without shards do not leave and
-	// rejoin whenever other processes start or stop.
+	// leaveRanksPerShard is the number of ranks per shard at which a member without shards leaves. It is larger
+	// than joinRanksPerShard, so that such members do not leave and rejoin whenever other processes start or stop.
 	leaveRanksPerShard = 3
-	// rankPollInterval is how often a process outside the group checks whether it should join.
+	// rankPollInterval is the interval at which a process outside the group checks whether it should join.
 	rankPollInterval = 250 * time.Millisecond
 )
 
-// shouldJoin reports whether this process should be a member.
+// shouldJoin reports whether this process, which is no member of the group, should join it.
 func (m *Manager) shouldJoin() bool {
 	if m.opts.Rank == nil {
 		return true
@@ -52,7 +56,7 @@
 	return isKnown && rank < joinRanksPerShard*m.opts.Shards
 }
 
-// canLeave reports whether this member is no longer needed.
+// canLeave reports whether this process, a member with that number of shards, is not needed in the group.
 func (m *Manager) canLeave(shards int) bool {
 	if m.opts.Rank == nil || shards > 0 {
 		return false
@@ -61,7 +65,7 @@
 	return rank >= leaveRanksPerShard*m.opts.Shards
 }
 
-// maintainMembership keeps this process a member of the group while it should be one, until ctx ends.
+// maintainMembership joins the group whenever this process should be a member, until ctx ends.
 func (m *Manager) maintainMembership(ctx context.Context) error {
 	defer m.stopSaving() // nothing is written after the process has left
 	for ctx.Err() == nil {
@@ -74,8 +78,8 @@
 	return nil
 }
 
-// runAsMember acquires and releases shards as the store assigns them, until processCtx ends or the process is
-// no longer needed as a member.
+// runAsMember joins the group and starts and stops shards as the store assigns them, until processCtx ends or
+// the process is no longer needed as a member. Then it leaves the group.
 func (m *Manager) runAsMember(processCtx context.Context) {
 	ctx, endMembership := context.WithCancel(processCtx)
 	defer endMembership()
@@ -109,9 +113,9 @@
 	m.leaveGroup(shards, processCtx.Err() != nil)
 }
 
-// applyAssignment starts newly assigned shards and stops those that are no longer assigned. They are stopped
-// before the next join call, which reports them to the store as free. The items of new shards start once
-// formerOwnersDoneAt has passed.
+// applyAssignment starts newly assigned shards and stops those that are no longer assigned; shards holds
+// those that this process runs, by index. Shards are stopped before the next join call, which reports them to
+// the store as free. The items of new shards start once formerOwnersDoneAt has passed.
 func (m *Manager) applyAssignment(ctx context.Context, shards map[int]*shard, assignment platform.Assignment, formerOwnersDoneAt time.Time) {
 	isAssigned := make(map[int]bool, len(assignment.Held))
 	for _, p := range assignment.Held {
@@ -126,8 +130,8 @@
 	}
 	for i := range isAssigned {
 		if s, ok := shards[i]; ok {
-			// Restarted in the same epoch, the shard would reuse sequence numbers, and the store would answer
-			// its writes as repeats without doing them.
+			// A fenced shard restarts only in a later epoch. In the same one it would reuse sequence numbers, and
+			// the store would acknowledge its writes as repeats without doing them.
 			if !s.isFenced() || assignment.Generation <= s.epoch {
 				continue
 			}
@@ -139,7 +143,7 @@
 }
 
 // leaveGroup writes the progress and results of all shards, then leaves the group so that the store may
-// reassign the shards. If isStopping is set, it cancels running items first.
+// reassign the shards. isStopping means that the process stops; then it cancels all runs first.
 func (m *Manager) leaveGroup(shards map[int]*shard, isStopping bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
--- a/internal/backlog/order.go
+++ b/internal/backlog/order.go
@@ -15,11 +15,12 @@
 	key  int64 // see backlog.StartKey
 }
 
-// sortTasks returns tasks in start order. Tasks with the same key are ordered by job id and then by index.
-func (d *scheduler) sortTasks(tasks []*task, now time.Time) []orderedTask {
+// sortTasks returns the tasks in the order in which they should start. Tasks with the same key are ordered by
+// job id and then by index.
+func (sc *scheduler) sortTasks(tasks []*task, now time.Time) []orderedTask {
 	list := make([]orderedTask, len(tasks))
 	for i, t := range tasks {
-		list[i] = orderedTask{t, d.startKey(t, now)}
+		list[i] = orderedTask{t, sc.startKey(t, now)}
 	}
 	slices.SortFunc(list, func(a, b orderedTask) int {
 		return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.task.job.ID, b.task.job.ID), cmp.Compare(a.task.index, b.task.index))
@@ -27,9 +28,11 @@
 	return list
 }
 
-func (d *scheduler) startKey(t *task, now time.Time) int64 {
-	if !d.m.opts.Off.Allows(policy.InTimeFirst) {
+// startKey returns a task's sort key in the start order, lowest first. With policy.InTimeFirst switched off,
+// the key depends only on the due time and the rank.
+func (sc *scheduler) startKey(t *task, now time.Time) int64 {
+	if !sc.m.opts.Off.Allows(policy.InTimeFirst) {
 		return backlog.StartKey(time.UnixMilli(0), t.due(), 0, t.job.Rank)
 	}
-	return backlog.StartKey(now, t.due(), d.m.runTimes.Left(t.job.Route, t.item().Tokens, t.eventCount()), t.job.Rank)
+	return backlog.StartKey(now, t.due(), sc.m.runTimes.Left(t.job.Route, t.item().Tokens, t.eventCount()), t.job.Rank)
 }
--- a/internal/backlog/order_test.go
+++ b/internal/backlog/order_test.go
@@ -8,9 +8,9 @@
 	"arbutusramp/core/backlog"
 )
 
-// Under overload, items that can still meet their due times must start first. If items start by due time
-// alone, those that are due first end late, and the next ones become late meanwhile: less than half of the
-// items were in time although the engines had enough slots for two thirds.
+// Under overload, items that can still meet their due times must start first. If items start in the order of
+// their due times alone, those that are due first end late, and the next ones become late meanwhile: less
+// than half of the items were in time, although the engines had enough slots for two thirds.
 func TestItemsThatCanMeetDueTimeStartFirst(t *testing.T) {
 	const tokens, events = 1000, 300
 	m := &Manager{runTimes: backlog.NewPace()}
@@ -19,9 +19,9 @@
 		m.runTimes.Done("r", events, tokens)
 	}
 	now := time.UnixMilli(100_000)
-	taskDue := func(id string, dueIn time.Duration, made int) *task {
+	taskDue := func(id string, dueIn time.Duration, eventsDone int) *task {
 		j := &backlog.Job{ID: id, Route: "r", Submitted: now.UnixMilli(), Due: dueIn, Items: []backlog.Item{{ID: "i", Tokens: tokens}}}
-		return &task{job: j, events: made}
+		return &task{job: j, events: eventsDone}
 	}
 	tasks := []*task{
 		taskDue("late", time.Second, 0),
@@ -31,14 +31,15 @@
 		taskDue("in-time", 5*time.Second, 0),
 	}
 	var got []string
-	for _, r := range (&scheduler{m: m}).sortTasks(tasks, now) {
-		got = append(got, r.task.job.ID)
+	for _, ordered := range (&scheduler{m: m}).sortTasks(tasks, now) {
+		got = append(got, ordered.task.job.ID)
 	}
 	if want := []string{"half-done", "in-time", "last", "over", "late"}; !slices.Equal(got, want) {
-		t.Errorf("order %v, want %v", got, want)
+		t.Errorf("start order is %v, want %v", got, want)
 	}
 }
 
+// Without an estimate of the run time, items must start in the order of their due times.
 func TestOrderByDueTimeWithoutEstimates(t *testing.T) {
 	m := &Manager{runTimes: backlog.NewPace()}
 	now := time.UnixMilli(100_000)
@@ -50,14 +51,14 @@
 	ordered := (&scheduler{m: m}).sortTasks(tasks, now)
 	for i, want := range []time.Duration{1, 2, 3} {
 		if ordered[i].task.job.Due != want*time.Second {
-			t.Errorf("place %d has a due time of %v", i, ordered[i].task.job.Due)
+			t.Errorf("the item at place %d from 0 is due within %v, want items due within 1 s, 2 s and 3 s in this order", i, ordered[i].task.job.Due)
 		}
 	}
 }
 
-// Items of an urgent route must precede those of a less urgent one that are due sooner, which due times alone
-// do not ensure. Work that is late anyway gains nothing by its rank.
-func TestMoreUrgentRoutesStartFirst(t *testing.T) {
+// Items of a more urgent rank must precede those of a less urgent one, even if these are due sooner. Items
+// that can no longer meet their due times come last, whatever their rank.
+func TestMoreUrgentRanksStartFirst(t *testing.T) {
 	m := &Manager{runTimes: backlog.NewPace()}
 	now := time.UnixMilli(100_000)
 	taskDue := func(id string, dueIn time.Duration, rank int) *task {
@@ -71,10 +72,10 @@
 		taskDue("soon-1", time.Second, 1),
 	}
 	var got []string
-	for _, r := range (&scheduler{m: m}).sortTasks(tasks, now) {
-		got = append(got, r.task.job.ID)
+	for _, ordered := range (&scheduler{m: m}).sortTasks(tasks, now) {
+		got = append(got, ordered.task.job.ID)
 	}
 	if want := []string{"soon-1", "day-1", "soon-2", "soon-100", "late"}; !slices.Equal(got, want) {
-		t.Errorf("order %v, want %v", got, want)
+		t.Errorf("start order is %v, want %v", got, want)
 	}
 }
--- a/internal/backlog/progress.go
+++ b/internal/backlog/progress.go
@@ -10,19 +10,20 @@
 	"arbutusramp/core/sleep"
 )
 
-// progressSaveTimeout bounds the retries of a write of progress: an outage of the store lasts some seconds,
-// and after a longer one the next owner has redone the work.
+// progressSaveTimeout bounds the retries of a background write of progress. An outage of the store lasts some
+// seconds; after a longer one the next owner has run the items again.
 const progressSaveTimeout = 8 * time.Second
 
 const (
-	// checkpointInterval is how often running items are checked for a due checkpoint.
+	// checkpointInterval is the interval at which the items are checked for a due checkpoint, a write of their
+	// progress.
 	checkpointInterval = 500 * time.Millisecond
 	// checkpointEvents is the number of events of an item between two checkpoints: 1.5 s of its run at 15 ms
 	// per event. Each checkpoint writes the item's whole text so far, once, and only the next owner reads it.
 	checkpointEvents = 100
 )
 
-// saveProgress writes the progress of tasks in the background, so that another process can resume them.
+// saveProgress writes the progress of released tasks in the background, so that the next owner can resume them.
 func (m *Manager) saveProgress(tasks []*task) {
 	var records []platform.KeyedRecord
 	for _, t := range tasks {
@@ -31,7 +32,7 @@
 	m.saveRecords(records)
 }
 
-// saveRecords writes records of progress in the background. It retries for up to progressSaveTimeout.
+// saveRecords writes progress records in the background. It retries for up to progressSaveTimeout.
 func (m *Manager) saveRecords(records []platform.KeyedRecord) {
 	if len(records) == 0 {
 		return
@@ -45,8 +46,8 @@
 	}()
 }
 
-// saveFailure writes that a run of a task has failed, so that the next owner counts the attempt. If the write
-// is lost, the item gets one attempt more.
+// saveFailure writes a task's progress after a failed run, so that the next owner counts the failure. If the
+// write is lost, the item gets one attempt more.
 func (m *Manager) saveFailure(t *task) {
 	if t.hasOutcome() {
 		return
@@ -56,8 +57,8 @@
 	m.saveRecords(saved)
 }
 
-// writeCheckpoints periodically writes the progress of running items, so that the loss of this process costs
-// no more than checkpointEvents of each, and deletes obsolete checkpoints.
+// writeCheckpoints periodically writes the due checkpoints and the tombstones of obsolete progress until ctx
+// ends. If this process is lost, the next owner repeats about checkpointEvents events of each item at most.
 func (m *Manager) writeCheckpoints(ctx context.Context) error {
 	for sleep.For(ctx, checkpointInterval) {
 		m.writeProgress(ctx, m.scheduler.dueCheckpoints())
@@ -65,14 +66,14 @@
 	return nil
 }
 
-// awaitSaves waits until all progress is written or ctx ends.
+// awaitSaves waits until the background writes of progress are finished or ctx ends.
 func (m *Manager) awaitSaves(ctx context.Context) {
 	if !waitFor(ctx, &m.pendingSaves) {
 		m.log.Warn("progress of items was not handed over in time")
 	}
 }
 
-// waitFor waits for a group. It returns false if ctx ends first.
+// waitFor waits until the counter of g is zero. It returns false if ctx ends first.
 func waitFor(ctx context.Context, g *sync.WaitGroup) bool {
 	done := make(chan struct{})
 	go func() {
@@ -96,6 +97,7 @@
 	return m.encodeProgress(t, p)
 }
 
+// encodeProgress returns the records of progress of a task. It logs an encoding error and returns nil.
 func (m *Manager) encodeProgress(t *task, p *backlog.Progress) []platform.KeyedRecord {
 	records, err := backlog.EncodeProgress(p, t.shard.index, t.index)
 	if err != nil {
@@ -105,8 +107,8 @@
 	return records
 }
 
-// writeProgress appends records in as few calls as possible. The write is idempotent, so a call with a lost
-// answer is repeated.
+// writeProgress writes progress records and tombstones to the store in as few calls as possible. It repeats
+// failed calls until ctx ends; that is safe after a lost answer, since a repeated write has no effect.
 func (m *Manager) writeProgress(ctx context.Context, records []platform.KeyedRecord) {
 	for len(records) > 0 {
 		n := recordsPerAppend(records)
@@ -122,7 +124,7 @@
 	}
 }
 
-// recordsPerAppend returns how many of the records fit into one append; at least one.
+// recordsPerAppend returns how many leading records fit into one append, at least one.
 func recordsPerAppend(records []platform.KeyedRecord) int {
 	size := 0
 	for i, r := range records {
--- a/internal/backlog/quarantine_test.go
+++ b/internal/backlog/quarantine_test.go
@@ -12,39 +12,39 @@
 	"arbutusramp/core/serving"
 )
 
-// An item must not be run again and again if a target ends under each run, and must not be given up before
-// its job allows that.
+// An item under whose runs targets crash must not be run again and again. It must not be given up before the
+// retention time of its job either.
 func TestItemThatCrashesTargetsIsDelayedThenGivenUp(t *testing.T) {
-	withCluster(t, 1, func(t *testing.T, w *cluster) {
-		n := w.nodes[0]
-		j := w.job("j", "crash", "ok")
+	withCluster(t, 1, func(t *testing.T, cl *cluster) {
+		n := cl.nodes[0]
+		j := cl.job("j", "crash", "ok")
 		j.Items[0].Body = []byte("another content")
 		n.submit(j)
-		time.Sleep(w.route.Retain)
-		if runs := w.targets.runCount(j.Items[0].ID); runs < 3 || runs > 6 {
-			t.Errorf("%d runs, want 3 to 6", runs)
+		time.Sleep(cl.route.Retain)
+		if runs := cl.targets.runCount(j.Items[0].ID); runs < 3 || runs > 6 {
+			t.Errorf("the item under which targets crash was run %d times, want 3 to 6", runs)
 		}
 		if list := n.results(j, time.Second); len(list) != 1 || list[0].Outcome != backlog.Complete {
-			t.Errorf("results %+v, want only that of the other item", list)
+			t.Errorf("results before the retention time are %+v, want only the complete one of the other item", list)
 		}
 		time.Sleep(maxClockSkew)
-		w.checkResults(j, n.results(j, 10*time.Second))
+		cl.checkResults(j, n.results(j, 10*time.Second))
 	})
 }
 
-// A crash of a target must count against an item whose run was preempted because the target had broken off
-// others.
+// A crash of a target must count against the item that causes it, even if the item's run was cancelled
+// because other runs of the target had been broken off before.
 func TestCrashCountsAgainstPreemptedItem(t *testing.T) {
-	withCluster(t, 1, func(t *testing.T, w *cluster) {
-		n := w.nodes[0]
-		others := w.job("others", repeat("okay", 20)...)
+	withCluster(t, 1, func(t *testing.T, cl *cluster) {
+		n := cl.nodes[0]
+		others := cl.job("others", repeat("okay", 20)...)
 		n.submit(others)
 		time.Sleep(500 * time.Millisecond)
-		j := w.job("j", "doom")
+		j := cl.job("j", "doom")
 		n.submit(j)
-		w.checkResults(others, n.results(others, 30*time.Second))
-		if crashes := w.targets.crashCount(); crashes < 3 || crashes > 6 {
-			t.Errorf("%d crashes, want 3 to 6", crashes)
+		cl.checkResults(others, n.results(others, 30*time.Second))
+		if crashes := cl.targets.crashCount(); crashes < 3 || crashes > 6 {
+			t.Errorf("%d targets crashed under the item, want 3 to 6", crashes)
 		}
 	})
 }
@@ -66,29 +66,29 @@
 	})
 }
 
-// The loss of targets that fell silent before an item was sent to them, with their connections open, must not
-// count against the item.
+// The loss of targets must not count against an item if they had stopped sending, with their connections
+// open, before the item was sent to them.
 func TestTargetSilentBeforeItemDoesNotCount(t *testing.T) {
-	withCluster(t, 1, func(t *testing.T, w *cluster) {
-		n := w.nodes[0]
+	withCluster(t, 1, func(t *testing.T, cl *cluster) {
+		n := cl.nodes[0]
 		for i := range 3 {
-			w.targets.hang(fmt.Sprintf("target-%d", i))
+			cl.targets.hang(fmt.Sprintf("target-%d", i))
 		}
-		j := w.job("j", "ok")
+		j := cl.job("j", "ok")
 		n.submit(j)
 		time.Sleep(4 * time.Second)
 		for i := range 3 {
-			w.replaceTarget(fmt.Sprintf("target-%d", i), i)
+			cl.replaceTarget(fmt.Sprintf("target-%d", i), i)
 		}
-		w.checkResults(j, n.results(j, 20*time.Second))
+		cl.checkResults(j, n.results(j, 20*time.Second))
 	})
 }
 
-// An item must not stay blocked for good if its content is served after all.
+// A quarantined item must not stay blocked once a target has served its content.
 func TestItemResumesWhenContentIsCleared(t *testing.T) {
-	withCluster(t, 1, func(t *testing.T, w *cluster) {
-		n := w.nodes[0]
-		j := w.job("j", "ok")
+	withCluster(t, 1, func(t *testing.T, cl *cluster) {
+		n := cl.nodes[0]
+		j := cl.job("j", "ok")
 		content := contentOf(j, 0)
 		for i := range 3 {
 			n.quarantine.BrokenOff(brokenRunAt(content, fmt.Sprintf("gone-%d", i)))
@@ -96,34 +96,35 @@
 		}
 		n.submit(j)
 		time.Sleep(5 * time.Second)
-		if runs := w.targets.runCount(j.Items[0].ID); runs != 0 {
-			t.Errorf("%d runs of a quarantined item", runs)
+		if runs := cl.targets.runCount(j.Items[0].ID); runs != 0 {
+			t.Errorf("the quarantined item was run %d times, want 0", runs)
 		}
 		n.quarantine.Served(content)
-		w.checkResults(j, n.results(j, 10*time.Second))
+		cl.checkResults(j, n.results(j, 10*time.Second))
 	})
 }
 
-// An item that is part of many jobs must not stay blocked for good after targets were lost together under it.
+// An item must not be quarantined after several targets were lost at the same time while they ran its
+// content, as when many jobs contain the same item.
 func TestItemWithSimultaneousTargetLossesIsTried(t *testing.T) {
-	withCluster(t, 1, func(t *testing.T, w *cluster) {
-		n := w.nodes[0]
-		j := w.job("j", "ok", "ok", "ok")
+	withCluster(t, 1, func(t *testing.T, cl *cluster) {
+		n := cl.nodes[0]
+		j := cl.job("j", "ok", "ok", "ok")
 		content := contentOf(j, 0)
 		for i := range 3 {
 			n.quarantine.BrokenOff(brokenRunAt(content, fmt.Sprintf("gone-%d", i)))
 		}
 		n.submit(j)
-		w.checkResults(j, n.results(j, 10*time.Second))
+		cl.checkResults(j, n.results(j, 10*time.Second))
 	})
 }
 
-// An item must not be blamed for crashes that another one causes beside it: its runs are broken off whenever
-// a target ends.
+// Crashes that another item causes must not count against an item that runs at the same targets: its runs are
+// broken off whenever a target ends, but make progress between.
 func TestItemInterruptedByOthersCompletes(t *testing.T) {
-	withCluster(t, 1, func(t *testing.T, w *cluster) {
-		n := w.nodes[0]
-		j := w.job("j", "okay")
+	withCluster(t, 1, func(t *testing.T, cl *cluster) {
+		n := cl.nodes[0]
+		j := cl.job("j", "okay")
 		n.submit(j)
 		content := contentOf(j, 0)
 		for i := range 10 {
@@ -133,11 +134,12 @@
 			}
 			n.quarantine.BrokenOff(run)
 		}
-		w.checkResults(j, n.results(j, 20*time.Second))
+		cl.checkResults(j, n.results(j, 20*time.Second))
 	})
 }
 
-// brokenRunAt returns a run without events that the restart of a target has broken off.
+// brokenRunAt returns the quarantine's description of a run of 100 ms without events that was broken off by
+// the restart of a target.
 func brokenRunAt(c *quarantine.Content, target string) quarantine.Broken {
 	return quarantine.Broken{Content: c, Target: serving.Target{ID: target}, Began: time.Now().Add(-100 * time.Millisecond), HasCrashed: true, Err: errors.New("the target has restarted")}
 }
--- a/internal/backlog/random_test.go
+++ b/internal/backlog/random_test.go
@@ -22,14 +22,15 @@
 )
 
 const (
-	randomNodes  = 4
-	randomSteps  = 40
-	stepInterval = 700 * time.Millisecond
+	randomNodes  = 4                      // number of processes at a time
+	randomSteps  = 40                     // number of steps of a random run
+	stepInterval = 700 * time.Millisecond // time between two steps
 )
 
-// Processes start and stop, and the store refuses some of them, loses answers, delays writes, discards its
-// history and reassigns shards, while jobs are submitted, read and cancelled. Afterwards every accepted job
-// that was not cancelled has each item exactly once, complete, and at the position where it was read before.
+// No accepted job may be lost or get a result twice, whatever faults occur. Processes start and stop, and the
+// store rejects calls, loses answers, delays writes, discards its history and reassigns shards, while jobs
+// are submitted, read and cancelled. Afterwards every accepted job that was not cancelled must have each item
+// exactly once, complete, and at the position where it was read before.
 func TestRandomFaultsLoseAndDuplicateNothing(t *testing.T) {
 	for seed := *randomSeed; seed < *randomSeed+uint64(*randomSeeds); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -38,37 +39,40 @@
 	}
 }
 
-// The same, with owners whose writes are delayed.
+// The guarantees of TestRandomFaultsLoseAndDuplicateNothing must also hold if the writes of owners are
+// delayed until after their replacement.
 func TestRandomFaultsWithLateWrites(t *testing.T) {
 	for seed := *randomSeed; seed < *randomSeed+uint64(*randomSeeds); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFaultRun(t, seed)
-				w.hasLateWrites = true
-				w.run()
+				fr := newFaultRun(t, seed)
+				fr.hasLateWrites = true
+				fr.run()
 			})
 		})
 	}
 }
 
-// The same, with processes that follow the backlog only on request: two of the live ones may own shards.
+// The guarantees of TestRandomFaultsLoseAndDuplicateNothing must also hold if only two of the live processes
+// are members of the group that owns the shards, and the others read from the store only on request.
 func TestRandomFaultsWithFewMembers(t *testing.T) {
 	for seed := *randomSeed; seed < *randomSeed+uint64(*randomSeeds); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFaultRun(t, seed)
-				w.rank = w.rankAmongLive
-				w.run()
+				fr := newFaultRun(t, seed)
+				fr.rank = fr.rankAmongLive
+				fr.run()
 			})
 		})
 	}
 }
 
-// rankAmongLive ranks a process after the live ones that started before it. Two of them have ranks that join.
-func (w *faultRun) rankAmongLive(n *node) (rank int, isKnown bool) {
-	w.nodesMu.Lock()
-	defer w.nodesMu.Unlock()
-	for _, other := range w.nodes {
+// rankAmongLive is cluster.rank. It grows with the number of live processes that were started before a
+// process, so that exactly the first two join.
+func (fr *faultRun) rankAmongLive(n *node) (rank int, isKnown bool) {
+	fr.nodesMu.Lock()
+	defer fr.nodesMu.Unlock()
+	for _, other := range fr.nodes {
 		if other == n {
 			break
 		}
@@ -77,222 +81,239 @@
 	return rank, true
 }
 
-// faultRun is one random run.
+// faultRun is one run of a cluster under random faults.
 type faultRun struct {
 	*cluster
 	rng           *rand.Rand
 	accepted      []*backlog.Job
-	refused       map[string]bool // jobs whose submission was answered as not run
-	cancelled     map[string]bool
-	cancelAckedAt map[string]time.Time        // when a cancellation was acknowledged, by job
-	resultsRead   map[string][]backlog.Result // the longest list read so far, by job
-	startCount    int
-	// hasLateWrites adds owners whose writes are done seconds later, when others own their shards.
+	rejected      map[string]bool             // ids of jobs that were rejected as not run
+	cancelled     map[string]bool             // ids of jobs that were or may have been cancelled
+	cancelAckedAt map[string]time.Time        // time of the first acknowledged cancellation, by job id
+	resultsRead   map[string][]backlog.Result // the longest list of results read so far, by job id
+	startCount    int                         // number of processes started as replacements
+	// hasLateWrites makes some steps delay the writes of owners until other processes own their shards.
 	hasLateWrites bool
 }
 
-// randomKeep is longer than a random run, which reads its first jobs at its end.
-const randomKeep = time.Hour
+// randomKeepFor is the time for which jobs stay readable. It is longer than a random run, which reads its first
+// jobs at its end.
+const randomKeepFor = time.Hour
 
-// inlineAll stores all texts in the records of their results. Every second run uses it.
+// inlineAll is a value of Options.SpreadBytes with which all texts are stored in the records of their results.
 const inlineAll = 1 << 30
 
+// newFaultRun returns a random run without processes. Runs of an even seed store all texts in the records of
+// their results, the others store them separately.
 func newFaultRun(t *testing.T, seed uint64) *faultRun {
-	w := &faultRun{
+	fr := &faultRun{
 		cluster: newCluster(t, 0), rng: rand.New(rand.NewPCG(seed, 1)),
-		refused: make(map[string]bool), cancelled: make(map[string]bool), cancelAckedAt: make(map[string]time.Time), resultsRead: make(map[string][]backlog.Result),
+		rejected: make(map[string]bool), cancelled: make(map[string]bool), cancelAckedAt: make(map[string]time.Time), resultsRead: make(map[string][]backlog.Result),
 	}
-	w.keepFor = randomKeep
+	fr.keepFor = randomKeepFor
 	if seed%2 == 0 {
-		w.inlineBytes = inlineAll
+		fr.maxInlineReadBytes = inlineAll
 	}
-	return w
+	return fr
 }
 
-func (w *faultRun) run() {
-	w.startNodes(randomNodes)
+// run runs the random steps, removes all faults and checks the guarantees at a new process.
+func (fr *faultRun) run() {
+	fr.startNodes(randomNodes)
 	time.Sleep(2 * time.Second)
 	for i := range randomSteps {
-		w.randomStep(i)
+		fr.randomStep(i)
 		time.Sleep(stepInterval)
 	}
-	for _, n := range w.nodes {
+	for _, n := range fr.nodes {
 		n.view.Set(keyedlog.Faults{})
 	}
 	time.Sleep(3 * time.Second)
-	last := w.start("last")
+	newNode := fr.start("last")
 	time.Sleep(3 * time.Second)
-	for _, j := range w.accepted {
-		if w.cancelled[j.ID] {
-			w.compareWithEarlierRead(j, last)
+	for _, j := range fr.accepted {
+		if fr.cancelled[j.ID] {
+			fr.compareWithEarlierRead(j, newNode)
 			continue
 		}
-		list := last.results(j, 30*time.Second)
-		w.checkResults(j, list)
-		w.compareWithEarlierRead(j, last)
+		list := newNode.results(j, 30*time.Second)
+		fr.checkResults(j, list)
+		fr.compareWithEarlierRead(j, newNode)
 	}
-	for _, j := range w.accepted {
-		w.checkAttempts(j)
-		w.checkCancellation(j)
+	for _, j := range fr.accepted {
+		fr.checkAttempts(j)
+		fr.checkCancellation(j)
 	}
-	for id := range w.refused {
-		if _, err := last.manager.Results(context.Background(), serving.Caller{}, id, 0, 0); !errs.Is(err, errs.NotFound) {
-			w.reportFailure("job %s was refused at its only attempt and exists: %v", id, err)
+	for id := range fr.rejected {
+		if _, err := newNode.manager.Results(context.Background(), serving.Caller{}, id, 0, 0); !errs.Is(err, errs.NotFound) {
+			fr.reportFailure("results of job %s, which was rejected as not run: error is %v, want errs.NotFound", id, err)
 		}
 	}
-	w.stopAll()
+	fr.stopAll()
 }
 
-// maxOwners is how many owners may have to find out independently that an item fails: an owner whose writes
-// are late, or that the store refuses, can't pass its count on.
+// maxOwners is the maximum number of owners that count the failures of an item independently. An owner whose
+// writes are late or rejected can't store its count for the next one.
 const maxOwners = 3
 
-// checkAttempts expects that no failing item has run more often than its attempts at maxOwners owners.
-func (w *faultRun) checkAttempts(j *backlog.Job) {
+// checkAttempts reports a failure if an item of kind "fail" was run more than maxOwners times Job.Attempts,
+// or one of kind "never" more than maxOwners times.
+func (fr *faultRun) checkAttempts(j *backlog.Job) {
 	for _, item := range j.Items {
-		runs := w.targets.runCount(item.ID)
+		runs := fr.targets.runCount(item.ID)
 		if strings.HasPrefix(item.ID, "fail") && runs > maxOwners*j.Attempts {
-			w.reportFailure("job %s: item %s, which always fails, was run %d times", j.ID, item.ID, runs)
+			fr.reportFailure("job %s: item %s, which always fails, was run %d times, want at most maxOwners times Job.Attempts", j.ID, item.ID, runs)
 		}
 		if strings.HasPrefix(item.ID, "never") && runs > maxOwners {
-			w.reportFailure("job %s: item %s, which no target can process, was run %d times", j.ID, item.ID, runs)
+			fr.reportFailure("job %s: item %s, which no target can process, was run %d times, want at most maxOwners", j.ID, item.ID, runs)
 		}
 	}
 }
 
-// checkCancellation expects that nothing of a job starts once its cancellation is known everywhere. A process
-// that the store refuses continues for as long as its state counts as current.
-func (w *faultRun) checkCancellation(j *backlog.Job) {
-	acked, ok := w.cancelAckedAt[j.ID]
-	if last := w.targets.lastStartOf(j); ok && last.After(acked.Add(maxCancelAge+longPollWait)) {
-		w.reportFailure("job %s: an item started %v after the cancellation was acknowledged", j.ID, last.Sub(acked))
+// checkCancellation reports a failure if an item of a job was started after all processes must have read or
+// assumed its cancellation: a process whose calls the store rejects starts items until its state is older
+// than maxCancelAge.
+func (fr *faultRun) checkCancellation(j *backlog.Job) {
+	ackedAt, ok := fr.cancelAckedAt[j.ID]
+	if last := fr.targets.lastStartOf(j); ok && last.After(ackedAt.Add(maxCancelAge+longPollWait)) {
+		fr.reportFailure("job %s: an item started %v after the cancellation was acknowledged, want at most maxCancelAge and longPollWait", j.ID, last.Sub(ackedAt))
 	}
 }
 
-func (w *faultRun) any() *node { return w.nodes[w.rng.IntN(len(w.nodes))] }
+// any returns a random one of the running processes.
+func (fr *faultRun) any() *node { return fr.nodes[fr.rng.IntN(len(fr.nodes))] }
 
-func (w *faultRun) randomStep(i int) {
-	if w.hasLateWrites && w.rng.IntN(3) == 0 {
-		w.delayWrites(i)
+// randomStep submits or cancels a job, replaces a process, or causes or ends faults, at random. Then it reads a
+// random job. i is the number of the step.
+func (fr *faultRun) randomStep(i int) {
+	if fr.hasLateWrites && fr.rng.IntN(3) == 0 {
+		fr.delayWrites(i)
 	}
-	switch w.rng.IntN(10) {
+	switch fr.rng.IntN(10) {
 	case 0, 1, 2, 3:
-		w.submitRandomJob(i)
+		fr.submitRandomJob(i)
 	case 4:
-		w.replaceNode(w.rng.IntN(len(w.nodes)), w.rng.IntN(2) == 0)
+		fr.replaceNode(fr.rng.IntN(len(fr.nodes)), fr.rng.IntN(2) == 0)
 	case 5:
-		w.any().view.Set(w.randomFaults())
+		fr.any().view.Set(fr.randomFaults())
 	case 6:
-		for _, n := range w.nodes {
+		for _, n := range fr.nodes {
 			n.view.Set(keyedlog.Faults{})
 		}
 	case 7:
-		w.store.Rebalance()
+		fr.store.Rebalance()
 	case 8:
-		w.store.Forget()
+		fr.store.Forget()
 	case 9:
-		w.cancelRandomJob()
+		fr.cancelRandomJob()
 	}
-	w.readRandomJob()
+	fr.readRandomJob()
 }
 
-// lateJobs is the number of jobs that are submitted before a process's writes are delayed: their items end
-// during the delay.
+// lateJobs is the number of jobs that are submitted before the writes of a process are delayed, so that items
+// end during the delay.
 const lateJobs = 4
 
-// delayWrites delays a process's writes until after its shards have been reassigned.
-func (w *faultRun) delayWrites(step int) {
+// delayWrites submits jobs, delays the writes of a random process by 2 s and has all shards reassigned
+// meanwhile.
+func (fr *faultRun) delayWrites(step int) {
 	for i := range lateJobs {
-		w.submitRandomJob(randomSteps*(1+step) + i)
+		fr.submitRandomJob(randomSteps*(1+step) + i)
 	}
-	w.any().view.Set(keyedlog.Faults{Late: 2 * time.Second})
+	fr.any().view.Set(keyedlog.Faults{Late: 2 * time.Second})
 	time.Sleep(stepInterval)
-	w.store.Rebalance()
+	fr.store.Rebalance()
 }
 
-func (w *faultRun) randomFaults() keyedlog.Faults {
+// randomFaults returns random faults of the connection of a process to the store.
+func (fr *faultRun) randomFaults() keyedlog.Faults {
 	return []keyedlog.Faults{
 		{Refuse: true}, {Silent: true}, {LoseAnswers: true},
-		{Late: time.Duration(1+w.rng.IntN(5)) * time.Second}, {Delay: 250 * time.Millisecond},
-	}[w.rng.IntN(5)]
+		{Late: time.Duration(1+fr.rng.IntN(5)) * time.Second}, {Delay: 250 * time.Millisecond},
+	}[fr.rng.IntN(5)]
 }
 
-func (w *faultRun) submitRandomJob(i int) {
+// submitRandomJob submits a job with up to 8 items of random kinds to a random process. i distinguishes the
+// jobs.
+func (fr *faultRun) submitRandomJob(i int) {
 	kinds := []string{"ok", "ok", "ok", "ok", "never", "fail"}
-	var items []string
-	for range 1 + w.rng.IntN(8) {
-		items = append(items, kinds[w.rng.IntN(len(kinds))])
+	var itemKinds []string
+	for range 1 + fr.rng.IntN(8) {
+		itemKinds = append(itemKinds, kinds[fr.rng.IntN(len(kinds))])
 	}
-	j := w.job(fmt.Sprintf("j%d", i), items...)
-	err := w.any().manager.Submit(context.Background(), w.route, j)
+	j := fr.job(fmt.Sprintf("j%d", i), itemKinds...)
+	err := fr.any().manager.Submit(context.Background(), fr.route, j)
 	switch {
 	case err == nil:
-		w.accepted = append(w.accepted, j)
+		fr.accepted = append(fr.accepted, j)
 	case errs.As(err).Ran == errs.RanNo:
-		w.refused[j.ID] = true
+		fr.rejected[j.ID] = true
 	}
 }
 
-// replaceNode ends a process, as planned or at once, and starts another.
-func (w *faultRun) replaceNode(i int, isPlanned bool) {
-	n := w.nodes[i]
+// replaceNode stops (isPlanned) or kills the process of index i and starts another.
+func (fr *faultRun) replaceNode(i int, isPlanned bool) {
+	n := fr.nodes[i]
 	if isPlanned {
 		n.stop()
 	} else {
 		n.kill()
 	}
-	w.nodesMu.Lock()
-	w.nodes = append(w.nodes[:i], w.nodes[i+1:]...)
-	w.nodesMu.Unlock()
-	w.startCount++
-	w.start(fmt.Sprintf("again-%d", w.startCount))
+	fr.nodesMu.Lock()
+	fr.nodes = append(fr.nodes[:i], fr.nodes[i+1:]...)
+	fr.nodesMu.Unlock()
+	fr.startCount++
+	fr.start(fmt.Sprintf("again-%d", fr.startCount))
 }
 
-func (w *faultRun) cancelRandomJob() {
-	if len(w.accepted) == 0 {
+// cancelRandomJob cancels a random accepted job at a random process.
+func (fr *faultRun) cancelRandomJob() {
+	if len(fr.accepted) == 0 {
 		return
 	}
-	j := w.accepted[w.rng.IntN(len(w.accepted))]
-	w.cancelled[j.ID] = true // without an answer the cancellation may still have been stored
-	err := w.any().manager.End(context.Background(), serving.Caller{}, j.ID)
-	if _, before := w.cancelAckedAt[j.ID]; err == nil && !before {
-		w.cancelAckedAt[j.ID] = time.Now()
+	j := fr.accepted[fr.rng.IntN(len(fr.accepted))]
+	fr.cancelled[j.ID] = true // even if the call fails, the cancellation may have been stored
+	err := fr.any().manager.End(context.Background(), serving.Caller{}, j.ID)
+	if _, isAcked := fr.cancelAckedAt[j.ID]; err == nil && !isAcked {
+		fr.cancelAckedAt[j.ID] = time.Now()
 	}
 	if err != nil && errs.Is(err, errs.NotFound) {
-		w.reportFailure("accepted job %s can't be cancelled: %v", j.ID, err)
+		fr.reportFailure("cancellation of the accepted job %s: error is %v, want any but errs.NotFound", j.ID, err)
 	}
 }
 
-// readRandomJob reads a random job at a random process.
-func (w *faultRun) readRandomJob() {
-	if len(w.accepted) == 0 {
+// readRandomJob reads the results of a random accepted job from a random process and compares them with
+// earlier ones.
+func (fr *faultRun) readRandomJob() {
+	if len(fr.accepted) == 0 {
 		return
 	}
-	w.compareWithEarlierRead(w.accepted[w.rng.IntN(len(w.accepted))], w.any())
+	fr.compareWithEarlierRead(fr.accepted[fr.rng.IntN(len(fr.accepted))], fr.any())
 }
 
-// compareWithEarlierRead reads a job from its start and expects the results that were read before.
-func (w *faultRun) compareWithEarlierRead(j *backlog.Job, n *node) {
+// compareWithEarlierRead reads the results of an accepted job from a process. It reports a failure if the job
+// is not found, if a position shows another item or outcome than before, or if an item that must fail is
+// complete.
+func (fr *faultRun) compareWithEarlierRead(j *backlog.Job, n *node) {
 	page, err := n.manager.Results(context.Background(), serving.Caller{}, j.ID, 0, 0)
 	if errs.Is(err, errs.LogDown) {
 		return
 	}
 	if err != nil {
-		w.reportFailure("accepted job %s at %s: %v", j.ID, n.name, err)
+		fr.reportFailure("results of the accepted job %s at process %s: error is %v, want none or errs.LogDown", j.ID, n.name, err)
 		return
 	}
-	before := w.resultsRead[j.ID]
-	for i := range min(len(before), len(page.Results)) {
-		if before[i].Item != page.Results[i].Item || before[i].Outcome != page.Results[i].Outcome {
-			w.reportFailure("job %s: position %d was %s and is %s", j.ID, i, before[i].Item, page.Results[i].Item)
+	earlier := fr.resultsRead[j.ID]
+	for i := range min(len(earlier), len(page.Results)) {
+		if earlier[i].Item != page.Results[i].Item || earlier[i].Outcome != page.Results[i].Outcome {
+			fr.reportFailure("job %s: position %d was read with item %s and now has item %s, want the same item and outcome", j.ID, i, earlier[i].Item, page.Results[i].Item)
 		}
 	}
-	if len(page.Results) > len(before) {
-		w.resultsRead[j.ID] = page.Results
+	if len(page.Results) > len(earlier) {
+		fr.resultsRead[j.ID] = page.Results
 	}
 	for _, r := range page.Results {
 		if r.Outcome == backlog.Complete && !strings.HasPrefix(r.Item, "ok") {
-			w.reportFailure("job %s: item %s is complete", j.ID, r.Item)
+			fr.reportFailure("job %s: item %s is complete, want errored", j.ID, r.Item)
 		}
 	}
 }
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -12,18 +12,20 @@
 )
 
 const (
-	// maxAnswerAge is the maximum age of the state for an answer that something does not exist. Callers
-	// expect to see what another process has shown them a second ago.
+	// maxAnswerAge is the maximum age of the state from which this process answers that a job has no further
+	// results, or rejects a job that exceeds a limit. Callers expect to see what another process has returned to
+	// them a second ago.
 	maxAnswerAge = 800 * time.Millisecond
-	// refreshTimeout bounds the reads that refresh the state.
+	// refreshTimeout bounds the reads from the store that an answer to a caller waits for.
 	refreshTimeout = 700 * time.Millisecond
-	// maxPageBytes is how much text a page of results may hold beyond its first result.
+	// maxPageBytes is the maximum size of the texts of a page of results; the first result may be larger.
 	maxPageBytes = 900 << 10
-	// uncertainRetryDelay is the retry delay of an answer that could not be determined.
+	// uncertainRetryDelay is the retry delay that a caller receives if the answer can't be determined.
 	uncertainRetryDelay = 300 * time.Millisecond
 )
 
-// refresh reads both partitions up to the end that they had when it was called.
+// refresh reads the partitions of jobs and results up to the ends that they had when it was called. Errors:
+// errs.LogDown.
 func (m *Manager) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
@@ -36,14 +38,15 @@
 	return nil
 }
 
-// uncertainError is the error of a process that can't determine the answer.
+// uncertainError returns the error for a call whose answer can't be determined because reading the store
+// failed with err. Its type is errs.LogDown.
 func uncertainError(err error) error {
 	return errs.Newf(errs.LogDown, "can't determine the answer: %v", err).WithRan(errs.RanNo).WithRetry(uncertainRetryDelay)
 }
 
-// ensureJobExists checks that a job exists, and refreshes the state before it returns an error that it does
-// not. Errors: errs.NotFound, errs.Unauthenticated (a caller without a key may not learn which jobs exist),
-// errs.LogDown.
+// ensureJobExists returns nil if the job with the scoped id exists. It refreshes the state before it returns
+// that the job does not. Errors: errs.NotFound, errs.Unauthenticated (instead of errs.NotFound, for a caller
+// without a key), errs.LogDown.
 func (m *Manager) ensureJobExists(ctx context.Context, caller serving.Caller, id string) error {
 	isKnown := func() (ok bool) {
 		m.replica.withState(func(st *backlog.State) { _, ok = st.Job(id) })
@@ -64,9 +67,9 @@
 	return errs.Newf(errs.NotFound, "batch job %q does not exist", id)
 }
 
-// Results returns the results of the caller's job from a position on. If there are none it waits for one, at
-// most for the given time. Errors: errs.NotFound, errs.Unauthenticated, errs.LogDown (this process can't
-// determine that there are none).
+// Results returns a page of the results of the caller's job that begins at position after. If there is no
+// result there yet, it waits for one, at most for the given time. Errors: errs.NotFound,
+// errs.Unauthenticated, errs.LogDown (this process can't read the results now).
 func (m *Manager) Results(ctx context.Context, caller serving.Caller, id string, after int, wait time.Duration) (backlog.Page, error) {
 	id = backlog.ScopedID(caller.Workspace, id)
 	if err := m.ensureJobExists(ctx, caller, id); err != nil {
@@ -91,8 +94,8 @@
 	}
 }
 
-// catchUpIfStale reads the new records of a partition that this process does not follow. What is already
-// known stays valid without them, so a failure is only logged.
+// catchUpIfStale reads the new records of a partition if this process does not follow it and its state is
+// older than maxAnswerAge. Records that were read before stay valid, so a failure is only logged.
 func (m *Manager) catchUpIfStale(ctx context.Context, p platform.Partition) {
 	if m.isMember.Load() || m.replica.stateAge(p) <= maxAnswerAge {
 		return
@@ -104,7 +107,8 @@
 	}
 }
 
-// currentPage returns the page at a position, which may be empty, from a state no older than maxAnswerAge.
+// currentPage returns the page of a job's results that begins at position after, from a state no older than
+// maxAnswerAge. The page may be empty.
 func (m *Manager) currentPage(ctx context.Context, id string, after int) (backlog.Page, error) {
 	if m.replica.stateAge(resultPartition) > maxAnswerAge {
 		if err := m.refresh(ctx); err != nil {
@@ -116,7 +120,7 @@
 	return m.fillTexts(ctx, page)
 }
 
-// fillTexts adds the separately stored texts to a page. Errors: errs.LogDown.
+// fillTexts reads the separately stored texts of a page's results and adds them. Errors: errs.LogDown.
 func (m *Manager) fillTexts(ctx context.Context, page backlog.Page) (backlog.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
@@ -126,8 +130,8 @@
 	return page, nil
 }
 
-// ItemBody returns the body of an item of the caller's job. Errors: errs.NotFound, errs.Unauthenticated,
-// errs.LogDown.
+// ItemBody returns the request body of an item of the caller's job. Errors: errs.NotFound,
+// errs.Unauthenticated, errs.LogDown.
 func (m *Manager) ItemBody(ctx context.Context, caller serving.Caller, id, item string) ([]byte, error) {
 	id = backlog.ScopedID(caller.Workspace, id)
 	if err := m.ensureJobExists(ctx, caller, id); err != nil {
--- a/internal/backlog/replica.go
+++ b/internal/backlog/replica.go
@@ -1,6 +1,7 @@
-// Package backlog runs batch jobs: it accepts them, distributes them among the gateways, runs their items and
-// serves their results. An answer is given only once the record behind it is in the platform's store; every
-// process builds the same state from the store's records.
+// Package backlog runs batch jobs on the gateways: it accepts jobs from callers, divides them among the
+// processes, runs their items at targets and returns their results. Each gateway runs one Manager. Jobs,
+// results and progress are records in the platform's store, from which every process builds the same state; a
+// caller gets an answer only once the record behind it has been stored.
 package backlog
 
 import (
@@ -20,71 +21,81 @@
 	"arbutusramp/internal/dependency"
 )
 
-// Partitions in the store. Jobs and cancellations are written by any process, jobs on the condition that
-// nothing was written in between. Results are written by the owners of shards, fenced by their epochs.
-// Progress is written by any process that has run an item.
+// Partitions in the store.
 var (
-	jobPartition    = platform.Partition{Topic: "keyed.jobs"}
+	// jobPartition holds jobs and their cancellations, which any process writes. A job is written on the
+	// condition that its writer has read all earlier records of the partition.
+	jobPartition = platform.Partition{Topic: "keyed.jobs"}
+	// resultPartition holds results. Only the owner of a job's shard writes them; the store rejects a write
+	// with an older epoch than that of the newest owner.
 	resultPartition = platform.Partition{Topic: "keyed.results"}
 	// textPartition holds texts that are stored separately from their results. It is read only when a caller
 	// asks for a text.
 	textPartition = platform.Partition{Topic: "keyed.texts"}
-	// progressPartition is read only by processes that take over a shard.
+	// progressPartition holds the progress of items, which any process that has run an item writes. It is read
+	// only by processes that take over a shard.
 	progressPartition = platform.Partition{Topic: "keyed.progress"}
 )
 
 const (
-	// longPollWait is how long one read waits for records. Each answer shows the end of the partition, so
-	// this also bounds the age of the state of a partition without new records.
+	// longPollWait is how long the store holds a read for new records before it answers without any. Each
+	// answer contains the end of the partition, so this also bounds the age of the state of a partition to
+	// which nothing is written.
 	longPollWait = 600 * time.Millisecond
-	// jobReadPause and resultReadPause let records accumulate between two reads, since each read has a cost.
-	// Jobs are written on the condition that their writer has read all earlier ones, so a stale state costs a
-	// second attempt; results are only read by callers, twice a second.
+	// jobReadPause and resultReadPause are the pauses between two reads of a partition. Records accumulate in
+	// them, since each read has a cost. The pause is shorter for jobs: a job is written on the condition that
+	// its writer has read all earlier ones, so a stale state costs a second attempt. Results are only needed by
+	// callers, which ask for them twice a second.
 	jobReadPause    = 25 * time.Millisecond
 	resultReadPause = 100 * time.Millisecond
 	// readPausePerPeer is added to these pauses for each other process, up to maxExtraReadPause: n processes
-	// that read independently cause n times as many answers of the store. Callers read results twice a second
-	// and expect to see what another process has shown them a second ago.
+	// that read independently cause n times as many answers of the store. maxExtraReadPause is limited because
+	// callers read results twice a second and expect to see at one process what another has returned a second
+	// ago.
 	readPausePerPeer  = 2 * time.Millisecond
 	maxExtraReadPause = 300 * time.Millisecond
-	// readBytes bounds one read.
+	// readBytes is the maximum size of the records that one read returns.
 	readBytes = 1 << 20
 	// readRetryPause is the pause after a failed read.
 	readRetryPause = 100 * time.Millisecond
 )
 
-// Replica is this process's copy of the backlog state.
+// Replica is this process's copy of the state of all jobs, built from the records of the job and result
+// partitions. It is safe for concurrent use.
 type Replica struct {
-	memberID string // of this start of this process
+	memberID string // identifies this start of this process
 	store    platform.Store
 	log      hclog.Logger
-	// onContact is called when the store has answered a read of the jobs.
+	// onContact is called after each read of new jobs that the store has answered.
 	onContact func()
 	// peerCount returns the number of other live processes.
 	peerCount func() int
-	// isFollowing reports whether this process needs all new records at once.
+	// isFollowing reports whether this process needs all new records at once, as members of the group do.
 	isFollowing func() bool
-	// readRequested receives a token for each partition whose new records are needed at once.
+	// readRequested holds a channel for each partition that is followed. A token in it makes awaitReadDue check
+	// again whether new records are needed.
 	readRequested map[platform.Partition]chan struct{}
 
 	mu         sync.Mutex
 	state      *backlog.State
 	partitions map[platform.Partition]*partitionState
-	changed    chan struct{} // closed and replaced with each change
+	changed    chan struct{} // closed and replaced with each change of the state
 }
 
-// partitionState is how far a partition has been read.
+// partitionState records how far a partition has been read.
 type partitionState struct {
-	isLoaded  bool      // the newest records of all keys have been read
+	isLoaded  bool      // the newest record of each key has been read
 	next      uint64    // offset of the next read
-	currentAt time.Time // a time at which the store held nothing after next
+	currentAt time.Time // the latest known time at which the store held no record from offset next on
 	// loading is the unfinished load; nil without one.
 	loading *partitionLoad
-	// waiters is the number of callers that wait for new records.
+	// waiters is the number of calls that wait for new records.
 	waiters int
 }
 
-// NewReplica returns an empty replica for the process of that name.
+// NewReplica returns a replica without records. memberID identifies this start of this process. onContact is
+// called after each read of new jobs that the store has answered; peerCount returns the number of other live
+// processes.
 func NewReplica(memberID string, store platform.Store, onContact func(), peerCount func() int, log hclog.Logger) *Replica {
 	return &Replica{
 		memberID: memberID, store: store, log: log, onContact: onContact, peerCount: peerCount, state: backlog.NewState(), changed: make(chan struct{}),
@@ -94,7 +105,7 @@
 	}
 }
 
-// follow reads the new records of a partition until ctx ends.
+// follow loads a partition and then reads its new records until ctx ends.
 func (r *Replica) follow(ctx context.Context, p platform.Partition) error {
 	pauses := dependency.Pauses{Answered: jobReadPause, Failed: readRetryPause, More: r.extraReadPause}
 	if p == resultPartition {
@@ -108,11 +119,13 @@
 	return nil
 }
 
-// idleReadInterval is the interval between reads of new records that no caller of this process needs now. The
-// store keeps its history for some 20 s; a reader that falls further behind has to load the whole partition.
+// idleReadInterval is the interval between the reads of a partition whose new records this process does not
+// need at once. The store keeps its history for some 20 s; a reader that falls further behind has to load the
+// whole partition.
 const idleReadInterval = 4 * time.Second
 
-// awaitReadDue waits until the new records of a partition are needed here, or idleReadInterval has passed.
+// awaitReadDue waits until this process needs the new records of a partition, idleReadInterval has passed or
+// ctx has ended.
 func (r *Replica) awaitReadDue(ctx context.Context, p platform.Partition) {
 	due := sleep.NewTimer(idleReadInterval)
 	defer due.Stop()
@@ -127,22 +140,24 @@
 	}
 }
 
-// needsNewRecords reports whether the new records of a partition are needed here at once.
+// needsNewRecords reports whether this process needs the new records of a partition at once: it has not loaded
+// the partition, a call waits for its records, or the process follows all records.
 func (r *Replica) needsNewRecords(p platform.Partition) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.partitions[p]
-	return !t.isLoaded || t.waiters > 0 || r.isFollowing()
+	ps := r.partitions[p]
+	return !ps.isLoaded || ps.waiters > 0 || r.isFollowing()
 }
 
-// requestReads triggers a read of every partition whose new records are needed.
+// requestReads makes awaitReadDue check each partition at once. It is called when this process begins to follow
+// all records.
 func (r *Replica) requestReads() {
 	for _, c := range r.readRequested {
 		signal(c)
 	}
 }
 
-// addWaiter has the new records of a partition read at once until done is called.
+// addWaiter makes the replica read new records of a partition without idle intervals until done is called.
 func (r *Replica) addWaiter(p platform.Partition) (done func()) {
 	add := func(n int) {
 		r.mu.Lock()
@@ -154,12 +169,13 @@
 	return func() { add(-1) }
 }
 
-// extraReadPause is how much longer this process pauses between two reads because of the reads of its peers.
+// extraReadPause returns by how much the pause between two reads is extended because other processes read too.
 func (r *Replica) extraReadPause() time.Duration {
 	return min(maxExtraReadPause, time.Duration(r.peerCount())*readPausePerPeer)
 }
 
-// readOnce reads once.
+// readOnce makes one read of a partition's new records and applies them. If the partition has not been
+// loaded, or the records at the read offset have expired, it loads the partition.
 func (r *Replica) readOnce(ctx context.Context, p platform.Partition) error {
 	next, isLoaded := r.nextOffset(p)
 	if !isLoaded {
@@ -179,9 +195,9 @@
 	return nil
 }
 
-// provenCurrentAt returns a time at which the store held no more than an answer shows. Answers may be
-// delayed, so only the time of the request is certain, except that a store that has taken at least the
-// requested wait has waited that long for new records in vain.
+// provenCurrentAt returns the latest time at which the store certainly held no more records than its answer
+// contains. An answer may be delayed on its way, so that is the time of the request. If an answer without
+// records took at least maxWait, the store has waited that long for records, and the time is maxWait later.
 func provenCurrentAt(requestedAt time.Time, maxWait time.Duration, page platform.Records) time.Time {
 	if len(page.Records) > 0 || time.Since(requestedAt) < maxWait {
 		return requestedAt
@@ -189,7 +205,8 @@
 	return requestedAt.Add(maxWait)
 }
 
-// pollWait returns how long a read waits for new records.
+// pollWait returns how long the store may hold a read of a partition for new records: longPollWait if they are
+// needed at once, else 0.
 func (r *Replica) pollWait(p platform.Partition) time.Duration {
 	if !r.needsNewRecords(p) {
 		return 0
@@ -197,8 +214,8 @@
 	return longPollWait
 }
 
-// loadProgress reads the progress of the items of a shard. It returns tombstones for obsolete progress, which
-// a former owner may have written after another process had finished the item.
+// loadProgress reads and applies the progress of a shard's items. It returns tombstones for obsolete progress,
+// which a former owner may have written after another process had finished the item.
 func (r *Replica) loadProgress(ctx context.Context, shard int) (tombstones []platform.KeyedRecord, err error) {
 	prefix := backlog.ProgressPrefix(shard)
 	_, err = platform.EachNewest(ctx, r.store, progressPartition, prefix, func(records []platform.StoredRecord) bool {
@@ -217,7 +234,7 @@
 	return tombstones, err
 }
 
-// obsoleteProgress returns tombstones for those of the progress records from which no owner will resume.
+// obsoleteProgress returns tombstones for those of the given progress records whose items no owner will resume.
 func (r *Replica) obsoleteProgress(progress []platform.StoredRecord) []platform.KeyedRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -230,19 +247,22 @@
 	return tombstones
 }
 
+// finishLoad marks a partition as loaded. end is the offset of the next read, requestedAt the time of the
+// load's first request.
 func (r *Replica) finishLoad(p platform.Partition, end uint64, requestedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.partitions[p]
-	t.isLoaded, t.loading = true, nil
-	t.next = max(t.next, end)
-	t.currentAt = requestedAt
+	ps := r.partitions[p]
+	ps.isLoaded, ps.loading = true, nil
+	ps.next = max(ps.next, end)
+	ps.currentAt = requestedAt
 	r.log.Info("backlog loaded", "topic", p.Topic, "end", end)
 	r.notifyChange()
 }
 
-// applyPage applies a page that was read at an offset and shows what the store held at the time provenAt. Two
-// readers may apply the same page: the state never goes back.
+// applyPage applies a page of new records. from is the offset at which the page was read, provenAt a time at
+// which the store held no more records than the page shows. Two concurrent reads may apply the same page; the
+// read offset and the time of the state never decrease.
 func (r *Replica) applyPage(p platform.Partition, page platform.Records, from uint64, provenAt time.Time) {
 	r.apply(page.Records)
 	if p == jobPartition {
@@ -250,28 +270,28 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.partitions[p]
-	t.next = max(t.next, from+uint64(len(page.Records)))
-	if t.next >= page.End && provenAt.After(t.currentAt) {
-		t.currentAt = provenAt
+	ps := r.partitions[p]
+	ps.next = max(ps.next, from+uint64(len(page.Records)))
+	if ps.next >= page.End && provenAt.After(ps.currentAt) {
+		ps.currentAt = provenAt
 	}
 	if len(page.Records) > 0 {
 		r.notifyChange()
 	}
 }
 
-// applyOwnAt applies records that this process has just written at an offset, before it reads them. The read
-// offset advances only if the records directly follow what was read.
+// applyOwnAt applies records that this process has just written at an offset, without reading them from the
+// store. The read offset advances only if the records directly follow those that have been read.
 func (r *Replica) applyOwnAt(p platform.Partition, offset uint64, records []platform.KeyedRecord) {
 	r.applyOwn(records)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t := r.partitions[p]; t.next == offset {
-		t.next = offset + uint64(len(records))
+	if ps := r.partitions[p]; ps.next == offset {
+		ps.next = offset + uint64(len(records))
 	}
 }
 
-// applyOwn applies records that are known to be in the store.
+// applyOwn applies records that this process has just written, without reading them from the store.
 func (r *Replica) applyOwn(records []platform.KeyedRecord) {
 	var stored []platform.StoredRecord
 	for _, rec := range records {
@@ -283,6 +303,7 @@
 	r.notifyChange()
 }
 
+// apply applies stored records. It logs and skips malformed ones.
 func (r *Replica) apply(records []platform.StoredRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -293,19 +314,22 @@
 	}
 }
 
-// notifyChange unblocks all callers that wait for a change. The caller holds the lock.
+// notifyChange closes the channel that withState has returned, and replaces it. The caller holds the lock.
 func (r *Replica) notifyChange() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
+// nextOffset returns the offset of the next read of a partition. isLoaded reports whether the partition has
+// been loaded.
 func (r *Replica) nextOffset(p platform.Partition) (next uint64, isLoaded bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.partitions[p].next, r.partitions[p].isLoaded
 }
 
-// stateAge returns the maximum age of the state of a partition.
+// stateAge returns an upper bound on the age of the state of a partition. For a partition that has not been
+// loaded it is longer than any limit.
 func (r *Replica) stateAge(p platform.Partition) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -315,7 +339,8 @@
 	return time.Since(r.partitions[p].currentAt)
 }
 
-// withState calls f with the state under the lock and returns a channel that the next change closes.
+// withState calls f with the state, under the replica's lock, and returns a channel that is closed at the next
+// change of the state.
 func (r *Replica) withState(f func(*backlog.State)) <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -323,7 +348,8 @@
 	return r.changed
 }
 
-// catchUp reads until everything that the partition held when the call began has been applied.
+// catchUp reads a partition until all records that it held when the call began have been applied. Errors:
+// errs.LogDown (the partition has not been loaded), those of the store.
 func (r *Replica) catchUp(ctx context.Context, p platform.Partition) error {
 	if _, isLoaded := r.nextOffset(p); !isLoaded {
 		return errs.New(errs.LogDown, "the backlog has not been loaded yet").WithRetry(readRetryPause)
@@ -346,7 +372,8 @@
 	}
 }
 
-// awaitOffset waits until the partition has been read up to an offset.
+// awaitOffset waits until all records of a partition before an offset have been applied. It returns the error
+// of ctx if that ends first.
 func (r *Replica) awaitOffset(ctx context.Context, p platform.Partition, offset uint64) error {
 	for {
 		changed := r.withState(func(*backlog.State) {})
--- a/internal/backlog/result_batch.go
+++ b/internal/backlog/result_batch.go
@@ -16,14 +16,14 @@
 // resultBatch is one write of a shard's results. Separately stored texts are written before the results, so
 // that every reader of a result finds its text.
 type resultBatch struct {
-	pendingCount int // number of the shard's pending results that the batch covers
+	pendingCount int // number of leading results in shard.pending that are removed once the batch is written
 	results      []backlog.Result
 	texts        []backlog.Text         // texts that are stored separately from their results
 	records      []platform.KeyedRecord // records of the results; set once the texts are written
 }
 
-// flush writes pending results, as many as fit into one append. It reports whether it should be called again
-// at once.
+// flush writes pending results, as many as fit into one append. It reports whether further results are
+// pending after a successful write.
 func (s *shard) flush(ctx context.Context) bool {
 	b := s.nextBatch()
 	if b.pendingCount == 0 {
@@ -43,8 +43,8 @@
 	return len(s.pending) > 0
 }
 
-// nextBatch assigns positions to pending results and returns their batch. A batch whose write is unconfirmed
-// is returned again.
+// nextBatch assigns positions to pending results and returns the batch that writes them. It leaves out
+// results of items that have one already. A batch whose write is unconfirmed is returned again.
 func (s *shard) nextBatch() *resultBatch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +69,8 @@
 	return b
 }
 
-// addToBatch adds a result to a batch. The caller holds the lock.
+// addToBatch assigns the next position of its job to a result and adds it to a batch. The caller holds the
+// shard's lock.
 func (s *shard) addToBatch(b *resultBatch, p *pendingResult) {
 	s.positioned[p.key()] = true
 	r := backlog.Result{Job: p.job.ID, Position: s.nextPosition(p.job.ID), Item: p.item(), Outcome: p.outcome, Index: p.index}
@@ -83,14 +84,15 @@
 	b.results = append(b.results, r)
 }
 
-// storesInline reports whether a text is stored in the record of its result. Every process reads these
-// records: with few processes this is cheaper than one extra read for each text that a caller asks for, with
-// many it is not.
+// storesInline reports whether a text is stored in the record of its result, which every process reads. With
+// few processes these reads cost less than one separate read for each text that a caller asks for; see
+// Options.SpreadBytes.
 func (m *Manager) storesInline(text string) bool {
 	return len(text)*(1+m.view.Peers()) <= m.opts.SpreadBytes
 }
 
-// prepare writes the texts of a batch and encodes its results.
+// prepare writes the separately stored texts of a batch and encodes its results. It returns false if the
+// batch can't be written now.
 func (s *shard) prepare(ctx context.Context, b *resultBatch) bool {
 	if b.records != nil {
 		return true
@@ -114,8 +116,9 @@
 	return true
 }
 
-// hasPosition reports whether an item has a result already. An item may end twice here, because another run
-// of it was started while its first result was being written; it must not get a second position.
+// hasPosition reports whether the item of p has a position already. An item may end twice in this process,
+// because another run of it was started while its first result was being written; it must not get a second
+// position. The caller holds the shard's lock.
 func (s *shard) hasPosition(p *pendingResult) (hasResult bool) {
 	if s.positioned[p.key()] {
 		return true
@@ -124,7 +127,7 @@
 	return hasResult
 }
 
-// nextPosition returns the position of the job's next result. The caller holds the lock.
+// nextPosition returns the position of a job's next result. The caller holds the shard's lock.
 func (s *shard) nextPosition(job string) int {
 	if _, ok := s.nextPositions[job]; !ok {
 		s.m.replica.withState(func(st *backlog.State) { s.nextPositions[job] = st.Listed(job) })
@@ -132,10 +135,11 @@
 	return s.nextPositions[job]
 }
 
-// writeResults appends records until the store has them or a newer owner exists. After a lost answer it
-// repeats the write with the same sequence number; the store does it only once.
+// writeResults writes the records of a batch and returns whether the store has them. It retries until a newer
+// owner exists or ctx ends. After a lost answer it repeats the write with the same sequence number, so that
+// the store does it only once.
 func (s *shard) writeResults(ctx context.Context, records []platform.KeyedRecord) bool {
-	isFirst := true
+	isUnstored := true // no earlier attempt of this write may have been stored
 	for tries := 0; ; tries++ {
 		_, err := s.m.store.Append(ctx, platform.Append{Partition: resultPartition, Records: records, Producer: s.producer()})
 		if err == nil {
@@ -144,8 +148,8 @@
 			return true
 		}
 		var outOfSequence *platform.OutOfSequence
-		if errors.As(err, &outOfSequence) && isFirst && s.seq == 1 {
-			// The store may count the write that set the epoch.
+		if errors.As(err, &outOfSequence) && isUnstored && s.seq == 1 {
+			// The store may have counted the write of takeOver in the sequence.
 			s.seq = outOfSequence.Expected
 			continue
 		}
@@ -155,7 +159,7 @@
 			return false
 		}
 		if errs.Is(err, errs.AppendUnknown) {
-			isFirst = false
+			isUnstored = false
 		}
 		if tries == 0 {
 			s.m.log.Warn("results not written yet", "shard", s.index, "epoch", s.epoch, "seq", s.seq, "records", len(records), "error", err)
--- a/internal/backlog/scheduler.go
+++ b/internal/backlog/scheduler.go
@@ -16,43 +16,45 @@
 )
 
 const (
-	// startPause is the pause between two starts of items by one process. Within it the peers receive the
-	// report of the first start.
+	// startPause is the pause between two starts of items by one process. Within it the other gateways receive
+	// the report of the first start.
 	startPause = 6 * time.Millisecond
-	// demandPollInterval is how often the scheduler looks for free slots while items wait: slots that were
-	// left to other gateways may still be free.
+	// demandPollInterval is the interval at which the scheduler looks for free slots while items wait. A slot that
+	// this process has left to another gateway may still be free.
 	demandPollInterval = 15 * time.Millisecond
-	// idlePollInterval is how often the scheduler looks for work without a trigger.
+	// idlePollInterval is the interval at which the scheduler looks for items to start if nothing triggers it.
 	idlePollInterval = 250 * time.Millisecond
-	// maxCancelAge is the maximum age of the state of jobs at which an item may start: within it another
-	// process may have accepted a job's cancellation, and nothing of a cancelled job may start seconds later.
+	// maxCancelAge is the maximum age of the state of jobs at which an item may start. In an older state a
+	// cancellation that another process has accepted may be missing, and no item of a cancelled job may start
+	// seconds after the cancellation.
 	maxCancelAge = 1500 * time.Millisecond
-	// retryDelay is how long an item waits after a run that a target has broken off or failed.
+	// retryDelay is how long an item waits after a run that its target has broken off or failed.
 	retryDelay = 80 * time.Millisecond
 )
 
-// scheduler holds all items that this process has to run and starts them as slots become free, in start
-// order.
+// scheduler holds a task for each unfinished item of the shards that this process owns. It starts the tasks in
+// start order as slots at targets become free.
 type scheduler struct {
 	m *Manager
 
 	mu         sync.Mutex
-	shards     map[*shard]bool
-	tasks      map[string]*task       // by job and item
-	tombstones []platform.KeyedRecord // for checkpoints of items that have a result
-	leaseEnd   time.Time              // this process owns its shards until then
-	isClosed   bool
+	shards     map[*shard]bool        // adopted and not released
+	tasks      map[string]*task       // by job id, slash and item id
+	tombstones []platform.KeyedRecord // of obsolete progress; written with the next checkpoints
+	leaseEnd   time.Time              // until then the store assigns this process's shards to no other
+	isClosed   bool                   // the process stops: no run begins any more
 	activeRuns sync.WaitGroup
 	// runFinished receives a token when a run is over and its verdict has been applied.
 	runFinished chan struct{}
-	// shardAdopted receives a token when a shard's items may run.
+	// shardAdopted receives a token when the items of another shard may run.
 	shardAdopted chan struct{}
-	scanCount    metrics.Counter // scans of the backlog for items to run
+	scanCount    metrics.Counter // see scansMetric
 }
 
-// scansMetric counts the scans of all jobs.
+// scansMetric is the name of the counter of scans of all jobs for new and finished items.
 const scansMetric = "backlog.scans"
 
+// newScheduler returns a scheduler without shards.
 func newScheduler(m *Manager) *scheduler {
 	return &scheduler{
 		m: m, shards: make(map[*shard]bool), tasks: make(map[string]*task), runFinished: make(chan struct{}, 1), shardAdopted: make(chan struct{}, 1),
@@ -61,52 +63,54 @@
 }
 
 // setLeaseEnd sets the time until which the store assigns this process's shards to no other.
-func (d *scheduler) setLeaseEnd(t time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.leaseEnd = t
+func (sc *scheduler) setLeaseEnd(t time.Time) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	sc.leaseEnd = t
 }
 
-// adoptShard starts running a shard's items, unless ctx has ended because the shard was released meanwhile.
-func (d *scheduler) adoptShard(ctx context.Context, s *shard) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// adoptShard makes the scheduler run a shard's items, unless ctx has ended because the shard was released
+// meanwhile.
+func (sc *scheduler) adoptShard(ctx context.Context, s *shard) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
 	if ctx.Err() == nil {
-		d.shards[s] = true
-		signal(d.shardAdopted)
+		sc.shards[s] = true
+		signal(sc.shardAdopted)
 	}
 }
 
-// addTombstones adds tombstones of progress to the next write of checkpoints.
-func (d *scheduler) addTombstones(records []platform.KeyedRecord) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.tombstones = append(d.tombstones, records...)
+// addTombstones queues tombstones of obsolete progress for the next write of checkpoints.
+func (sc *scheduler) addTombstones(records []platform.KeyedRecord) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	sc.tombstones = append(sc.tombstones, records...)
 }
 
-// dueCheckpoints returns the queued tombstones and the progress records of items with checkpointEvents or
-// more events since their last checkpoint.
-func (d *scheduler) dueCheckpoints() []platform.KeyedRecord {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	records := d.tombstones
-	d.tombstones = nil
-	for _, t := range d.tasks {
-		if !d.m.opts.Off.Allows(policy.Checkpoints) || !t.isCheckpointDue() {
+// dueCheckpoints returns the records of the next write of checkpoints: the queued tombstones, and the
+// progress of items with checkpointEvents or more events since their last checkpoint.
+func (sc *scheduler) dueCheckpoints() []platform.KeyedRecord {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	records := sc.tombstones
+	sc.tombstones = nil
+	for _, t := range sc.tasks {
+		if !sc.m.opts.Off.Allows(policy.Checkpoints) || !t.isCheckpointDue() {
 			continue
 		}
-		saved := d.m.progressRecords(t)
+		saved := sc.m.progressRecords(t)
 		t.noteCheckpoint(saved)
 		records = append(records, saved...)
 	}
 	return records
 }
 
-func (d *scheduler) counts() Counts {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	c := Counts{Items: len(d.tasks), Shards: len(d.shards)}
-	for _, t := range d.tasks {
+// counts returns the numbers of items, running items and shards.
+func (sc *scheduler) counts() Counts {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	c := Counts{Items: len(sc.tasks), Shards: len(sc.shards)}
+	for _, t := range sc.tasks {
 		if t.isRunning() {
 			c.Running++
 		}
@@ -114,36 +118,37 @@
 	return c
 }
 
-// stopRuns cancels all runs and waits until they are over.
-func (d *scheduler) stopRuns(ctx context.Context) {
-	d.mu.Lock()
-	d.isClosed = true
-	for _, t := range d.tasks {
+// stopRuns prevents new runs, cancels the active ones and waits until they are over or ctx ends.
+func (sc *scheduler) stopRuns(ctx context.Context) {
+	sc.mu.Lock()
+	sc.isClosed = true
+	for _, t := range sc.tasks {
 		t.cancelRun()
 	}
-	d.mu.Unlock()
-	if !waitFor(ctx, &d.activeRuns) {
-		d.m.log.Warn("runs of items did not end in time")
+	sc.mu.Unlock()
+	if !waitFor(ctx, &sc.activeRuns) {
+		sc.m.log.Warn("runs of items did not end in time")
 	}
 }
 
-// run starts items until ctx ends. In a large fleet, reports of peers trigger it many times a second, so it
-// scans the backlog only when the state has changed, and ignores the reports while it has no items.
-func (d *scheduler) run(ctx context.Context) error {
+// run starts items until ctx ends. In a large fleet the reports of other gateways trigger it many times a
+// second. It therefore scans all jobs only after a change of the state, the adoption of a shard or
+// idlePollInterval, and ignores the reports while it has no items.
+func (sc *scheduler) run(ctx context.Context) error {
 	poll := sleep.NewTimer(idlePollInterval)
 	defer poll.Stop()
 	var changed <-chan struct{}
-	var lastScan time.Time // zero: the tasks may be incomplete
+	var lastScan time.Time // zero if a scan is due
 	for {
 		if time.Since(lastScan) >= idlePollInterval {
 			lastScan = time.Now()
-			d.scanCount.Inc(1)
-			changed = d.sync()
+			sc.scanCount.Inc(1)
+			changed = sc.sync()
 		}
-		for d.startNext(ctx) {
+		for sc.startNext(ctx) {
 			sleep.For(ctx, startPause)
 		}
-		if d.publishDemand() > 0 || d.hasPausedTask() {
+		if sc.publishDemand() > 0 || sc.hasPausedTask() {
 			poll.Reset(demandPollInterval)
 		} else {
 			poll.Reset(idlePollInterval)
@@ -153,46 +158,46 @@
 			return nil
 		case <-changed:
 			lastScan = time.Time{}
-		case <-d.shardAdopted:
+		case <-sc.shardAdopted:
 			lastScan = time.Time{}
-		case <-d.capacityFreed():
-		case <-d.runFinished:
+		case <-sc.capacityFreed():
+		case <-sc.runFinished:
 		case <-poll.C:
 		}
 	}
 }
 
-// capacityFreed returns a channel that receives a token when a slot may have become free; nil without items,
-// so that it never triggers.
-func (d *scheduler) capacityFreed() <-chan struct{} {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.tasks) == 0 {
+// capacityFreed returns a channel that receives a token when a slot at a target may have become free. Without
+// items it returns nil, so that the channel never triggers the scheduler.
+func (sc *scheduler) capacityFreed() <-chan struct{} {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if len(sc.tasks) == 0 {
 		return nil
 	}
-	return d.m.view.Freed()
+	return sc.m.view.Freed()
 }
 
-// publishDemand reports to the peers how many items wait here and the start key of the first, and returns
-// that number.
-func (d *scheduler) publishDemand() int {
+// publishDemand reports to the other gateways how many items of this process could start now and the lowest of
+// their start keys. It returns the number.
+func (sc *scheduler) publishDemand() int {
 	var demand fleet.Demand
 	now := time.Now()
-	for _, t := range d.startableTasks(now) {
-		if key := d.startKey(t, now); demand.Items == 0 || key < demand.Due {
+	for _, t := range sc.startableTasks(now) {
+		if key := sc.startKey(t, now); demand.Items == 0 || key < demand.Due {
 			demand.Due = key
 		}
 		demand.Items++
 	}
-	d.m.view.SetDemand(demand)
+	sc.m.view.SetDemand(demand)
 	return demand.Items
 }
 
 // notifyRunFinished triggers the scheduler after a run. The slot that became free triggers it as well, but
-// possibly before the item can resume.
-func (d *scheduler) notifyRunFinished() { signal(d.runFinished) }
+// possibly before the verdict on the run has been applied and the item can resume.
+func (sc *scheduler) notifyRunFinished() { signal(sc.runFinished) }
 
-// signal leaves a token in a channel with a buffer of one.
+// signal puts a token into a channel with a buffer of one, unless it holds one already.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -200,13 +205,13 @@
 	}
 }
 
-// hasPausedTask reports whether an item can start within idlePollInterval: the end of such a pause does not
-// trigger the scheduler.
-func (d *scheduler) hasPausedTask() bool {
+// hasPausedTask reports whether the pause of a task ends within idlePollInterval. The end of a pause does not
+// trigger the scheduler, so it has to poll.
+func (sc *scheduler) hasPausedTask() bool {
 	soon := time.Now().Add(idlePollInterval)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, t := range d.tasks {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	for _, t := range sc.tasks {
 		if t.canStart(soon) {
 			return true
 		}
@@ -214,26 +219,26 @@
 	return false
 }
 
-// startNext starts the first item in start order for whose service there is a free slot. It reports whether
-// it has started one.
-func (d *scheduler) startNext(ctx context.Context) bool {
+// startNext starts the first task in start order that may run and for whose service there is a free slot. It
+// reports whether it has started one.
+func (sc *scheduler) startNext(ctx context.Context) bool {
 	now := time.Now()
 	fullServices := make(map[string]bool) // services without a free slot
-	for _, ordered := range d.sortTasks(d.startableTasks(now), now) {
+	for _, ordered := range sc.sortTasks(sc.startableTasks(now), now) {
 		t := ordered.task
-		route, _, err := d.m.router.Route(t.job.Host, t.item().URI)
+		route, _, err := sc.m.router.Route(t.job.Host, t.item().URI)
 		if errs.Is(err, errs.NotFound) {
-			d.deferUnrouted(t, now)
+			sc.deferUnrouted(t, now)
 			continue
 		}
 		if err != nil {
 			return false
 		}
 		service := route.Service(t.item().ID)
-		if fullServices[service] || d.deferIfQuarantined(t, now) || d.mustWaitForRelated(t) {
+		if fullServices[service] || sc.deferIfQuarantined(t, now) || sc.mustWaitForRelated(t) {
 			continue
 		}
-		if d.startRun(ctx, t, route, service) {
+		if sc.startRun(ctx, t, route, service) {
 			return true
 		}
 		fullServices[service] = true
@@ -241,15 +246,15 @@
 	return false
 }
 
-// startableTasks returns the tasks that may start now, unordered.
-func (d *scheduler) startableTasks(now time.Time) []*task {
-	if !d.canStartItems(now) {
+// startableTasks returns the tasks that can start now, in no particular order.
+func (sc *scheduler) startableTasks(now time.Time) []*task {
+	if !sc.canStartItems(now) {
 		return nil
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
 	var list []*task
-	for _, t := range d.tasks {
+	for _, t := range sc.tasks {
 		if t.canStart(now) {
 			list = append(list, t)
 		}
@@ -257,58 +262,60 @@
 	return list
 }
 
-// canStartItems reports whether items may start. They may while this process has a current state of
-// cancellations and holds the lease of its shards, and also while no process can reach the store: then no
-// cancellation is accepted and no shard is reassigned. Without the second case, each outage of the store
-// would stop all batch work.
-func (d *scheduler) canStartItems(now time.Time) bool {
-	d.mu.Lock()
-	isClosed, leaseEnd := d.isClosed, d.leaseEnd
-	d.mu.Unlock()
+// canStartItems reports whether this process may start items. It may while its state of cancellations is no
+// older than maxCancelAge and it holds the lease of its shards. It also may while no process reaches the
+// store: then no cancellation is accepted and no shard is reassigned. Without the second case, each outage of
+// the store would stop all batch jobs.
+func (sc *scheduler) canStartItems(now time.Time) bool {
+	sc.mu.Lock()
+	isClosed, leaseEnd := sc.isClosed, sc.leaseEnd
+	sc.mu.Unlock()
 	if isClosed {
 		return false
 	}
-	isCurrent := d.m.replica.stateAge(jobPartition) <= maxCancelAge && now.Before(leaseEnd)
-	return isCurrent || d.m.view.StoreDownForAll()
+	isCurrent := sc.m.replica.stateAge(jobPartition) <= maxCancelAge && now.Before(leaseEnd)
+	return isCurrent || sc.m.view.StoreDownForAll()
 }
 
-// An item gets the outcome Errored after maxUnroutedChecks consecutive checks, unroutedRecheckDelay apart,
-// that found no route for it. A configuration may remove a route and restore it later.
+// An item is given up, with the outcome Errored, after maxUnroutedChecks consecutive checks that found no
+// route for it. The checks are unroutedRecheckDelay apart, because a configuration may remove a route and a
+// later one restore it.
 const (
 	maxUnroutedChecks    = 4
 	unroutedRecheckDelay = 5 * time.Second
 )
 
-// deferUnrouted delays an item without a route, and finally ends it as Errored.
-func (d *scheduler) deferUnrouted(t *task, now time.Time) {
+// deferUnrouted delays a task for which a check found no route, and gives its item up after maxUnroutedChecks
+// of them.
+func (sc *scheduler) deferUnrouted(t *task, now time.Time) {
 	if result := t.markUnrouted(now); result != nil {
 		t.shard.enqueueResult(result)
 	}
 }
 
-// quarantineRecheckDelay is how long a quarantined item waits for its next check: another request with the
-// same content may be served meanwhile.
+// quarantineRecheckDelay is the time between two checks of a quarantined item. It leaves the quarantine if
+// another request with the same content is served meanwhile.
 const quarantineRecheckDelay = time.Second
 
-// deferIfQuarantined reports whether an item is quarantined. If so, it delays the item, or ends it as Errored
-// once its job allows that.
-func (d *scheduler) deferIfQuarantined(t *task, now time.Time) bool {
-	if d.m.opts.Quarantine.Check(t.content) == nil {
+// deferIfQuarantined reports whether a task's content is quarantined. If so, it defers the task as
+// deferQuarantined does.
+func (sc *scheduler) deferIfQuarantined(t *task, now time.Time) bool {
+	if sc.m.opts.Quarantine.Check(t.content) == nil {
 		return false
 	}
-	d.deferQuarantined(t, now)
+	sc.deferQuarantined(t, now)
 	return true
 }
 
-// mustWaitForRelated reports whether a suspect task has to wait until a running one of the same resource or
-// job has passed. Run side by side, each would crash a target.
-func (d *scheduler) mustWaitForRelated(t *task) bool {
-	if !d.m.opts.Quarantine.IsSuspect(t.content) {
+// mustWaitForRelated reports whether a task whose content is suspect has to wait because another task of the
+// same resource or job runs and has not passed yet. If both ran at the same time, each might crash a target.
+func (sc *scheduler) mustWaitForRelated(t *task) bool {
+	if !sc.m.opts.Quarantine.IsSuspect(t.content) {
 		return false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, other := range d.tasks {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	for _, other := range sc.tasks {
 		if other != t && other.isUnproven() && other.content.IsRelated(t.content) {
 			return true
 		}
@@ -316,54 +323,56 @@
 	return false
 }
 
-// deferQuarantined delays a quarantined task, or ends it as Errored.
-func (d *scheduler) deferQuarantined(t *task, now time.Time) {
+// deferQuarantined delays a quarantined task by quarantineRecheckDelay. After the task's giveUpTime it gives
+// the item up, with the outcome Errored.
+func (sc *scheduler) deferQuarantined(t *task, now time.Time) {
 	result, isNew := t.markQuarantined(now)
 	if isNew {
-		d.m.log.Info("item held", "job", t.job.ID, "item", t.item().ID, "content", t.content.Fingerprint().String(), "until", t.giveUpTime().UTC().Format(time.RFC3339))
+		sc.m.log.Info("item held", "job", t.job.ID, "item", t.item().ID, "content", t.content.Fingerprint().String(), "until", t.giveUpTime().UTC().Format(time.RFC3339))
 	}
 	if result != nil {
 		t.shard.enqueueResult(result)
 	}
 }
 
-// startRun starts a task if a target has a free slot for it. It reports whether it has.
-func (d *scheduler) startRun(ctx context.Context, t *task, route *serving.Route, service string) bool {
+// startRun starts a run of a task if a target of the service has a free slot for it. It reports whether a run
+// was started.
+func (sc *scheduler) startRun(ctx context.Context, t *task, route *serving.Route, service string) bool {
 	runCtx, cancel := context.WithCancel(ctx)
-	r, ok := d.m.view.StartBatch(service, t.job.Rank, t.targetsToAvoid(), func() { t.preempt(cancel) })
+	r, ok := sc.m.view.StartBatch(service, t.job.Rank, t.targetsToAvoid(), func() { t.preempt(cancel) })
 	if !ok {
 		cancel()
 		return false
 	}
-	if !d.registerRun() {
+	if !sc.registerRun() {
 		r.Done()
 		cancel()
 		return false
 	}
-	if d.m.opts.Quarantine.AdmitRequest(t.content) != nil {
-		d.deferQuarantined(t, time.Now())
-		d.activeRuns.Done()
+	if sc.m.opts.Quarantine.AdmitRequest(t.content) != nil {
+		sc.deferQuarantined(t, time.Now())
+		sc.activeRuns.Done()
 		r.Done()
 		cancel()
 		return false
 	}
 	t.markStarted(cancel)
 	go func() {
-		defer d.activeRuns.Done()
+		defer sc.activeRuns.Done()
 		defer cancel()
-		d.m.runItem(runCtx, t, r, route)
+		sc.m.runItem(runCtx, t, r, route)
 	}()
 	return true
 }
 
-// registerRun counts a run that begins. It returns false while the process stops, so that the wait for the
-// end of all runs misses none.
-func (d *scheduler) registerRun() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.isClosed {
+// registerRun adds a run to activeRuns and returns true. It returns false, without adding one, once stopRuns
+// has been called, so that stopRuns waits for all runs.
+func (sc *scheduler) registerRun() bool {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if sc.isClosed {
 		return false
 	}
-	d.activeRuns.Add(1)
+	sc.activeRuns.Add(1)
 	return true
 }
--- a/internal/backlog/shard.go
+++ b/internal/backlog/shard.go
@@ -13,53 +13,58 @@
 	"arbutusramp/core/sleep"
 )
 
-// flushDelay is how long a shard waits for further results before it writes the first one.
+// flushDelay is how long a shard waits after a result for further ones, which it writes in the same append.
 const flushDelay = 5 * time.Millisecond
 
-// progressRereadDelay is how long after a takeover the progress is read once more. A former owner that was
-// not aware of its replacement writes its progress when it learns of it, within a third of its lease.
+// progressRereadDelay is the time after a takeover at which the progress is read once more. A former owner
+// that was not aware of its replacement writes its progress once its next join call shows it, within a third
+// of its lease.
 const progressRereadDelay = 800 * time.Millisecond
 
-// shard is a part of the jobs that this process owns: only this process assigns positions to their results.
-// Each write carries the epoch in which the shard was assigned; the store rejects the writes of a replaced
-// owner, however late they arrive.
+// shard is a subset of all jobs that this process owns in one epoch: only the owner assigns positions to the
+// results of the jobs. Each write of results carries the epoch in which the shard was assigned; the store
+// rejects the writes of a replaced owner, however late they arrive.
 type shard struct {
 	m     *Manager
 	index int
 	epoch uint64
-	stop  context.CancelFunc
-	// formerOwnersDoneAt is when live former owners have written their progress.
+	// stop ends run, rejects further results and releases the shard's items.
+	stop context.CancelFunc
+	// formerOwnersDoneAt is the time by which former owners that are still running have written their progress.
 	formerOwnersDoneAt time.Time
 
 	// mu is taken before the replica's lock where both are needed.
 	mu      sync.Mutex
-	isReady bool // fenced and caught up: its items may run
-	isLost  bool // the store has rejected a write: a newer owner exists
-	// isClosed shards accept no more results: no process here would write them.
+	isReady bool // the epoch is set in the store, and all older results have been read
+	isLost  bool // the store has rejected a write, because a newer owner exists
+	// isClosed is set once the shard accepts no more results, because run has ended and would not write them.
 	isClosed       bool
 	pending        []*pendingResult
-	nextPositions  map[string]int  // position of the next result, by job
-	positioned     map[string]bool // items with a position assigned here, by job and item
-	unconfirmed    *resultBatch    // the write whose success is unknown; it is repeated unchanged
-	flushRequested chan struct{}
-	stopped        chan struct{} // closed once run has returned
-	seq            uint64
+	nextPositions  map[string]int  // position of the next result, by job id
+	positioned     map[string]bool // items to which this owner has assigned a position, by job and item id
+	unconfirmed    *resultBatch    // the batch that may not have been stored; it is repeated unchanged
+	flushRequested chan struct{}   // receives a token when results are pending
+	stopped        chan struct{}   // closed once run has returned
+	seq            uint64          // sequence number of the next write of results
 }
 
-// pendingResult is the final result of an item that is not in the store yet.
+// pendingResult is the result of an item that has not been stored yet.
 type pendingResult struct {
 	job        *backlog.Job
 	index      int // of the item in its job
 	outcome    backlog.Outcome
 	text       string
-	receivedAt time.Time // when it was passed to the shard
+	receivedAt time.Time // when the result was passed to the shard
 }
 
+// item returns the id of the item.
 func (p *pendingResult) item() string { return p.job.Items[p.index].ID }
 
+// key returns the key of the item in shard.positioned.
 func (p *pendingResult) key() string { return p.job.ID + "/" + p.item() }
 
-// startShard starts the ownership of a shard.
+// startShard starts the ownership of a shard that the store has assigned to this process in an epoch. The
+// ownership ends with ctx or when the shard's stop is called.
 func (m *Manager) startShard(ctx context.Context, index int, epoch uint64, formerOwnersDoneAt time.Time) *shard {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &shard{
@@ -75,18 +80,21 @@
 	return s
 }
 
+// producer returns the identification of the next write of results. The store uses it to reject replaced
+// owners and to do repeated writes only once.
 func (s *shard) producer() *platform.Producer {
 	return &platform.Producer{Name: "shard-" + strconv.Itoa(s.index), Epoch: s.epoch, Seq: s.seq}
 }
 
-// isFenced reports whether the store has rejected this owner in favour of a newer one.
+// isFenced reports whether the store has rejected a write of this owner because a newer one exists.
 func (s *shard) isFenced() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.isLost
 }
 
-// run fences the former owner, reads what it has left and then writes results as they arrive, until ctx ends.
+// run takes the shard over from its former owner, makes the scheduler run its items and writes their results
+// until ctx ends.
 func (s *shard) run(ctx context.Context) {
 	defer close(s.stopped)
 	if !s.takeOver(ctx) || !s.awaitFormerOwner(ctx) {
@@ -109,8 +117,9 @@
 	}
 }
 
-// takeOver sets the epoch in the store. After that no write of an older owner succeeds, so the records up to
-// here are all that it has left.
+// takeOver sets the shard's epoch in the store and reads all records that older owners have written; the
+// store rejects their later writes of results. It retries failed calls and returns false if a newer owner
+// exists or ctx ends.
 func (s *shard) takeOver(ctx context.Context) bool {
 	for {
 		appended, err := s.m.store.Append(ctx, platform.Append{Partition: resultPartition, Producer: s.producer()})
@@ -132,10 +141,10 @@
 	}
 }
 
-// awaitFormerOwner waits, right after an outage, until the former owner has had time to write the progress of
-// its items. During an outage all leases expire, and the first process that is back is assigned shards whose
-// owners are alive. Without the wait it would run their items again from their last checkpoints, and items
-// would be run completely twice.
+// awaitFormerOwner waits until formerOwnersDoneAt and then reads the progress that former owners have
+// written. It returns false if ctx ends first. During an outage of the store all leases expire, and the first
+// process that is back is assigned shards whose owners are still running. Without the wait it would run their
+// items again from the last checkpoints, and some items would be run completely twice.
 func (s *shard) awaitFormerOwner(ctx context.Context) bool {
 	remaining := time.Until(s.formerOwnersDoneAt)
 	if remaining <= 0 {
@@ -148,8 +157,8 @@
 	return true
 }
 
-// readProgress reads the progress of the shard's items. Without it they start from the beginning, so a
-// failure is only logged.
+// readProgress reads the stored progress of the shard's items and queues tombstones for obsolete records. Items
+// without progress start from the beginning, so a failure is only logged.
 func (s *shard) readProgress(ctx context.Context) {
 	tombstones, err := s.m.replica.loadProgress(ctx, s.index)
 	s.m.scheduler.addTombstones(tombstones)
@@ -158,8 +167,8 @@
 	}
 }
 
-// handleFenced reports whether err says that a newer owner exists. If so, the shard is marked as lost and its
-// items are released.
+// handleFenced reports whether err is the rejection of a write because a newer owner exists. If so, it marks
+// the shard as lost and releases its items.
 func (s *shard) handleFenced(err error) bool {
 	var fenced *platform.Fenced
 	if !errors.As(err, &fenced) {
@@ -181,8 +190,8 @@
 	s.isClosed = true
 }
 
-// enqueueResult queues a result for the next write. It returns false if the shard is closed: the result of an
-// item whose shard is released must go to the next owner.
+// enqueueResult queues a result for the next write. It returns false if the shard is closed. The caller then
+// has to store the result as progress, for the next owner.
 func (s *shard) enqueueResult(p *pendingResult) bool {
 	s.mu.Lock()
 	if s.isClosed {
@@ -196,7 +205,7 @@
 	return true
 }
 
-// handOver writes the pending results and releases the shard.
+// handOver stops the shard and writes its pending results, until ctx ends.
 func (s *shard) handOver(ctx context.Context) {
 	s.stop()
 	<-s.stopped
--- a/internal/backlog/submit.go
+++ b/internal/backlog/submit.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	// submitTimeout bounds a job's submission before its caller is asked to retry: callers wait for 4 s and
-	// allow a second attempt the same time.
+	// submitTimeout bounds the submission of a job. After it the caller is asked to retry: callers wait for 4 s,
+	// and as long for a second attempt.
 	submitTimeout = 2500 * time.Millisecond
-	// appendTimeout bounds one append of a job. The store answers within 300 ms even while it is slow; a call
-	// without an answer by then may be lost, and repeating the same append under the same condition is
-	// harmless.
+	// appendTimeout bounds one append of a job. The store answers within 300 ms even while it is slow. A call that
+	// has no answer by then may be lost; it is safe to repeat the same append under the same condition.
 	appendTimeout = 600 * time.Millisecond
-	// cancelTimeout bounds a job's cancellation, as submitTimeout bounds its submission.
+	// cancelTimeout bounds the cancellation of a job. After it the caller is asked to retry.
 	cancelTimeout = 3 * time.Second
-	// limitRetryDelay is the retry delay for a job that exceeds its route's limit.
+	// limitRetryDelay is the retry delay that the caller of a job receives if the job exceeds its route's limit.
 	limitRetryDelay = time.Second
-	// writeRetryPause is the pause after a failed write.
+	// writeRetryPause is the pause after a failed write to the store.
 	writeRetryPause = 60 * time.Millisecond
-	// maxAppendBytes bounds the records of one append, leaving room for framing.
+	// maxAppendBytes is the maximum size of the records of one append: 2 MiB less 64 KiB for framing.
 	maxAppendBytes = 2<<20 - 64<<10
 )
 
-// Submit accepts a job. It returns nil once the job is in the store; submitting a job again is accepted as
-// well. Errors: errs.RateLimited (the job exceeds its workspace's limit on the route), errs.LogDown and
+// Submit writes a job to the store and returns nil once it is there. A job with the id of an accepted one is
+// not written again; that is a success as well. Errors: errs.BadRequest (the id is too long),
+// errs.BodyTooLarge, errs.RateLimited (the job exceeds its workspace's limit on the route), errs.LogDown and
 // errs.LogBusy (the job is not in the store), errs.AppendUnknown (the job may be in the store or may still be
 // written).
 //
-// All jobs go through one partition, each on the condition that its process has read all earlier ones. So the
-// limit holds across processes, and an append with a lost answer is either found by reading on or can no
-// longer succeed.
+// All jobs are written to one partition, each on the condition that its writer has read all earlier records.
+// So the limit holds across processes. A job whose append was not answered is either found in the later
+// records, or its append can no longer succeed.
 func (m *Manager) Submit(ctx context.Context, route *serving.Route, job *backlog.Job) error {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
@@ -62,7 +62,7 @@
 	return err
 }
 
-// logItems logs the received items of a job.
+// logItems logs a line for each item of a submitted job.
 func (m *Manager) logItems(job *backlog.Job) {
 	now := time.Now()
 	for i := range job.Items {
@@ -71,18 +71,19 @@
 	}
 }
 
-// submission is one attempt to write a job into the store.
+// submission is one call of Submit.
 type submission struct {
 	m            *Manager
 	route        *serving.Route
 	job          *backlog.Job
 	records      []platform.KeyedRecord
-	expectedEnd  uint64 // end of the partition that the append requires
-	queuedTokens int64  // tokens of the workspace that are queued on the route
-	tries        int
-	mayBeStored  bool // an append without an answer may have succeeded
+	expectedEnd  uint64 // the last append succeeds only if this is the end of the partition
+	queuedTokens int64  // tokens of unfinished items of the workspace on the route, without this job
+	tries        int    // number of calls of tryAppend
+	mayBeStored  bool   // an append that was not answered may have succeeded or may still succeed
 }
 
+// run writes the job unless it has been accepted already, and retries until ctx ends.
 func (s *submission) run(ctx context.Context) error {
 	s.m.catchUpIfStale(ctx, jobPartition)
 	if s.isAccepted() {
@@ -102,7 +103,8 @@
 	}
 }
 
-// retryPauseAfter returns the pause before the next attempt; 0 if another job was merely written first.
+// retryPauseAfter returns the pause before the next attempt after err; 0 if the append failed only because
+// another record was written first.
 func retryPauseAfter(err error) time.Duration {
 	var moved *platform.EndMoved
 	if errors.As(err, &moved) {
@@ -111,7 +113,7 @@
 	return writeRetryPause
 }
 
-// finalError returns the error of the submission after its last attempt.
+// finalError returns the error that the caller gets after the last attempt, which failed with err.
 func (s *submission) finalError(err error) error {
 	e := errs.As(err)
 	if s.mayBeStored {
@@ -123,14 +125,15 @@
 	return e.WithRan(errs.RanNo).WithRetry(writeRetryPause)
 }
 
-// isAccepted reports whether the job has been accepted already.
+// isAccepted reports whether the state contains the job.
 func (s *submission) isAccepted() bool {
 	isKnown := false
 	s.m.replica.withState(func(st *backlog.State) { _, isKnown = st.Job(s.job.ID) })
 	return isKnown
 }
 
-// tryAppend writes the job if it fits the limit. done reports that err is the final answer.
+// tryAppend makes one attempt to write the job, if it fits the limit. If done is true, err is the result of the
+// submission; otherwise another attempt may follow.
 func (s *submission) tryAppend(ctx context.Context) (done bool, err error) {
 	s.tries++
 	next, isLoaded := s.m.replica.nextOffset(jobPartition)
@@ -138,7 +141,8 @@
 		return false, errs.New(errs.LogDown, "the backlog has not been loaded yet")
 	}
 	if next > s.expectedEnd {
-		// Everything before next has been read: an append at s.expectedEnd has been seen or can't succeed.
+		// All records before next have been read: the job is among them, or its append at s.expectedEnd can no
+		// longer succeed.
 		s.mayBeStored = false
 	}
 	isWithinLimit := true
@@ -153,24 +157,27 @@
 		return true, nil
 	}
 	if !isWithinLimit && !s.mayBeStored {
-		return s.refuseIfFull(ctx)
+		return s.rejectIfOverLimit(ctx)
 	}
 	s.expectedEnd = next
 	return s.handleAppendResult(ctx, s.append(ctx))
 }
 
-// append sends the job's append once. The condition is a copy: an abandoned call may still be under way
-// when the next one is made, and must not be done under the next one's condition.
+// append sends the append of the job once, on the condition that the partition still ends at s.expectedEnd.
+// The condition is passed as a copy: a call that was abandoned may still be in progress when the next one is
+// made, and must not use the condition of the next one.
 func (s *submission) append(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	at := s.expectedEnd
-	_, err := s.m.store.Append(ctx, platform.Append{Partition: jobPartition, Records: s.records, At: &at})
+	expectedEnd := s.expectedEnd
+	_, err := s.m.store.Append(ctx, platform.Append{Partition: jobPartition, Records: s.records, At: &expectedEnd})
 	return err
 }
 
-// refuseIfFull refuses a job that exceeds the limit, once the state is known to be current.
-func (s *submission) refuseIfFull(ctx context.Context) (bool, error) {
+// rejectIfOverLimit returns the rejection of a job that exceeds the limit. If the state is older than
+// maxAnswerAge, it is refreshed first. The results are those of tryAppend: another attempt follows if the
+// refresh fails or the job then fits the limit.
+func (s *submission) rejectIfOverLimit(ctx context.Context) (bool, error) {
 	if s.m.replica.stateAge(jobPartition) > maxAnswerAge || s.m.replica.stateAge(resultPartition) > maxAnswerAge {
 		if err := s.m.refresh(ctx); err != nil {
 			return false, err
@@ -181,16 +188,17 @@
 			return false, nil
 		}
 	}
-	return true, errs.Newf(errs.RateLimited, "the workspace has %d of %d tokens on the route", s.queuedTokens, s.route.MaxQueued).WithRetry(limitRetryDelay)
+	return true, errs.Newf(errs.RateLimited, "the workspace has %d of %d queued tokens on the route, and the job exceeds the limit", s.queuedTokens, s.route.MaxQueued).WithRetry(limitRetryDelay)
 }
 
-// fitsLimit updates queuedTokens and reports whether the job fits the limit beside them.
+// fitsLimit updates queuedTokens from the state and reports whether these and the job's tokens are within the
+// route's limit.
 func (s *submission) fitsLimit(st *backlog.State) bool {
 	s.queuedTokens = st.Queued(s.job.Workspace, s.route.Name)
 	return s.route.MaxQueued == 0 || s.queuedTokens+s.job.Tokens() <= s.route.MaxQueued
 }
 
-// handleAppendResult evaluates the result of an append.
+// handleAppendResult evaluates the error of an append. Its results are those of tryAppend.
 func (s *submission) handleAppendResult(ctx context.Context, err error) (bool, error) {
 	if err == nil {
 		s.m.replica.applyOwnAt(jobPartition, s.expectedEnd, s.records)
@@ -198,8 +206,8 @@
 	}
 	var moved *platform.EndMoved
 	if errors.As(err, &moved) {
-		// Another writer came first, or this job's own append whose answer was lost. Reading on shows which;
-		// after that, no earlier append of this submission can succeed.
+		// Another record was written first, or an earlier append of this job whose answer was lost. The new records
+		// show which; once they are read, no earlier append of this submission can succeed.
 		if readErr := s.m.replica.catchUp(ctx, jobPartition); readErr != nil {
 			return false, readErr
 		}
@@ -212,8 +220,9 @@
 	return false, err
 }
 
-// writeLeadingChunks writes all but the last chunks of a job that is too large for one append. They have no
-// effect without the last ones, which are written on the condition.
+// writeLeadingChunks writes the first records of a job that is too large for one append, and leaves the last
+// ones in s.records. The first records have no effect without the last ones, which are written on the
+// condition that the partition has not grown.
 func (s *submission) writeLeadingChunks(ctx context.Context) error {
 	for {
 		n := recordsPerAppend(s.records)
@@ -228,8 +237,9 @@
 	}
 }
 
-// End cancels a job. It returns nil once the cancellation is in the store. Errors: errs.NotFound,
-// errs.Unauthenticated, errs.LogDown, errs.AppendUnknown.
+// End cancels the caller's job. It returns nil once the cancellation is in the store; a second cancellation
+// is a success as well. Errors: errs.NotFound, errs.Unauthenticated, errs.LogDown, errs.AppendUnknown (the
+// cancellation may have been stored).
 func (m *Manager) End(ctx context.Context, caller serving.Caller, id string) error {
 	id = backlog.ScopedID(caller.Workspace, id)
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
@@ -240,6 +250,7 @@
 	return err
 }
 
+// cancelJob cancels the job with a scoped id. Errors: those of End.
 func (m *Manager) cancelJob(ctx context.Context, caller serving.Caller, id string) error {
 	if err := m.ensureJobExists(ctx, caller, id); err != nil {
 		return err
@@ -254,7 +265,7 @@
 		return err
 	}
 	for {
-		// Cancellation is idempotent, so an append with a lost answer is repeated.
+		// A cancellation may be stored twice without effect, so an append whose answer was lost is repeated.
 		_, err := m.store.Append(ctx, platform.Append{Partition: jobPartition, Records: records})
 		if err == nil {
 			m.replica.applyOwn(records)
@@ -266,7 +277,7 @@
 	}
 }
 
-// logLevel returns the log level for a call that returned err.
+// logLevel returns the level of the log line about a call that returned err.
 func logLevel(err error) hclog.Level {
 	if err != nil {
 		return hclog.Warn
@@ -274,7 +285,7 @@
 	return hclog.Info
 }
 
-// logOutcome returns the outcome field of a log line for err.
+// logOutcome returns the outcome field of the log line about a call that returned err.
 func logOutcome(err error) string {
 	if err == nil {
 		return "done"
--- a/internal/backlog/task.go
+++ b/internal/backlog/task.go
@@ -14,41 +14,42 @@
 	"arbutusramp/internal/telemetry"
 )
 
-// task is an item that this process has to finish.
+// task is an unfinished item of a shard that this process owns, with the state of its runs here.
 type task struct {
 	shard *shard
 	job   *backlog.Job
-	index int
+	index int // of the item in its job
 
 	content *quarantine.Content // the request as it is sent to targets
 
-	takenAt time.Time // when this process took it on
+	takenAt time.Time // when the task was created
 
 	mu             sync.Mutex
-	hasRun         bool // a run has begun here
-	hasPassed      bool // a run here has passed; see quarantine.PassTime
-	isQuarantined  bool // it is quarantined
-	hasActiveRun   bool
-	outcome        backlog.Outcome // written or about to be written; empty until it is known
-	cancel         context.CancelFunc
-	isPreempted    bool
-	notBefore      time.Time
-	lastID         string // id of the last event in text
-	text           []byte
+	hasRun         bool                   // a run has begun in this process
+	hasPassed      bool                   // a run in this process has gone on for quarantine.PassTime after its first event
+	isQuarantined  bool                   // the last check found the content quarantined
+	hasActiveRun   bool                   // a run has begun and its verdict has not been applied
+	outcome        backlog.Outcome        // stored or queued to be stored; empty while the item is unfinished
+	cancel         context.CancelFunc     // cancels the last run; nil before the first
+	isPreempted    bool                   // the last run was cancelled because online requests need its slot
+	notBefore      time.Time              // the task must not start earlier
+	lastID         string                 // id of the last event in text
+	text           []byte                 // data of the events so far, joined by newlines
 	events         int                    // number of events in text
 	unsavedEvents  int                    // number of events since the last checkpoint
 	checkpoint     []platform.KeyedRecord // records of the last checkpoint; empty without one
-	failures       int                    // runs that a target has answered with a failure, at former owners as well
+	failures       int                    // failed runs, including those at former owners
 	unroutedChecks int                    // consecutive checks that found no route
-	avoidTargets   []string               // targets at which the last run was broken off or failed
+	avoidTargets   []string               // ids of targets at which the last run was broken off or failed
 }
 
-// newTask returns the task of an item that a shard takes on now.
+// newTask returns the task of the item at an index of a job, which belongs to shard s.
 func newTask(s *shard, j *backlog.Job, index int) *task {
 	return &task{shard: s, job: j, index: index, content: contentOf(j, index), takenAt: time.Now()}
 }
 
-// contentOf returns the content of a job's item as it is sent to targets.
+// contentOf returns the request of the item at an index of a job, as it is sent to targets, in the form in
+// which the quarantine identifies it.
 func contentOf(j *backlog.Job, index int) *quarantine.Content {
 	item := &j.Items[index]
 	return quarantine.NewContent(&serving.Request{
@@ -57,28 +58,30 @@
 	}).In(j.Route, j.ID)
 }
 
+// item returns the item of the task.
 func (t *task) item() *backlog.Item { return &t.job.Items[t.index] }
 
-// due returns the due time in milliseconds since 1970.
+// due returns the due time of the item in milliseconds since 1970.
 func (t *task) due() int64 { return t.job.Submitted + t.job.Due.Milliseconds() }
 
-// lastEvent returns the id of the task's last event; empty without one.
+// lastEvent returns the id of the last event of the task's text; empty without one.
 func (t *task) lastEvent() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lastID
 }
 
-// progress returns the task's progress.
+// progress returns the task's progress as it is stored for the next owner.
 func (t *task) progress() *backlog.Progress {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return &backlog.Progress{Job: t.job.ID, Item: t.item().ID, LastID: t.lastID, Text: string(t.text), Failures: t.failures, Outcome: t.outcome}
 }
 
-// mergeProgress continues from p if that is further and the task has no active run. If p has an outcome,
-// another process has finished the item: an active run is cancelled, so that a later call can apply the
-// outcome. mergeProgress returns the task's result, if p holds it.
+// mergeProgress merges the stored progress p into the task. While the task has an active run it only takes
+// the number of failures; if p has an outcome, another process has finished the item, and the run is
+// cancelled so that a later call can apply the outcome. Otherwise the task continues from the longer text.
+// mergeProgress returns the item's result if p has an outcome that the task takes, else nil.
 func (t *task) mergeProgress(p backlog.Progress) *pendingResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,25 +105,29 @@
 	return nil
 }
 
+// isCheckpointDue reports whether the item is unfinished and has had checkpointEvents or more events since
+// its last checkpoint.
 func (t *task) isCheckpointDue() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.outcome == "" && t.unsavedEvents >= checkpointEvents
 }
 
+// noteCheckpoint sets the records of the last checkpoint.
 func (t *task) noteCheckpoint(saved []platform.KeyedRecord) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.unsavedEvents, t.checkpoint = 0, saved
 }
 
+// lastCheckpoint returns the records of the last checkpoint; empty without one.
 func (t *task) lastCheckpoint() []platform.KeyedRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.checkpoint
 }
 
-// cancelRun cancels the task's run.
+// cancelRun cancels the task's active run, if there is one.
 func (t *task) cancelRun() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -129,34 +136,36 @@
 	}
 }
 
-// hasOutcome reports whether the task's outcome is known.
+// hasOutcome reports whether the outcome of the item has been decided.
 func (t *task) hasOutcome() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.outcome != ""
 }
 
-// eventCount returns the number of the task's events.
+// eventCount returns the number of events in the task's text.
 func (t *task) eventCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.events
 }
 
+// isRunning reports whether the task has an active run.
 func (t *task) isRunning() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.hasActiveRun
 }
 
-// isUnproven reports whether the task has an active run and none of its runs has passed.
+// isUnproven reports whether the task has an active run and none of its runs has shown that it does not crash
+// its target; see hasPassed.
 func (t *task) isUnproven() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.hasActiveRun && !t.hasPassed
 }
 
-// markPassed notes that a run of the task has passed. It reports whether that is new.
+// markPassed sets hasPassed. It reports whether that was not set before.
 func (t *task) markPassed() (isNew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -165,25 +174,28 @@
 	return isNew
 }
 
+// canStart reports whether a run may begin: the item is unfinished, has no active run, and its pause is over.
 func (t *task) canStart(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.hasActiveRun && t.outcome == "" && !now.Before(t.notBefore)
 }
 
-// setOutcome sets the task's outcome and returns its result for the shard. The caller holds the task's lock.
+// setOutcome sets the outcome of the item and returns its result, which the caller passes to the shard. The
+// caller holds the task's lock.
 func (t *task) setOutcome(o backlog.Outcome, text string) *pendingResult {
 	t.outcome = o
 	return &pendingResult{job: t.job, index: t.index, outcome: o, text: text}
 }
 
+// targetsToAvoid returns the ids of the targets at which the last run was broken off or failed.
 func (t *task) targetsToAvoid() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.avoidTargets
 }
 
-// preempt cancels a run whose slot online requests need.
+// preempt cancels the task's run with cancel because online requests need its slot.
 func (t *task) preempt(cancel context.CancelFunc) {
 	t.mu.Lock()
 	t.isPreempted = true
@@ -191,8 +203,8 @@
 	cancel()
 }
 
-// markUnrouted notes that a check found no route. It returns the task's result after maxUnroutedChecks of
-// them.
+// markUnrouted counts a check that found no route and delays the next one. After maxUnroutedChecks
+// consecutive checks it gives the item up and returns its result; before, it returns nil.
 func (t *task) markUnrouted(now time.Time) *pendingResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -204,9 +216,9 @@
 	return t.setOutcome(backlog.Errored, "")
 }
 
-// markQuarantined notes that the task is quarantined. It returns the task's result once its job allows to
-// give it up; before that, its content may still be cleared. isNew reports that the task was not quarantined
-// until now.
+// markQuarantined sets isQuarantined and delays the next check. After giveUpTime it gives the item up and
+// returns its result; before, it returns nil, because the content may still be cleared. isNew reports whether
+// the task was not quarantined until now.
 func (t *task) markQuarantined(now time.Time) (result *pendingResult, isNew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -219,12 +231,12 @@
 	return nil, isNew
 }
 
-// giveUpTime returns the time from which a quarantined task is given up.
+// giveUpTime returns the time from which the item is given up if it is quarantined.
 func (t *task) giveUpTime() time.Time {
 	return time.UnixMilli(t.job.Submitted).Add(t.job.Retain + maxClockSkew)
 }
 
-// markStarted notes that a run of the task begins; cancel ends it.
+// markStarted sets the task's state at the beginning of a run. cancel cancels the run.
 func (t *task) markStarted(cancel context.CancelFunc) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/backlog/tasks.go
+++ b/internal/backlog/tasks.go
@@ -2,77 +2,80 @@
 
 import "arbutusramp/core/backlog"
 
-// releaseShard cancels the runs of a shard's items and discards their tasks. Their progress is written for
-// the next owner, which resumes from there: events are the same from every target. This write needs no
-// fencing: the state keeps the longest progress, and none of finished items.
-func (d *scheduler) releaseShard(s *shard) {
-	d.mu.Lock()
-	delete(d.shards, s)
+// releaseShard cancels the runs of a shard's items, removes their tasks and writes their progress in the
+// background. The next owner resumes from this progress; the events of an item are the same from every
+// target. The write needs no fencing, because the state keeps the longest progress of an item and none of a
+// finished one.
+func (sc *scheduler) releaseShard(s *shard) {
+	sc.mu.Lock()
+	delete(sc.shards, s)
 	var released []*task
-	for key, t := range d.tasks {
+	for key, t := range sc.tasks {
 		if t.shard == s {
 			t.cancelRun()
 			released = append(released, t)
-			delete(d.tasks, key)
+			delete(sc.tasks, key)
 		}
 	}
-	d.mu.Unlock()
-	d.m.saveProgress(released)
+	sc.mu.Unlock()
+	sc.m.saveProgress(released)
 }
 
-// applyProgress applies the stored progress of a task, if that is further. In any case it counts as the last
-// checkpoint, to be deleted once the task is finished. applyProgress returns the task's result, if the
-// progress holds it.
-func (d *scheduler) applyProgress(t *task, p backlog.Progress) *pendingResult {
+// applyProgress merges the stored progress of an item into its task; see mergeProgress. If the task has no
+// checkpoint, the stored progress becomes its last checkpoint, which is deleted once the item has a result.
+func (sc *scheduler) applyProgress(t *task, p backlog.Progress) *pendingResult {
 	if !p.Begun() {
 		return nil
 	}
 	result := t.mergeProgress(p)
 	if len(t.lastCheckpoint()) == 0 {
-		t.noteCheckpoint(d.m.encodeProgress(t, &p))
+		t.noteCheckpoint(sc.m.encodeProgress(t, &p))
 	}
 	return result
 }
 
-// inheritedResult is a result that a former owner could not write, and the shard that writes it now.
+// inheritedResult is a result that a former owner has stored as progress, and the shard that writes it as a
+// result.
 type inheritedResult struct {
 	shard  *shard
 	result *pendingResult
 }
 
-// sync adds tasks for new jobs of the owned shards, removes finished ones and passes inherited results
-// to their shards. It returns a channel that the next change of the state closes.
-func (d *scheduler) sync() <-chan struct{} {
-	changed, inherited := d.updateTasks()
-	for _, e := range inherited {
-		e.shard.enqueueResult(e.result)
+// sync updates the tasks as updateTasks does and passes inherited results to their shards. It returns a
+// channel that is closed at the next change of the state.
+func (sc *scheduler) sync() <-chan struct{} {
+	changed, inherited := sc.updateTasks()
+	for _, r := range inherited {
+		r.shard.enqueueResult(r.result)
 	}
 	return changed
 }
 
-// updateTasks does the work of sync under the scheduler's lock, under which results must not be passed to
-// shards.
-func (d *scheduler) updateTasks() (changed <-chan struct{}, inherited []inheritedResult) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	owned := make(map[int]*shard, len(d.shards))
-	for s := range d.shards {
+// updateTasks adds tasks for new items of the owned shards, removes those of finished and cancelled items,
+// and merges stored progress into the others. It returns a channel that is closed at the next change of the
+// state. It also returns the inherited results: they must not be passed to shards under the scheduler's lock,
+// which it holds.
+func (sc *scheduler) updateTasks() (changed <-chan struct{}, inherited []inheritedResult) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	owned := make(map[int]*shard, len(sc.shards))
+	for s := range sc.shards {
 		owned[s.index] = s
 	}
-	changed = d.m.replica.withState(func(st *backlog.State) {
+	changed = sc.m.replica.withState(func(st *backlog.State) {
 		st.Open(func(j *backlog.Job) {
-			if s, ok := owned[d.m.shardOf(j.ID)]; ok {
-				d.addJob(st, s, j)
+			if s, ok := owned[sc.m.shardOf(j.ID)]; ok {
+				sc.addJob(st, s, j)
 			}
 		})
-		for key, t := range d.tasks {
+		for key, t := range sc.tasks {
 			if st.Done(t.job.ID, t.item().ID) || st.Ended(t.job.ID) {
 				t.cancelRun()
-				delete(d.tasks, key)
-				d.tombstones = append(d.tombstones, backlog.Drop(t.lastCheckpoint())...)
+				delete(sc.tasks, key)
+				sc.tombstones = append(sc.tombstones, backlog.Drop(t.lastCheckpoint())...)
 				continue
 			}
-			if result := d.applyProgress(t, st.Progress(t.job.ID, t.item().ID)); result != nil {
+			if result := sc.applyProgress(t, st.Progress(t.job.ID, t.item().ID)); result != nil {
 				inherited = append(inherited, inheritedResult{t.shard, result})
 			}
 		}
@@ -80,12 +83,14 @@
 	return changed, inherited
 }
 
-func (d *scheduler) addJob(st *backlog.State, s *shard, j *backlog.Job) {
+// addJob adds tasks for the unfinished items of a job, which belongs to shard s. The caller holds the
+// scheduler's lock.
+func (sc *scheduler) addJob(st *backlog.State, s *shard, j *backlog.Job) {
 	for i := range j.Items {
 		key := j.ID + "/" + j.Items[i].ID
-		if _, ok := d.tasks[key]; ok || st.Done(j.ID, j.Items[i].ID) {
+		if _, ok := sc.tasks[key]; ok || st.Done(j.ID, j.Items[i].ID) {
 			continue
 		}
-		d.tasks[key] = newTask(s, j, i)
+		sc.tasks[key] = newTask(s, j, i)
 	}
 }
