--- a/internal/backlog/texts.go
+++ b/internal/backlog/texts.go
@@ -13,26 +13,25 @@
 	"arbutusramp/core/sleep"
 )
 
-// textOverheadBytes bounds the size of a text's records besides the text: keys, lengths and encoding.
+// textOverheadBytes is the maximum size of the records of a text, without the text: keys, lengths and encoding.
 const textOverheadBytes = 1 << 10
 
-// textStore writes and reads the item outputs that are stored separately from their results, in a partition
-// that no process follows.
+// textStore writes and reads texts, the outputs of items, that are stored separately from their results. They
+// are in a partition of their own, from which a process reads only the texts that its callers ask for.
 //
 // If every process read every text, the start of many processes would saturate the store, and none could own
-// a shard before it had read all texts. A separately stored text is read only by the process that is asked
-// for it.
+// a shard before it had read all texts.
 type textStore struct {
 	store platform.Store
 	log   hclog.Logger
 }
 
 // write writes texts to the store and returns the offset of each by its key. It repeats a write that failed
-// or was not answered: the same text has the same key. ok is false if ctx has ended or a text can't be
-// encoded.
-func (t *textStore) write(ctx context.Context, list []backlog.Text) (offsets map[string]uint64, ok bool) {
+// or was not answered; that is safe, because the same text has the same key. ok is false if ctx has ended or
+// a text can't be encoded.
+func (t *textStore) write(ctx context.Context, texts []backlog.Text) (offsets map[string]uint64, ok bool) {
 	var records []platform.KeyedRecord
-	for _, text := range list {
+	for _, text := range texts {
 		encoded, err := backlog.EncodeText(text)
 		if err != nil {
 			t.log.Error("can't encode text", "job", text.Job, "index", text.Index, "error", err)
@@ -49,7 +48,7 @@
 			return recordOffsets(records, appended.First), true
 		}
 		if tries == 0 {
-			t.log.Warn("texts not written yet", "texts", len(list), "error", err)
+			t.log.Warn("texts not written yet", "texts", len(texts), "error", err)
 		}
 		if !sleep.For(ctx, writeRetryPause) {
 			return nil, false
@@ -57,6 +56,7 @@
 	}
 }
 
+// recordOffsets returns the offsets of adjacent records by key. first is the offset of the first one.
 func recordOffsets(records []platform.KeyedRecord, first uint64) map[string]uint64 {
 	offsets := make(map[string]uint64, len(records))
 	for i, r := range records {
@@ -65,8 +65,9 @@
 	return offsets
 }
 
-// fillPage adds the texts to a page of results. The page ends before the first text that can't be read now;
-// if that is the text of its first result, the error is errs.LogDown.
+// fillPage reads the separately stored texts of a page's results and adds them. It shortens the page to end
+// before the first result whose text can't be read now. If that is the first result of the page, it returns
+// errs.LogDown.
 func (t *textStore) fillPage(ctx context.Context, page *backlog.Page) error {
 	for i := 0; i < len(page.Results); {
 		n := adjacentCount(page.Results[i:])
@@ -79,28 +80,30 @@
 	return nil
 }
 
-// adjacentCount returns the number of leading results, at least one, whose texts one call reads: results
-// whose texts were written together, or a single result without a separate text.
+// adjacentCount returns the number of leading results, at least one, whose texts one call reads, because they
+// follow each other in the store and have at most readBytes. It is 1 if the first result has no separate
+// text.
 func adjacentCount(results []backlog.Result) int {
 	size := results[0].Size
 	for i := 1; i < len(results); i++ {
-		before, r := &results[i-1], &results[i]
+		previous, r := &results[i-1], &results[i]
 		size += r.Size
-		if !before.Apart() || !r.Apart() || size > readBytes || r.TextAt != before.TextAt+uint64(before.TextRecords()) {
+		if !previous.Apart() || !r.Apart() || size > readBytes || r.TextAt != previous.TextAt+uint64(previous.TextRecords()) {
 			return i
 		}
 	}
 	return len(results)
 }
 
-// setTexts sets the texts of results and returns the number of leading results that have theirs.
-func setTexts(results []backlog.Result, texts map[string]string) int {
+// setTexts sets the separately stored texts of results. It stops before the first result whose text is
+// missing from textByKey, and returns the number of results before that one.
+func setTexts(results []backlog.Result, textByKey map[string]string) int {
 	for i := range results {
 		r := &results[i]
 		if !r.Apart() {
 			continue
 		}
-		text, ok := texts[r.TextKey()]
+		text, ok := textByKey[r.TextKey()]
 		if !ok {
 			return i
 		}
@@ -109,22 +112,23 @@
 	return len(results)
 }
 
-// truncatePage ends a page before a result.
-func (t *textStore) truncatePage(page *backlog.Page, at int, err error) error {
-	missing := page.Results[at]
+// truncatePage shortens a page to the results before index, whose text could not be read because of err, or
+// is missing from the store's answer if err is nil. It returns errs.LogDown if no result is left.
+func (t *textStore) truncatePage(page *backlog.Page, index int, err error) error {
+	missing := page.Results[index]
 	if err == nil {
-		err = errs.New(errs.LogDown, "the store's answer does not contain it")
+		err = errs.New(errs.LogDown, "the store's answer does not contain the text")
 	}
 	t.log.Warn("text not read", "job", missing.Job, "item", missing.Item, "position", missing.Position, "text_at", missing.TextAt, "error", err)
-	if at == 0 {
-		return errs.Newf(errs.LogDown, "read the text of job %s, item %s: %v", missing.Job, missing.Item, err)
+	if index == 0 {
+		return errs.Newf(errs.LogDown, "can't read the text of job %s, item %s: %v", missing.Job, missing.Item, err)
 	}
-	page.Results, page.Next = page.Results[:at], missing.Position
+	page.Results, page.Next = page.Results[:index], missing.Position
 	return nil
 }
 
-// readAdjacent returns the texts of adjacent results by their keys. Errors: those of the store,
-// errs.BadFrame.
+// readAdjacent reads the texts of results whose texts follow each other in the store, and returns them by
+// key. It may return some of them with an error. Errors: those of the store, errs.BadFrame.
 func (t *textStore) readAdjacent(ctx context.Context, results []backlog.Result) (map[string]string, error) {
 	if !results[0].Apart() {
 		return nil, nil
@@ -138,7 +142,8 @@
 	return textByKey, err
 }
 
-// readAtOffsets reads texts at the offsets where they were written.
+// readAtOffsets reads the texts of adjacent results at the offsets at which they were written, and adds them to
+// textByKey. Errors: those of readAdjacent; *platform.Expired if the store no longer keeps these offsets.
 func (t *textStore) readAtOffsets(ctx context.Context, results []backlog.Result, textByKey map[string]string) error {
 	reader := backlog.NewTextReader()
 	size, records := 0, 0
@@ -160,7 +165,8 @@
 	return nil
 }
 
-// readNewest reads all texts of a job by key, once the history of their partition has expired.
+// readNewest reads all separately stored texts of a job by key and adds them to textByKey. It is used for
+// texts whose offsets have expired. Errors: those of readAdjacent.
 func (t *textStore) readNewest(ctx context.Context, job string, textByKey map[string]string) error {
 	reader := backlog.NewTextReader()
 	prefix := backlog.TextPrefix(job)
@@ -175,7 +181,8 @@
 	return decodeErr
 }
 
-// collectTexts adds the texts that the records complete.
+// collectTexts passes records to reader and adds each text that they complete to textByKey. Errors:
+// errs.BadFrame.
 func collectTexts(reader *backlog.TextReader, records []platform.StoredRecord, textByKey map[string]string) error {
 	for _, rec := range records {
 		if len(rec.Value) == 0 {
--- a/internal/backlog/texts_test.go
+++ b/internal/backlog/texts_test.go
@@ -13,150 +13,154 @@
 	"arbutusramp/standin/keyedlog"
 )
 
-// A position of a job must always show the same text. An owner is frozen with an item that is nearly
-// finished, and the shard is reassigned to another one, which runs the item and lists it. The first owner
-// resumes, takes what has arrived for the item's whole output and writes that text; its result is rejected,
-// since its epoch is old. If the text's key depended on the item alone, the later text would replace that of
-// the listed result, and the position would change seconds after it was first read.
+// A position of a job must always show the same text. An owner is frozen while it runs an item, and the shard
+// is reassigned to another owner, which completes the item and writes its result. The first owner resumes,
+// treats what it has received as the item's whole output and writes that text; its result is rejected, since
+// its epoch is old. If the text's key depended on the item alone, the later text would replace that of the
+// stored result, and the position would change seconds after it was first read.
 func TestResultKeepsTextDespiteFormerOwnersWrite(t *testing.T) {
-	const whole, early = "one\ntwo\nthree", "one\ntwo"
+	const whole, truncated = "one\ntwo\nthree", "one\ntwo"
 	store := keyedlog.New(1)
-	owner, former := newTestTextStore(store), newTestTextStore(store)
-	at, ok := owner.write(context.Background(), []backlog.Text{{Job: "j", Index: 4, Text: whole}})
+	owner, formerOwner := newTestTextStore(store), newTestTextStore(store)
+	offsets, ok := owner.write(context.Background(), []backlog.Text{{Job: "j", Index: 4, Text: whole}})
 	if !ok {
-		t.Fatal("the text was not written")
+		t.Fatal("write of the owner's text returned false, want true")
 	}
-	if _, ok := former.write(context.Background(), []backlog.Text{{Job: "j", Index: 4, Text: early}}); !ok {
-		t.Fatal("the former owner's text was not written")
+	if _, ok := formerOwner.write(context.Background(), []backlog.Text{{Job: "j", Index: 4, Text: truncated}}); !ok {
+		t.Fatal("write of the former owner's text returned false, want true")
 	}
 	r := resultWithText("j", 4, whole)
-	r.TextAt = at[r.TextKey()]
+	r.TextAt = offsets[r.TextKey()]
 	for _, history := range []string{"kept", "expired"} {
 		page := backlog.Page{Results: []backlog.Result{r}}
 		if err := newTestTextStore(store).fillPage(context.Background(), &page); err != nil || page.Results[0].Text != whole {
-			t.Errorf("history %s: the position shows %q, %v", history, page.Results[0].Text, err)
+			t.Errorf("with the history %s the position shows %q, error %v; want the owner's whole text and no error", history, page.Results[0].Text, err)
 		}
 		store.Forget()
 	}
 }
 
+// newTestTextStore returns a textStore with a connection of its own to the store, as each process has.
 func newTestTextStore(store *keyedlog.Store) *textStore {
 	return &textStore{store: store.View(), log: testLogger("texts")}
 }
 
-// resultWithText returns a result whose text is stored separately.
+// resultWithText returns a result of an item whose text is stored separately. Its TextAt is not set.
 func resultWithText(job string, index int, text string) backlog.Result {
 	return backlog.Result{Job: job, Index: index, Outcome: backlog.Complete, Size: len(text), Sum: backlog.Sum(text)}
 }
 
-// A text must not be stored in the record of its result, which every process reads, while a text is needed by
-// one process only. Otherwise each process reads all kept results with their texts before it can own a shard,
-// and after the loss of all processes no batch work is done for seconds.
+// With many processes a text must not be stored in the record of its result, which every process reads.
+// Otherwise each process reads the texts of all results before it can own a shard, and after the loss of all
+// processes no items run for seconds.
 func TestTextStoredSeparatelyFromResult(t *testing.T) {
-	withCluster(t, 2, func(t *testing.T, w *cluster) {
-		j := w.job("a", "okay", "okay", "fail")
-		w.nodes[0].submit(j)
-		w.checkResults(j, w.nodes[1].results(j, 20*time.Second))
+	withCluster(t, 2, func(t *testing.T, cl *cluster) {
+		j := cl.job("a", "okay", "okay", "fail")
+		cl.nodes[0].submit(j)
+		cl.checkResults(j, cl.nodes[1].results(j, 20*time.Second))
 		size := 0
-		for _, r := range w.store.Records(resultPartition) {
+		for _, r := range cl.store.Records(resultPartition) {
 			size += len(r.Value)
 		}
 		if size > len(j.Items)*100 {
-			t.Errorf("the results of %d items take %d bytes without their texts", len(j.Items), size)
+			t.Errorf("the results of %d items take %d bytes without their texts, want at most 100 per item", len(j.Items), size)
 		}
 	})
 }
 
-// With few processes a text is stored in its result, which saves the calls for it.
+// A text must be stored in the record of its result if all processes together read at most SpreadBytes of it,
+// which saves a separate read.
 func TestShortTextStoredInResult(t *testing.T) {
-	withCluster(t, 2, func(t *testing.T, w *cluster) {
-		n := w.nodes[0]
+	withCluster(t, 2, func(t *testing.T, cl *cluster) {
+		n := cl.nodes[0]
 		n.manager.opts.SpreadBytes = 100
 		n.fleet.ApplyReport("other", fleet.Report{})
 		for size, want := range map[int]bool{0: true, 50: true, 51: false} {
 			if got := n.manager.storesInline(strings.Repeat("x", size)); got != want {
-				t.Errorf("a text of %d bytes with one peer: inline %v", size, got)
+				t.Errorf("a text of %d bytes with one other process is stored inline: %v, want the opposite", size, got)
 			}
 		}
 		time.Sleep(2 * time.Second)
 		if !n.manager.storesInline(strings.Repeat("x", 100)) {
-			t.Error("a text of 100 bytes without peers is stored separately")
+			t.Error("a text of 100 bytes without other processes is stored separately, want it inline")
 		}
 	})
 }
 
-// A text is found at the offset where it was written, by its key once the history has expired, and after all
-// processes were replaced.
+// A separately stored text must be read at the offset at which it was written, or by its key once the history
+// has expired, also by processes that were started later.
 func TestTextReadFromStore(t *testing.T) {
-	withCluster(t, 2, func(t *testing.T, w *cluster) {
-		j := w.job("a", repeat("okay", 12)...)
-		w.nodes[0].submit(j)
-		w.checkResults(j, w.nodes[0].results(j, 20*time.Second))
-		w.checkResults(j, w.start("second").results(j, 3*time.Second))
-		w.store.Forget()
-		w.checkResults(j, w.start("third").results(j, 3*time.Second))
+	withCluster(t, 2, func(t *testing.T, cl *cluster) {
+		j := cl.job("a", repeat("okay", 12)...)
+		cl.nodes[0].submit(j)
+		cl.checkResults(j, cl.nodes[0].results(j, 20*time.Second))
+		cl.checkResults(j, cl.start("second").results(j, 3*time.Second))
+		cl.store.Forget()
+		cl.checkResults(j, cl.start("third").results(j, 3*time.Second))
 	})
 }
 
-// A process that has a result but can't read its text returns a retryable error, and serves the result later.
+// A process that has a result but can't read its text must return a retryable error, and the result once it
+// can.
 func TestUnreadableText(t *testing.T) {
-	withCluster(t, 1, func(t *testing.T, w *cluster) {
-		j := w.job("a", "okay", "okay")
-		w.nodes[0].submit(j)
-		w.checkResults(j, w.nodes[0].results(j, 20*time.Second))
-		n := w.start("other")
+	withCluster(t, 1, func(t *testing.T, cl *cluster) {
+		j := cl.job("a", "okay", "okay")
+		cl.nodes[0].submit(j)
+		cl.checkResults(j, cl.nodes[0].results(j, 20*time.Second))
+		n := cl.start("other")
 		time.Sleep(time.Second)
 		n.view.Set(keyedlog.Faults{Refuse: true})
 		if _, err := n.manager.Results(context.Background(), serving.Caller{}, j.ID, 0, 0); !errs.Is(err, errs.LogDown) || errs.As(err).RetryAfterMs == 0 {
-			t.Errorf("without the store: %v", err)
+			t.Errorf("results without a reachable store: error is %v, want errs.LogDown with a retry delay", err)
 		}
 		n.view.Set(keyedlog.Faults{})
-		w.checkResults(j, n.results(j, 5*time.Second))
+		cl.checkResults(j, n.results(j, 5*time.Second))
 	})
 }
 
-// A page ends before the first missing text, and one call reads texts that were written together.
+// A page must end before the first result whose text is missing, and one call must read texts that were written
+// together.
 func TestPageEndsBeforeMissingText(t *testing.T) {
 	store := keyedlog.New(1)
 	texts := newTestTextStore(store)
-	at, ok := texts.write(context.Background(), []backlog.Text{{Job: "j", Text: "first"}, {Job: "j", Index: 1, Text: "second"}})
+	offsets, ok := texts.write(context.Background(), []backlog.Text{{Job: "j", Text: "first"}, {Job: "j", Index: 1, Text: "second"}})
 	if !ok {
-		t.Fatal("the texts were not written")
+		t.Fatal("write of two texts returned false, want true")
 	}
 	first, second, missing := resultWithText("j", 0, "first"), resultWithText("j", 1, "second"), resultWithText("j", 3, "never written")
-	first.TextAt, second.TextAt, missing.TextAt = at[first.TextKey()], at[second.TextKey()], 2
+	first.TextAt, second.TextAt, missing.TextAt = offsets[first.TextKey()], offsets[second.TextKey()], 2
 	first.Position, second.Position, missing.Position = 4, 5, 7
 	results := []backlog.Result{first, second, {Job: "j", Position: 6, Index: 2, Text: "short"}, missing}
 	if n := adjacentCount(results); n != 2 {
-		t.Errorf("%d results are read at once, want 2", n)
+		t.Errorf("the texts of %d results are read in one call, want 2", n)
 	}
 	page := backlog.Page{Total: 9, Next: 8, Results: results}
 	if err := texts.fillPage(context.Background(), &page); err != nil {
 		t.Fatal(err)
 	}
 	if page.Next != 7 || len(page.Results) != 3 || page.Results[0].Text != "first" || page.Results[1].Text != "second" || page.Results[2].Text != "short" {
-		t.Errorf("page %+v", page)
+		t.Errorf("the filled page is %+v, want the texts first, second and short, and next position 7", page)
 	}
 	page.Results = []backlog.Result{missing}
 	if err := texts.fillPage(context.Background(), &page); !errs.Is(err, errs.LogDown) {
-		t.Errorf("a page of one missing text: %v", err)
+		t.Errorf("a page whose only text is missing: error is %v, want errs.LogDown", err)
 	}
 }
 
-// A text of many records is written and read like any other.
+// A text of several records must be read whole, at its offset and by its key.
 func TestLargeText(t *testing.T) {
 	store := keyedlog.New(1)
 	large := strings.Repeat("0123456789", 100_000)
-	at, ok := newTestTextStore(store).write(context.Background(), []backlog.Text{{Job: "j", Text: "first"}, {Job: "j", Index: 4, Text: large}})
-	if !ok || len(at) < 4 {
-		t.Fatalf("offsets %v, %v", at, ok)
+	offsets, ok := newTestTextStore(store).write(context.Background(), []backlog.Text{{Job: "j", Text: "first"}, {Job: "j", Index: 4, Text: large}})
+	if !ok || len(offsets) < 4 {
+		t.Fatalf("the write returned offsets %v and ok %v, want at least 4 offsets and true", offsets, ok)
 	}
 	r := resultWithText("j", 4, large)
-	r.TextAt = at[r.TextKey()]
+	r.TextAt = offsets[r.TextKey()]
 	for range 2 {
 		page := backlog.Page{Results: []backlog.Result{r}}
 		if err := newTestTextStore(store).fillPage(context.Background(), &page); err != nil || page.Results[0].Text != large {
-			t.Errorf("%d bytes, %v", len(page.Results[0].Text), err)
+			t.Errorf("the text read has %d bytes, error %v; want the whole text of 1000000 bytes and no error", len(page.Results[0].Text), err)
 		}
 		store.Forget()
 	}
--- a/internal/backlog/watchdog.go
+++ b/internal/backlog/watchdog.go
@@ -10,23 +10,25 @@
 	"arbutusramp/internal/fleetview"
 )
 
-// watchdog cancels the run of an item whose target has stopped sending: the item can resume at another
-// target, and its slot here may belong to a target that has ended.
+// watchdog cancels a run of an item if its target stops sending. The item can then resume at another target,
+// and a slot is freed that may belong to a target that has ended.
 type watchdog struct {
 	run *fleetview.Run
-	// hasCancelledRun reports that the watchdog has cancelled the run.
+	// hasCancelledRun is set once the watchdog has cancelled the run.
 	hasCancelledRun atomic.Bool
 
 	mu           sync.Mutex
-	lastActivity time.Time
+	lastActivity time.Time // of the last answer or event of the run; at first the start of the watchdog
 }
 
+// newWatchdog starts a watchdog of run r, which ends with ctx. cancel cancels the run.
 func newWatchdog(ctx context.Context, cancel context.CancelFunc, r *fleetview.Run) *watchdog {
 	w := &watchdog{run: r, lastActivity: time.Now()}
 	go w.watch(ctx, cancel)
 	return w
 }
 
+// noteEvent records that the target has just sent an answer or an event of the run.
 func (w *watchdog) noteEvent() {
 	w.mu.Lock()
 	w.lastActivity = time.Now()
@@ -34,6 +36,9 @@
 	w.run.NoteActivity()
 }
 
+// watch cancels the run once the target has sent nothing on any stream for too long, which also counts as a
+// failure of the target, or nothing of this run for longer than itemIdleTimeout allows. It returns then or
+// when ctx ends.
 func (w *watchdog) watch(ctx context.Context, cancel context.CancelFunc) {
 	for sleep.For(ctx, watchdogInterval) {
 		w.mu.Lock()
