--- a/core/backlog/state.go
+++ b/core/backlog/state.go
@@ -79,97 +79,97 @@
 
 // jobStateFor returns the state of a job and adds an empty one for a new id.
 func (s *State) jobStateFor(id string) *jobState {
-	j, ok := s.jobs[id]
+	js, ok := s.jobs[id]
 	if !ok {
-		j = &jobState{doneItems: make(map[string]bool), progress: make(map[string]Progress)}
-		s.jobs[id] = j
+		js = &jobState{doneItems: make(map[string]bool), progress: make(map[string]Progress)}
+		s.jobs[id] = js
 	}
-	return j
+	return js
 }
 
 func (s *State) applyJob(j *Job) {
-	st := s.jobStateFor(j.ID)
-	if st.job == nil {
-		st.job = j
+	js := s.jobStateFor(j.ID)
+	if js.job == nil {
+		js.job = j
 	}
 }
 
 func (s *State) applyCancel(id *string) {
-	st := s.jobStateFor(*id)
-	st.isCancelled = true
-	clear(st.progress)
+	js := s.jobStateFor(*id)
+	js.isCancelled = true
+	clear(js.progress)
 }
 
 func (s *State) applyResult(r *Result) {
-	st := s.jobStateFor(r.Job)
-	for len(st.results) <= r.Position {
-		st.results = append(st.results, nil)
+	js := s.jobStateFor(r.Job)
+	for len(js.results) <= r.Position {
+		js.results = append(js.results, nil)
 	}
-	if st.results[r.Position] == nil {
-		st.results[r.Position] = r
-		st.doneItems[r.Item] = true
-		delete(st.progress, r.Item)
+	if js.results[r.Position] == nil {
+		js.results[r.Position] = r
+		js.doneItems[r.Item] = true
+		delete(js.progress, r.Item)
 	}
 }
 
 func (s *State) applyProgress(p *Progress) {
-	st := s.jobStateFor(p.Job)
-	if !st.doneItems[p.Item] && !st.isCancelled {
-		merged := st.progress[p.Item]
+	js := s.jobStateFor(p.Job)
+	if !js.doneItems[p.Item] && !js.isCancelled {
+		merged := js.progress[p.Item]
 		merged.Merge(*p)
-		st.progress[p.Item] = merged
+		js.progress[p.Item] = merged
 	}
 }
 
 // Job returns the accepted job with the id, and false if there is none.
 func (s *State) Job(id string) (*Job, bool) {
-	st, ok := s.jobs[id]
-	if !ok || st.job == nil {
+	js, ok := s.jobs[id]
+	if !ok || js.job == nil {
 		return nil, false
 	}
-	return st.job, true
+	return js.job, true
 }
 
 // Ended reports whether the job's caller has cancelled it.
 func (s *State) Ended(id string) bool {
-	st, ok := s.jobs[id]
-	return ok && st.isCancelled
+	js, ok := s.jobs[id]
+	return ok && js.isCancelled
 }
 
 // Done reports whether an item of a job has a result.
 func (s *State) Done(job, item string) bool {
-	st, ok := s.jobs[job]
-	return ok && st.doneItems[item]
+	js, ok := s.jobs[job]
+	return ok && js.doneItems[item]
 }
 
 // Listed returns the number of a job's results before the first position without one. Only these are returned
 // to callers.
 func (s *State) Listed(id string) int {
-	st, ok := s.jobs[id]
+	js, ok := s.jobs[id]
 	if !ok {
 		return 0
 	}
-	if i := slices.Index(st.results, nil); i >= 0 {
+	if i := slices.Index(js.results, nil); i >= 0 {
 		return i
 	}
-	return len(st.results)
+	return len(js.results)
 }
 
 // Page returns a page of a job's results that begins at position from. It holds the first result, if there is
 // one, and further ones as long as the texts of all of them have at most maxBytes.
 func (s *State) Page(id string, from, maxBytes int) Page {
-	st, ok := s.jobs[id]
-	if !ok || st.job == nil {
+	js, ok := s.jobs[id]
+	if !ok || js.job == nil {
 		return Page{Next: from}
 	}
-	page := Page{Total: len(st.job.Items), Next: from}
+	page := Page{Total: len(js.job.Items), Next: from}
 	size := 0
 	for i := from; i < s.Listed(id); i++ {
-		size += len(st.results[i].Text) + st.results[i].Size
+		size += len(js.results[i].Text) + js.results[i].Size
 		if i > from && size > maxBytes {
 			break
 		}
-		page.Results = append(page.Results, *st.results[i])
+		page.Results = append(page.Results, *js.results[i])
 		page.Next = i + 1
 	}
 	return page
@@ -177,11 +177,11 @@
 
 // Progress returns the stored progress of an item. Only its fields Job and Item are set if there is none.
 func (s *State) Progress(job, item string) Progress {
-	st, ok := s.jobs[job]
+	js, ok := s.jobs[job]
 	if !ok {
 		return Progress{Job: job, Item: item}
 	}
-	p := st.progress[item]
+	p := js.progress[item]
 	p.Job, p.Item = job, item
 	return p
 }
@@ -193,24 +193,24 @@
 	if !ok {
 		return false
 	}
-	st, isKnown := s.jobs[job]
-	if !isKnown || st.job == nil || st.isCancelled {
+	js, isKnown := s.jobs[job]
+	if !isKnown || js.job == nil || js.isCancelled {
 		return true
 	}
-	return index >= len(st.job.Items) || st.doneItems[st.job.Items[index].ID]
+	return index >= len(js.job.Items) || js.doneItems[js.job.Items[index].ID]
 }
 
 // Queued returns the number of tokens of all unfinished items of a workspace's jobs on a route. Items of
 // cancelled jobs don't count.
 func (s *State) Queued(workspace, route string) int64 {
 	var sum int64
-	for _, st := range s.jobs {
-		if st.job == nil || st.isCancelled || st.job.Route != route || st.job.Workspace != workspace {
+	for _, js := range s.jobs {
+		if js.job == nil || js.isCancelled || js.job.Route != route || js.job.Workspace != workspace {
 			continue
 		}
-		for i := range st.job.Items {
-			if !st.doneItems[st.job.Items[i].ID] {
-				sum += st.job.Items[i].Tokens
+		for i := range js.job.Items {
+			if !js.doneItems[js.job.Items[i].ID] {
+				sum += js.job.Items[i].Tokens
 			}
 		}
 	}
@@ -219,9 +219,9 @@
 
 // Open calls visit for each job that is not cancelled and has unfinished items.
 func (s *State) Open(visit func(*Job)) {
-	for _, st := range s.jobs {
-		if st.job != nil && !st.isCancelled && len(st.doneItems) < len(st.job.Items) {
-			visit(st.job)
+	for _, js := range s.jobs {
+		if js.job != nil && !js.isCancelled && len(js.doneItems) < len(js.job.Items) {
+			visit(js.job)
 		}
 	}
 }
@@ -229,12 +229,12 @@
 // Expired calls visit for each job that was submitted before beforeMs, in milliseconds since 1970, and is
 // cancelled or has all its results.
 func (s *State) Expired(beforeMs int64, visit func(*Job)) {
-	for _, st := range s.jobs {
-		if st.job == nil || st.job.Submitted >= beforeMs {
+	for _, js := range s.jobs {
+		if js.job == nil || js.job.Submitted >= beforeMs {
 			continue
 		}
-		if st.isCancelled || len(st.doneItems) == len(st.job.Items) {
-			visit(st.job)
+		if js.isCancelled || len(js.doneItems) == len(js.job.Items) {
+			visit(js.job)
 		}
 	}
 }
@@ -246,16 +246,16 @@
 // Forget returns the tombstones that delete a job; none for an unknown job. It does not change the state.
 // Errors: those of EncodeJob.
 func (s *State) Forget(id string) (Forgotten, error) {
-	st, ok := s.jobs[id]
-	if !ok || st.job == nil {
+	js, ok := s.jobs[id]
+	if !ok || js.job == nil {
 		return Forgotten{}, nil
 	}
-	jobs, err := EncodeJob(st.job)
+	jobs, err := EncodeJob(js.job)
 	if err != nil {
 		return Forgotten{}, err
 	}
 	tombstones := Forgotten{Jobs: Drop(jobs)}
-	for _, r := range st.results {
+	for _, r := range js.results {
 		if r == nil {
 			continue
 		}
@@ -266,7 +266,7 @@
 		tombstones.Results = append(tombstones.Results, Drop(records)...)
 		tombstones.Texts = append(tombstones.Texts, r.textTombstones()...)
 	}
-	if st.isCancelled {
+	if js.isCancelled {
 		tombstones.Jobs = append(tombstones.Jobs, platform.KeyedRecord{Key: joinKey(kindCancel, id)})
 	}
 	return tombstones, nil
--- a/core/backlog/state_test.go
+++ b/core/backlog/state_test.go
@@ -38,8 +38,8 @@
 	return all
 }
 
-// The state must not depend on the order in which records are applied, or on how often. A process that loads the
-// backlog reads the newest records in key order, and then reads some of them again.
+// The state must not depend on the order in which records are applied, or on how often. A process that loads
+// the backlog reads the newest records in key order, and then reads some of them again.
 func TestStateIndependentOfRecordOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 50 {
@@ -58,8 +58,8 @@
 		if p := s.Progress("job", "i2"); p.LastID != "2" || p.Text != "a\nb" {
 			t.Fatalf("progress of i2 is %+v, want last event 2 and the two lines a and b", p)
 		}
-		if q := s.Queued("", "r"); q != 10 || s.Queued("", "other") != 0 {
-			t.Fatalf("%d tokens are queued on route r, want 10 there and 0 on another route", q)
+		if queued := s.Queued("", "r"); queued != 10 || s.Queued("", "other") != 0 {
+			t.Fatalf("%d tokens are queued on route r, want 10 there and 0 on another route", queued)
 		}
 	}
 }
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -245,12 +245,12 @@
 		if seen[r.Item] > 1 {
 			cl.reportFailure("job %s: item %s has more than one position, want one", j.ID, r.Item)
 		}
-		want, outcome := expectedOutput(r.Item), backlog.Complete
+		wantText, wantOutcome := expectedOutput(r.Item), backlog.Complete
 		if !strings.HasPrefix(r.Item, "ok") {
-			want, outcome = "", backlog.Errored
+			wantText, wantOutcome = "", backlog.Errored
 		}
-		if r.Outcome != outcome || r.Text != want {
-			cl.reportFailure("job %s: the result of item %s is %s with a text of %d bytes, want %s with the expected text of %d bytes", j.ID, r.Item, r.Outcome, len(r.Text), outcome, len(want))
+		if r.Outcome != wantOutcome || r.Text != wantText {
+			cl.reportFailure("job %s: the result of item %s is %s with a text of %d bytes, want %s with the expected text of %d bytes", j.ID, r.Item, r.Outcome, len(r.Text), wantOutcome, len(wantText))
 		}
 	}
 }
--- a/internal/backlog/item.go
+++ b/internal/backlog/item.go
@@ -168,11 +168,11 @@
 func (t *task) appendEvent(e events.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.lastID != "" {
+	if t.lastEventID != "" {
 		t.text = append(t.text, '\n')
 	}
 	t.text = append(t.text, e.Data...)
-	t.lastID = e.ID
+	t.lastEventID = e.ID
 	t.events++
 	t.unsavedEvents++
 }
--- a/internal/backlog/late_result_test.go
+++ b/internal/backlog/late_result_test.go
@@ -31,7 +31,7 @@
 		tk.shard.stop()
 		time.Sleep(20 * eventInterval)
 		tk.mu.Lock()
-		tk.lastID, tk.text = "200", []byte(expectedOutput(j.Items[0].ID))
+		tk.lastEventID, tk.text = "200", []byte(expectedOutput(j.Items[0].ID))
 		tk.mu.Unlock()
 		tk.finishRun("target-0", runComplete)
 		time.Sleep(100 * time.Millisecond)
--- a/internal/backlog/replica.go
+++ b/internal/backlog/replica.go
@@ -127,12 +127,12 @@
 // awaitReadDue waits until this process needs the new records of a partition, idleReadInterval has passed or
 // ctx has ended.
 func (r *Replica) awaitReadDue(ctx context.Context, p platform.Partition) {
-	due := sleep.NewTimer(idleReadInterval)
-	defer due.Stop()
+	idleTimer := sleep.NewTimer(idleReadInterval)
+	defer idleTimer.Stop()
 	for !r.needsNewRecords(p) {
 		select {
 		case <-r.readRequested[p]:
-		case <-due.C:
+		case <-idleTimer.C:
 			return
 		case <-ctx.Done():
 			return
--- a/internal/backlog/scheduler.go
+++ b/internal/backlog/scheduler.go
@@ -135,8 +135,8 @@
 // second. It therefore scans all jobs only after a change of the state, the adoption of a shard or
 // idlePollInterval, and ignores the reports while it has no items.
 func (sc *scheduler) run(ctx context.Context) error {
-	poll := sleep.NewTimer(idlePollInterval)
-	defer poll.Stop()
+	pollTimer := sleep.NewTimer(idlePollInterval)
+	defer pollTimer.Stop()
 	var changed <-chan struct{}
 	var lastScan time.Time // zero if a scan is due
 	for {
@@ -149,9 +149,9 @@
 			sleep.For(ctx, startPause)
 		}
 		if sc.publishDemand() > 0 || sc.hasPausedTask() {
-			poll.Reset(demandPollInterval)
+			pollTimer.Reset(demandPollInterval)
 		} else {
-			poll.Reset(idlePollInterval)
+			pollTimer.Reset(idlePollInterval)
 		}
 		select {
 		case <-ctx.Done():
@@ -162,7 +162,7 @@
 			lastScan = time.Time{}
 		case <-sc.capacityFreed():
 		case <-sc.runFinished:
-		case <-poll.C:
+		case <-pollTimer.C:
 		}
 	}
 }
@@ -208,11 +208,11 @@
 // hasPausedTask reports whether the pause of a task ends within idlePollInterval. The end of a pause does not
 // trigger the scheduler, so it has to poll.
 func (sc *scheduler) hasPausedTask() bool {
-	soon := time.Now().Add(idlePollInterval)
+	pollEnd := time.Now().Add(idlePollInterval)
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	for _, t := range sc.tasks {
-		if t.canStart(soon) {
+		if t.canStart(pollEnd) {
 			return true
 		}
 	}
--- a/internal/backlog/shard.go
+++ b/internal/backlog/shard.go
@@ -101,12 +101,12 @@
 		return
 	}
 	s.m.scheduler.adoptShard(ctx, s)
-	reread := sleep.NewTimer(progressRereadDelay)
-	defer reread.Stop()
+	rereadTimer := sleep.NewTimer(progressRereadDelay)
+	defer rereadTimer.Stop()
 	for {
 		select {
 		case <-s.flushRequested:
-		case <-reread.C:
+		case <-rereadTimer.C:
 			s.readProgress(ctx)
 		case <-ctx.Done():
 			return
--- a/internal/backlog/submit.go
+++ b/internal/backlog/submit.go
@@ -46,9 +46,9 @@
 	if len(job.ID) > backlog.MaxIDBytes {
 		return errs.Newf(errs.BadRequest, "the job's id is longer than %d bytes", backlog.MaxIDBytes)
 	}
-	scoped := *job
-	scoped.ID = backlog.ScopedID(job.Workspace, job.ID)
-	job = &scoped
+	scopedJob := *job
+	scopedJob.ID = backlog.ScopedID(job.Workspace, job.ID)
+	job = &scopedJob
 	records, err := backlog.EncodeJob(job)
 	if err != nil {
 		return err
--- a/internal/backlog/task.go
+++ b/internal/backlog/task.go
@@ -22,7 +22,7 @@
 
 	content *quarantine.Content // the request as it is sent to targets
 
-	takenAt time.Time // when the task was created
+	createdAt time.Time // when the task was created
 
 	mu             sync.Mutex
 	hasRun         bool                   // a run has begun in this process
@@ -33,7 +33,7 @@
 	cancel         context.CancelFunc     // cancels the last run; nil before the first
 	isPreempted    bool                   // the last run was cancelled because online requests need its slot
 	notBefore      time.Time              // the task must not start earlier
-	lastID         string                 // id of the last event in text
+	lastEventID    string                 // id of the last event in text
 	text           []byte                 // data of the events so far, joined by newlines
 	events         int                    // number of events in text
 	unsavedEvents  int                    // number of events since the last checkpoint
@@ -45,7 +45,7 @@
 
 // newTask returns the task of the item at an index of a job, which belongs to shard s.
 func newTask(s *shard, j *backlog.Job, index int) *task {
-	return &task{shard: s, job: j, index: index, content: contentOf(j, index), takenAt: time.Now()}
+	return &task{shard: s, job: j, index: index, content: contentOf(j, index), createdAt: time.Now()}
 }
 
 // contentOf returns the request of the item at an index of a job, as it is sent to targets, in the form in
@@ -68,14 +68,14 @@
 func (t *task) lastEvent() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.lastID
+	return t.lastEventID
 }
 
 // progress returns the task's progress as it is stored for the next owner.
 func (t *task) progress() *backlog.Progress {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return &backlog.Progress{Job: t.job.ID, Item: t.item().ID, LastID: t.lastID, Text: string(t.text), Failures: t.failures, Outcome: t.outcome}
+	return &backlog.Progress{Job: t.job.ID, Item: t.item().ID, LastID: t.lastEventID, Text: string(t.text), Failures: t.failures, Outcome: t.outcome}
 }
 
 // mergeProgress merges the stored progress p into the task. While the task has an active run it only takes
@@ -93,7 +93,7 @@
 		return nil
 	}
 	if len(p.Text) > len(t.text) {
-		t.lastID, t.text = p.LastID, []byte(p.Text)
+		t.lastEventID, t.text = p.LastID, []byte(p.Text)
 		t.events = strings.Count(p.Text, "\n") + 1
 	}
 	switch p.Outcome {
@@ -241,7 +241,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.hasRun {
-		telemetry.Observe(t.shard.m.registry, waitMetric, time.Since(t.takenAt))
+		telemetry.Observe(t.shard.m.registry, waitMetric, time.Since(t.createdAt))
 	}
 	t.hasRun, t.isQuarantined = true, false
 	t.hasActiveRun, t.isPreempted, t.cancel = true, false, cancel
--- a/internal/backlog/tasks.go
+++ b/internal/backlog/tasks.go
@@ -58,13 +58,13 @@
 func (sc *scheduler) updateTasks() (changed <-chan struct{}, inherited []inheritedResult) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	owned := make(map[int]*shard, len(sc.shards))
+	ownedShards := make(map[int]*shard, len(sc.shards))
 	for s := range sc.shards {
-		owned[s.index] = s
+		ownedShards[s.index] = s
 	}
 	changed = sc.m.replica.withState(func(st *backlog.State) {
 		st.Open(func(j *backlog.Job) {
-			if s, ok := owned[sc.m.shardOf(j.ID)]; ok {
+			if s, ok := ownedShards[sc.m.shardOf(j.ID)]; ok {
 				sc.addJob(st, s, j)
 			}
 		})
