--- a/core/backlog/state.go
+++ b/core/backlog/state.go
@@ -14,25 +14,26 @@
 // zero value is not usable. State has no lock of its own: callers serialize access.
 type State struct {
 	chunks chunkAssembler
-	jobs   map[string]*jobState
+	jobs   map[string]*jobState // by job id
 }
 
-// jobState is the state of one job. Its records may arrive in any order, since the newest records are read in
-// key order.
+// jobState is the state of one job. Its records may be applied in any order: a process that loads the backlog
+// reads the newest record of each key in key order.
 type jobState struct {
-	job         *Job // nil until the job's record has been read
+	job         *Job // nil until the job's record has been applied
 	isCancelled bool
-	results     []*Result // by position; nil where a later result was read first
-	doneItems   map[string]bool
-	progress    map[string]Progress
+	results     []*Result           // by position; nil at positions whose result has not been applied yet
+	doneItems   map[string]bool     // ids of the items that have a result
+	progress    map[string]Progress // of unfinished items, by item id
 }
 
-// NewState returns an empty state.
+// NewState returns a state without jobs.
 func NewState() *State {
 	return &State{chunks: chunkAssembler{partial: make(map[string][][]byte)}, jobs: make(map[string]*jobState)}
 }
 
-// Apply applies one record. Applying a record twice has no further effect. Errors: errs.BadFrame.
+// Apply applies one record, of any kind. Applying a record again has no effect. Errors: errs.BadFrame for a
+// malformed record.
 func (s *State) Apply(r platform.KeyedRecord) error {
 	if len(r.Value) == 0 {
 		s.applyTombstone(r.Key)
@@ -56,6 +57,7 @@
 	return errs.Newf(errs.BadFrame, "record %q is of an unknown kind", key)
 }
 
+// decodeAndApply decodes a value from CBOR and passes it to applyValue. Errors: errs.BadFrame.
 func decodeAndApply[T any](value []byte, applyValue func(*T)) error {
 	v := new(T)
 	if err := cbor.Unmarshal(value, v); err != nil {
@@ -65,8 +67,9 @@
 	return nil
 }
 
-// applyTombstone handles the deletion of a key. Only whole jobs and progress are deleted; tombstones of
-// progress have no effect on the state.
+// applyTombstone applies the deletion of a key. The tombstone of a job's first chunk removes the whole job from
+// the state. Other tombstones have no effect: a job's other records are deleted with it, and progress is only
+// deleted once it is obsolete.
 func (s *State) applyTombstone(key string) {
 	kind, id, _ := strings.Cut(key, "/")
 	if kind == kindJob && !strings.Contains(id, "#") {
@@ -74,137 +77,140 @@
 	}
 }
 
+// jobStateFor returns the state of a job and adds an empty one for a new id.
 func (s *State) jobStateFor(id string) *jobState {
-	j, ok := s.jobs[id]
+	js, ok := s.jobs[id]
 	if !ok {
-		j = &jobState{doneItems: make(map[string]bool), progress: make(map[string]Progress)}
-		s.jobs[id] = j
+		js = &jobState{doneItems: make(map[string]bool), progress: make(map[string]Progress)}
+		s.jobs[id] = js
 	}
-	return j
+	return js
 }
 
 func (s *State) applyJob(j *Job) {
-	st := s.jobStateFor(j.ID)
-	if st.job == nil {
-		st.job = j
+	js := s.jobStateFor(j.ID)
+	if js.job == nil {
+		js.job = j
 	}
 }
 
 func (s *State) applyCancel(id *string) {
-	st := s.jobStateFor(*id)
-	st.isCancelled = true
-	clear(st.progress)
+	js := s.jobStateFor(*id)
+	js.isCancelled = true
+	clear(js.progress)
 }
 
 func (s *State) applyResult(r *Result) {
-	st := s.jobStateFor(r.Job)
-	for len(st.results) <= r.Position {
-		st.results = append(st.results, nil)
+	js := s.jobStateFor(r.Job)
+	for len(js.results) <= r.Position {
+		js.results = append(js.results, nil)
 	}
-	if st.results[r.Position] == nil {
-		st.results[r.Position] = r
-		st.doneItems[r.Item] = true
-		delete(st.progress, r.Item)
+	if js.results[r.Position] == nil {
+		js.results[r.Position] = r
+		js.doneItems[r.Item] = true
+		delete(js.progress, r.Item)
 	}
 }
 
 func (s *State) applyProgress(p *Progress) {
-	st := s.jobStateFor(p.Job)
-	if !st.doneItems[p.Item] && !st.isCancelled {
-		merged := st.progress[p.Item]
+	js := s.jobStateFor(p.Job)
+	if !js.doneItems[p.Item] && !js.isCancelled {
+		merged := js.progress[p.Item]
 		merged.Merge(*p)
-		st.progress[p.Item] = merged
+		js.progress[p.Item] = merged
 	}
 }
 
-// Job returns an accepted job.
+// Job returns the accepted job with the id, and false if there is none.
 func (s *State) Job(id string) (*Job, bool) {
-	st, ok := s.jobs[id]
-	if !ok || st.job == nil {
+	js, ok := s.jobs[id]
+	if !ok || js.job == nil {
 		return nil, false
 	}
-	return st.job, true
+	return js.job, true
 }
 
 // Ended reports whether the job's caller has cancelled it.
 func (s *State) Ended(id string) bool {
-	st, ok := s.jobs[id]
-	return ok && st.isCancelled
+	js, ok := s.jobs[id]
+	return ok && js.isCancelled
 }
 
-// Done reports whether an item has a result.
+// Done reports whether an item of a job has a result.
 func (s *State) Done(job, item string) bool {
-	st, ok := s.jobs[job]
-	return ok && st.doneItems[item]
+	js, ok := s.jobs[job]
+	return ok && js.doneItems[item]
 }
 
-// Listed returns the number of results before the first gap in the positions.
+// Listed returns the number of a job's results before the first position without one. Only these are returned
+// to callers.
 func (s *State) Listed(id string) int {
-	st, ok := s.jobs[id]
+	js, ok := s.jobs[id]
 	if !ok {
 		return 0
 	}
-	if i := slices.Index(st.results, nil); i >= 0 {
+	if i := slices.Index(js.results, nil); i >= 0 {
 		return i
 	}
-	return len(st.results)
+	return len(js.results)
 }
 
-// Page returns the results from a position on: at least one if there is one, and beyond the first no more
-// than maxBytes of text.
+// Page returns a page of a job's results that begins at position from. It holds the first result, if there is
+// one, and further ones as long as the texts of all of them have at most maxBytes.
 func (s *State) Page(id string, from, maxBytes int) Page {
-	st, ok := s.jobs[id]
-	if !ok || st.job == nil {
+	js, ok := s.jobs[id]
+	if !ok || js.job == nil {
 		return Page{Next: from}
 	}
-	page := Page{Total: len(st.job.Items), Next: from}
+	page := Page{Total: len(js.job.Items), Next: from}
 	size := 0
 	for i := from; i < s.Listed(id); i++ {
-		size += len(st.results[i].Text) + st.results[i].Size
+		size += len(js.results[i].Text) + js.results[i].Size
 		if i > from && size > maxBytes {
 			break
 		}
-		page.Results = append(page.Results, *st.results[i])
+		page.Results = append(page.Results, *js.results[i])
 		page.Next = i + 1
 	}
 	return page
 }
 
-// Progress returns the progress of the item that its former owners have stored.
+// Progress returns the stored progress of an item. Only its fields Job and Item are set if there is none.
 func (s *State) Progress(job, item string) Progress {
-	st, ok := s.jobs[job]
+	js, ok := s.jobs[job]
 	if !ok {
 		return Progress{Job: job, Item: item}
 	}
-	p := st.progress[item]
+	p := js.progress[item]
 	p.Job, p.Item = job, item
 	return p
 }
 
-// Unneeded reports whether a progress record is obsolete: its item has a result, or its job is cancelled or
-// deleted, so no owner resumes from it.
+// Unneeded reports whether the progress record with the key is obsolete, because its item has a result or its
+// job is cancelled or deleted. It is false for keys of other records.
 func (s *State) Unneeded(key string) bool {
 	job, index, ok := parseProgressKey(key)
 	if !ok {
 		return false
 	}
-	st, isKnown := s.jobs[job]
-	if !isKnown || st.job == nil || st.isCancelled {
+	js, isKnown := s.jobs[job]
+	if !isKnown || js.job == nil || js.isCancelled {
 		return true
 	}
-	return index >= len(st.job.Items) || st.doneItems[st.job.Items[index].ID]
+	return index >= len(js.job.Items) || js.doneItems[js.job.Items[index].ID]
 }
 
-// Queued returns the number of tokens of unfinished items of the workspace's jobs on a route.
+// Queued returns the number of tokens of all unfinished items of a workspace's jobs on a route. Items of
+// cancelled jobs don't count.
 func (s *State) Queued(workspace, route string) int64 {
 	var sum int64
-	for _, st := range s.jobs {
-		if st.job == nil || st.isCancelled || st.job.Route != route || st.job.Workspace != workspace {
+	for _, js := range s.jobs {
+		if js.job == nil || js.isCancelled || js.job.Route != route || js.job.Workspace != workspace {
 			continue
 		}
-		for i := range st.job.Items {
-			if !st.doneItems[st.job.Items[i].ID] {
-				sum += st.job.Items[i].Tokens
+		for i := range js.job.Items {
+			if !js.doneItems[js.job.Items[i].ID] {
+				sum += js.job.Items[i].Tokens
 			}
 		}
 	}
@@ -213,42 +219,43 @@
 
 // Open calls visit for each job that is not cancelled and has unfinished items.
 func (s *State) Open(visit func(*Job)) {
-	for _, st := range s.jobs {
-		if st.job != nil && !st.isCancelled && len(st.doneItems) < len(st.job.Items) {
-			visit(st.job)
+	for _, js := range s.jobs {
+		if js.job != nil && !js.isCancelled && len(js.doneItems) < len(js.job.Items) {
+			visit(js.job)
 		}
 	}
 }
 
-// Expired calls visit for each job that was submitted before a time, in milliseconds since 1970, and is
+// Expired calls visit for each job that was submitted before beforeMs, in milliseconds since 1970, and is
 // cancelled or has all its results.
-func (s *State) Expired(before int64, visit func(*Job)) {
-	for _, st := range s.jobs {
-		if st.job == nil || st.job.Submitted >= before {
+func (s *State) Expired(beforeMs int64, visit func(*Job)) {
+	for _, js := range s.jobs {
+		if js.job == nil || js.job.Submitted >= beforeMs {
 			continue
 		}
-		if st.isCancelled || len(st.doneItems) == len(st.job.Items) {
-			visit(st.job)
+		if js.isCancelled || len(js.doneItems) == len(js.job.Items) {
+			visit(js.job)
 		}
 	}
 }
 
-// Forgotten holds the tombstones that delete a job and everything that belongs to it, by partition.
+// Forgotten holds the tombstones that delete a job, its cancellation, its results and their texts, by the
+// partition of the store into which they are written.
 type Forgotten struct{ Jobs, Results, Texts []platform.KeyedRecord }
 
-// Forget returns the tombstones that delete a job and everything that belongs to it. It does not change the
-// state.
+// Forget returns the tombstones that delete a job; none for an unknown job. It does not change the state.
+// Errors: those of EncodeJob.
 func (s *State) Forget(id string) (Forgotten, error) {
-	st, ok := s.jobs[id]
-	if !ok || st.job == nil {
+	js, ok := s.jobs[id]
+	if !ok || js.job == nil {
 		return Forgotten{}, nil
 	}
-	jobs, err := EncodeJob(st.job)
+	jobs, err := EncodeJob(js.job)
 	if err != nil {
 		return Forgotten{}, err
 	}
-	f := Forgotten{Jobs: Drop(jobs)}
-	for _, r := range st.results {
+	tombstones := Forgotten{Jobs: Drop(jobs)}
+	for _, r := range js.results {
 		if r == nil {
 			continue
 		}
@@ -256,11 +263,11 @@
 		if err != nil {
 			return Forgotten{}, err
 		}
-		f.Results = append(f.Results, Drop(records)...)
-		f.Texts = append(f.Texts, r.textTombstones()...)
+		tombstones.Results = append(tombstones.Results, Drop(records)...)
+		tombstones.Texts = append(tombstones.Texts, r.textTombstones()...)
 	}
-	if st.isCancelled {
-		f.Jobs = append(f.Jobs, platform.KeyedRecord{Key: joinKey(kindCancel, id)})
+	if js.isCancelled {
+		tombstones.Jobs = append(tombstones.Jobs, platform.KeyedRecord{Key: joinKey(kindCancel, id)})
 	}
-	return f, nil
+	return tombstones, nil
 }
