--- a/core/shed/fairness_test.go
+++ b/core/shed/fairness_test.go
@@ -184,7 +184,7 @@
 		shares[variant.name] = sum
 		t.Logf("%-28s %.3f of the others' requests within the goal, the least served workspace at %.2f of that", variant.name, sum, worst)
 		if variant.hasQuota && worst < 0.5 {
-			t.Errorf("%s: the least served workspace gets %.2f of the average, want at least 0.5", variant.name, worst)
+			t.Errorf("%s: in the worst simulation the least served workspace without a burst gets %.2f of the average of those without a burst, want at least 0.5", variant.name, worst)
 		}
 	}
 	if shares["quotas"] <= shares["order of arrival"] || shares["quotas, near the limit last"] <= shares["quotas"] {
--- a/core/shed/shed_test.go
+++ b/core/shed/shed_test.go
@@ -56,7 +56,7 @@
 		now := start.Add(time.Duration(i) * 2 * ms)
 		got := c.Arrive(now, r)
 		if got.Verdict != RetryLater || got.After < 1200*ms || got.After > r.Remaining/LeftShare {
-			t.Fatalf("caller %d: verdict %v with a retry time of %v, want come back with 1.2s to 1.666s", i, got.Verdict, got.After)
+			t.Fatalf("caller %d: verdict %v with a retry time of %v, want come back with at least 1.2s and at most 5s/3", i, got.Verdict, got.After)
 		}
 		retriesPer100ms[now.Add(got.After).Sub(start).Truncate(100*ms)]++
 	}
@@ -144,6 +144,6 @@
 	second := c.Arrive(start, retry)
 	c.Dequeue(start.Add(ms), first.Queued, false)
 	if len(c.queue) != 1 || !c.IsFirst(second.Queued) {
-		t.Errorf("%d requests are queued after the first was removed, want only the second", len(c.queue))
+		t.Errorf("%d requests are queued after the first was removed, want 1, the second", len(c.queue))
 	}
 }
--- a/core/shed/timeouts_test.go
+++ b/core/shed/timeouts_test.go
@@ -13,17 +13,17 @@
 	timeouts := NewCallerTimeouts()
 	for i := range minSamples - 1 {
 		if got := timeouts.Note("r", 4*time.Second); got != 0 {
-			t.Fatalf("after %d callers the estimate is %v, want 0", i+1, got)
+			t.Fatalf("after %d callers the estimated timeout is %v, want 0", i+1, got)
 		}
 	}
 	for range minSamples {
 		timeouts.Note("r", 5*time.Second)
 	}
 	if got := timeouts.Note("r", time.Second); got != 5*time.Second {
-		t.Errorf("after a caller with 1s left the estimate is %v, want 5s", got)
+		t.Errorf("after a caller with 1s left the estimated timeout is %v, want 5s", got)
 	}
 	if got := timeouts.Note("other", 5*time.Second); got != 0 {
-		t.Errorf("the estimate for a route with a single request is %v, want 0", got)
+		t.Errorf("the estimated timeout for a route with a single request is %v, want 0", got)
 	}
 }
 
@@ -37,9 +37,9 @@
 	}
 }
 
-// Guards against an overload in which no caller gets a retry time. That happens when one caller has a timeout
-// of a minute and the longest timeout counts for all callers: every other request then looks like a second
-// attempt.
+// Guards against an estimate that one caller with a timeout of a minute raises for all callers of a route.
+// Every other request would then count as a second attempt, and in an overload only first attempts are
+// rejected with a time to retry after.
 func TestOneLongTimeoutIsIgnored(t *testing.T) {
 	timeouts := NewCallerTimeouts()
 	for range 3 * minSamples {
@@ -47,12 +47,12 @@
 	}
 	timeouts.Note("r", time.Minute)
 	if got := timeouts.Note("r", 5*time.Second); got != 5*time.Second {
-		t.Errorf("after one caller with a timeout of 1m the estimate is %v, want 5s", got)
+		t.Errorf("after one caller with a timeout of 1m the estimated timeout is %v, want 5s", got)
 	}
 	for range 2 * maxSamples {
 		timeouts.Note("r", 8*time.Second)
 	}
 	if got := timeouts.Note("r", 5*time.Second); got != 8*time.Second {
-		t.Errorf("after the callers' timeout has grown to 8s the estimate is %v, want 8s", got)
+		t.Errorf("after the callers' timeout has grown to 8s the estimated timeout is %v, want 8s", got)
 	}
 }
