--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -319,8 +319,8 @@
 const storeContactTolerance = 1200 * time.Millisecond
 
 // StoreDownForAll reports whether no live peer has reached the store since this gateway last did. In that
-// case no live peer can have committed a decision there that this gateway has not read. Without a live peer
-// the result is false, because this gateway may be the one that is cut off from the store.
+// case no live peer can have written a change there that this gateway has not read. Without a live peer the
+// result is false, because this gateway may be the one that is cut off from the store.
 func (f *Fleet) StoreDownForAll(now time.Time) bool {
 	f.expirePeers(now)
 	for _, p := range f.peers {
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -77,12 +77,12 @@
 			}
 			got, ok := f.PickOnline(start, "llm", c.tried)
 			if ok != (c.want != "") || got.Target.ID != c.want {
-				t.Errorf("picked target %q, want %q", got.Target.ID, c.want)
+				t.Errorf("picked target %q, want %q (empty for no target)", got.Target.ID, c.want)
 			}
 		})
 	}
 	if _, ok := testFleet("self", 1).PickOnline(start, "other", nil); ok {
-		t.Error("a target was picked for a service without targets, want none")
+		t.Error("a target was picked for a service without targets, want no target")
 	}
 }
 
@@ -91,7 +91,7 @@
 	for range 2 * testSlots {
 		got, ok := f.PickBatch(start, "llm", nil)
 		if !ok {
-			t.Fatal("no target was picked though slots are free")
+			t.Fatal("no target was picked though slots are free, want t0 or t1")
 		}
 		f.Begin(start, got.Target.ID, structs.ClassBatch)
 	}
@@ -128,13 +128,13 @@
 			}
 			n := f.Preempt(start)["t0"]
 			if n > items[self] {
-				t.Errorf("gateway %s preempts %d of its %d batch items", self, n, items[self])
+				t.Errorf("gateway %s preempts %d batch items, want at most the %d that it has", self, n, items[self])
 			}
 			preempted += n
 		}
 		want := max(0, online+3-testSlots)
 		if preempted != min(want, 3) {
-			t.Errorf("with %d online requests %d batch items were preempted, want %d (at most 3)", online, preempted, want)
+			t.Errorf("with %d online requests %d batch items were preempted, want the smaller of %d and 3", online, preempted, want)
 		}
 	}
 }
@@ -159,10 +159,10 @@
 func TestActivityEndsSuspicion(t *testing.T) {
 	f := testFleet("self", 1)
 	if !f.Failed(start, "t0") || f.Failed(start, "t0") {
-		t.Error("the first failure did not make the target suspect, or a second one while it was suspect counted as a new suspicion")
+		t.Error("two failures in a row: want the first one to make the target suspect and the second one not to count; at least one of these is not the case")
 	}
 	if _, ok := f.PickBatch(start, "llm", nil); ok {
-		t.Error("a batch item was sent to a suspect target")
+		t.Error("a batch item was sent to a suspect target, want none")
 	}
 	later := start.Add(minSuspectTime)
 	if _, ok := f.PickBatch(later, "llm", nil); !ok {
@@ -170,32 +170,32 @@
 	}
 	f.Begin(later, "t0", structs.ClassBatch)
 	if _, ok := f.PickBatch(later, "llm", nil); ok {
-		t.Error("a second batch item was sent to a target on probation within the probation interval")
+		t.Error("a second batch item was sent to a target on probation within the probation interval, want none")
 	}
 	if !f.Failed(later, "t0") {
-		t.Error("a failure on probation does not make the target suspect")
+		t.Error("a failure on probation does not make the target suspect, want suspect")
 	}
 	if _, ok := f.PickBatch(later.Add(minSuspectTime), "llm", nil); ok {
-		t.Error("after the second failure the target is not suspect for longer than after the first")
+		t.Error("a batch item was sent 500 ms after the second of two failures, want none: the target must be suspect for longer than after the first")
 	}
 	f.NoteActivity(later, "t0")
 	if _, ok := f.PickBatch(later, "llm", nil); !ok {
-		t.Error("no batch item was sent to a target that has just sent something")
+		t.Error("no batch item was sent to a target that has just sent something, want one")
 	}
 }
 
 func TestTargetIsSilentAfterLimit(t *testing.T) {
 	f := testFleet("self", 1)
 	if f.IsIdleSince(start.Add(defaultSilenceLimit), start, "t0") {
-		t.Error("the target counts as silent before the limit")
+		t.Error("the target counts as silent when the limit has just been reached, want not silent")
 	}
 	late := start.Add(defaultSilenceLimit + time.Millisecond)
 	if !f.IsIdleSince(late, start, "t0") {
-		t.Error("the target does not count as silent after the limit")
+		t.Error("the target does not count as silent 1 ms after the limit, want silent")
 	}
 	f.NoteActivity(late, "t0")
 	if f.IsIdleSince(late.Add(defaultSilenceLimit), start, "t0") {
-		t.Error("the target counts as silent though it has sent something within the limit")
+		t.Error("the target counts as silent though it has sent something within the limit, want not silent")
 	}
 }
 
@@ -206,7 +206,7 @@
 	f.End(start, "t0", structs.ClassOnline)
 	f.Begin(start, "t0", structs.ClassOnline)
 	if got := f.OwnAt("t0"); got != (Load{Online: 1}) {
-		t.Errorf("after the end of an uncounted request and the start of another the load is %+v, want 1 online request", got)
+		t.Errorf("after the end of an uncounted request and the start of another the load is %+v, want 1 online request and no batch item", got)
 	}
 	f.Remove("t0")
 	f.End(start, "t0", structs.ClassOnline)
@@ -248,7 +248,7 @@
 	}
 	for _, c := range cases {
 		if got := pick(c.self, c.freeSlots, c.freeFor); got != c.want {
-			t.Errorf("gateway %s may start an item in one of %d slots that are free for %v: %v, want the opposite", c.self, c.freeSlots, c.freeFor, got)
+			t.Errorf("whether gateway %s may start an item while %d slots have been free for %v: got %v, want the other of true and false", c.self, c.freeSlots, c.freeFor, got)
 		}
 	}
 }
@@ -265,30 +265,31 @@
 		t.Errorf("the load of t0 is %+v, want 1 online request and 1 batch item", got)
 	}
 	if got := f.targets["t1"].totalLoad(); got != (Load{Online: 2}) {
-		t.Errorf("the load of t1, which was added after the reports, is %+v, want 2 online requests", got)
+		t.Errorf("the load of t1, which was added after the reports, is %+v, want 2 online requests and no batch item", got)
 	}
 	f.ApplyReport(start.Add(2*time.Second), "b", Report{})
 	if got := f.targets["t1"].totalLoad(); got != (Load{}) {
-		t.Errorf("after the expiry of peer a the load of t1 is %+v, want none", got)
+		t.Errorf("after the expiry of peer a the load of t1 is %+v, want 0 online requests and 0 batch items", got)
 	}
 }
 
-// Batch items may start without the store only while no live peer can have committed a decision there. A
-// peer's contact counts as later only if it is later by more than storeContactTolerance.
+// The store counts as down for the peers if there are live peers and none of them has reached it more than
+// storeContactTolerance after this gateway last did. Otherwise a peer may have written a change to the store
+// that this gateway has not read, and batch items must not start.
 func TestIsStoreDownForPeers(t *testing.T) {
 	f := testFleet("self", 1)
 	f.SetContact(start)
 	now := start.Add(5 * time.Second)
 	if f.StoreDownForAll(now) {
-		t.Error("true without a live peer, want false: this gateway may be the one that is cut off")
+		t.Error("without a live peer the store counts as down for the peers, want not down: this gateway may be the one that is cut off")
 	}
 	f.ApplyReport(now, "a", Report{Contact: start.Add(100 * time.Millisecond)})
 	if !f.StoreDownForAll(now) {
-		t.Error("false though no peer has reached the store since this gateway did, want true")
+		t.Error("the store does not count as down though the only peer reached it no more than 1.2s after this gateway did, want down")
 	}
 	f.ApplyReport(now, "b", Report{Contact: now.Add(-time.Second)})
 	if f.StoreDownForAll(now) {
-		t.Error("true though a peer has just reached the store, want false")
+		t.Error("the store counts as down though a peer reached it a second ago, want not down")
 	}
 }
 
@@ -300,15 +301,15 @@
 	f.Begin(start, "t0", structs.ClassOnline)
 	late := start.Add(defaultSilenceLimit + defaultHoldTime/2)
 	if f.IsIdleSince(late, start, "t0") {
-		t.Error("a target with a full queue counts as silent before its queue has been served")
+		t.Error("a target with a full queue counts as silent before its queue can have been served, want not silent")
 	}
 	if !f.IsIdleSince(start.Add(defaultSilenceLimit+defaultHoldTime+time.Millisecond), start, "t0") {
-		t.Error("a target that sends nothing does not count as silent after its queue should have been served")
+		t.Error("a target that sends nothing does not count as silent after its queue should have been served, want silent")
 	}
 }
 
-// Traffic between failure domains is costly: an item goes to a target of the gateway's own domain unless
-// another has clearly more free slots.
+// Traffic between failure domains is costly: a target of the gateway's own domain that has a free slot is
+// preferred to one of another domain with fewer than batchDomainBonus more free slots.
 func TestBatchItemsPreferTheOwnDomain(t *testing.T) {
 	cases := []struct {
 		ownDomain, otherDomain int // online requests at the target in each domain
@@ -321,7 +322,7 @@
 		begin(f, "t0", structs.ClassOnline, c.ownDomain)
 		begin(f, "t1", structs.ClassOnline, c.otherDomain)
 		if got, ok := f.PickBatch(start, "llm", nil); !ok || got.Target.ID != c.want {
-			t.Errorf("with %d requests at t0 in the own domain and %d at t1 in another: picked %s (found: %v), want the other target", c.ownDomain, c.otherDomain, got.Target.ID, ok)
+			t.Errorf("with %d of 4 slots taken at t0 in the own domain and %d of 4 at t1 in another: choice %s (found: %v), want t1 if t0 has no free slot and t0 otherwise", c.ownDomain, c.otherDomain, got.Target.ID, ok)
 		}
 	}
 }
@@ -344,7 +345,7 @@
 		t.Errorf("this gateway reports suspects %v after a peer's suspicion, want none", got)
 	}
 	if !f.IsIdleSince(start.Add(defaultSilenceLimit/2+time.Millisecond), start, "t0") {
-		t.Error("after a peer's suspicion the silence limit is not halved")
+		t.Error("after a peer's suspicion t0 does not count as silent 1 ms after half of the silence limit, want silent")
 	}
 	later := start.Add(minSuspectTime)
 	f.ApplyReport(later, "peer", report)
--- a/core/fleet/peers_test.go
+++ b/core/fleet/peers_test.go
@@ -54,25 +54,25 @@
 	}
 	for id := range f.ownBatchTargets {
 		if f.targets[id] == nil {
-			t.Fatalf("step %d: removed target %s is in ownBatchTargets", step, id)
+			t.Fatalf("step %d: removed target %s is in ownBatchTargets, want only listed targets there", step, id)
 		}
 	}
 	for id, ts := range f.targets {
 		if got, want := f.ownBatchTargets[id] == ts, ts.ownLoad.Batch > 0; got != want {
-			t.Fatalf("step %d: target %s has %d batch items of this gateway, but whether it is in ownBatchTargets is %v", step, id, ts.ownLoad.Batch, got)
+			t.Fatalf("step %d: target %s has %d batch items of this gateway, and whether it is in ownBatchTargets is %v, want true for more than 0 items and false for 0", step, id, ts.ownLoad.Batch, got)
 		}
 		var sum Load
 		holders := 0
 		for name, p := range f.peers {
 			sum.addLoad(p.Loads[id])
 			if items := p.Loads[id].Batch; items != ts.peerBatch[name] {
-				t.Fatalf("step %d: peer %s has reported %d batch items at %s, but %d are recorded", step, name, items, id, ts.peerBatch[name])
+				t.Fatalf("step %d: peer %s has reported %d batch items at %s, but %d are recorded, want the reported number", step, name, items, id, ts.peerBatch[name])
 			} else if items > 0 {
 				holders++
 			}
 		}
 		if sum != ts.peerLoad || holders != len(ts.peerBatch) {
-			t.Fatalf("step %d: for target %s the reports add up to %+v with batch items of %d peers, but %+v of %d peers are recorded", step, id, sum, holders, ts.peerLoad, len(ts.peerBatch))
+			t.Fatalf("step %d: for target %s the reports add up to %+v with batch items of %d peers, but %+v of %d peers are recorded, want equal loads and numbers of peers", step, id, sum, holders, ts.peerLoad, len(ts.peerBatch))
 		}
 	}
 }
@@ -93,16 +93,16 @@
 	f.NoteSign(now, "peer", Sign{Heard: now.Add(-100 * time.Millisecond)})
 	now = now.Add(800 * time.Millisecond)
 	if hasFreeSlot() || f.Peers(now) != 1 {
-		t.Error("a peer has expired within its time to live after a forwarded sign of life")
+		t.Error("within the time to live after a forwarded sign of life: want 1 live peer and its load in the only slot, but the peer has expired or the slot is free")
 	}
 	now = now.Add(200 * time.Millisecond)
 	if !hasFreeSlot() || f.Peers(now) != 0 {
-		t.Error("a peer still counts after its time to live since the last sign of life")
+		t.Error("after the time to live since the last sign of life: want no live peer and a free slot, but the peer or its load still counts")
 	}
 	f.ApplyReport(now, "peer", Report{Loads: map[string]Load{"t": {Online: 1}}})
 	f.NoteSign(now, "peer", Sign{Heard: now, IsIdle: true})
 	if !hasFreeSlot() || f.Peers(now) != 1 {
-		t.Error("after a sign of life of an idle peer its loads still count, or the peer has been dropped")
+		t.Error("after a sign of life of an idle peer: want 1 live peer and a free slot, but the peer has been dropped or its load still counts")
 	}
 	f.NoteSign(now, "new", Sign{Heard: now.Add(-ttl / 2), Contact: now})
 	f.NoteSign(now, "old", Sign{Heard: now.Add(-2 * ttl)})
@@ -114,6 +114,6 @@
 		t.Errorf("%d live peers after the expiry of the new one, want 1", n)
 	}
 	if !f.StoreDownForAll(now) {
-		t.Error("the store contact of an expired peer still counts")
+		t.Error("the store does not count as down for the peers, want down: the only peer that has reached it has expired")
 	}
 }
