--- a/core/serving/ranks_test.go
+++ b/core/serving/ranks_test.go
@@ -53,6 +53,6 @@
 	}
 	workspaceRank, route := 1, Route{Rank: 3}
 	if (Caller{Rank: &workspaceRank}).RankOn(&route) != 1 || (Caller{}).RankOn(&route) != 3 {
-		t.Error("the caller's rank is not the workspace's rank 1, or without one not the route's rank 3")
+		t.Error("want rank 1 for a caller whose workspace has rank 1, and rank 3 of the route for one whose workspace has none; at least one of these is not the case")
 	}
 }
--- a/core/serving/request.go
+++ b/core/serving/request.go
@@ -42,7 +42,7 @@
 	// Credential is what the caller sent to identify its workspace. Header contains neither the
 	// credential nor the name of a workspace.
 	Credential workspace.Credential
-	// Caller is the sender of the request.
+	// Caller holds the workspace that Credential belongs to; for a batch item, the workspace of its job.
 	Caller Caller
 	// ResumeAfter is the id of the last event of a stream that the caller has received; empty to start the
 	// stream from the beginning.
