--- a/core/quota/peers.go
+++ b/core/quota/peers.go
@@ -40,17 +40,17 @@
 
 // AddPeer adds a peer by its address. Until its first report it counts as one that may admit requests but
 // sends no reports. It has no effect on a peer that is already known.
-func (l *Ledger) AddPeer(now time.Time, name Peer) {
-	if _, ok := l.peers[name]; !ok {
-		l.peers[name] = &peer{lastSeen: now, totals: make(map[string]int64)}
+func (l *Ledger) AddPeer(now time.Time, addr Peer) {
+	if _, ok := l.peers[addr]; !ok {
+		l.peers[addr] = &peer{lastSeen: now, totals: make(map[string]int64)}
 		l.nextExpiry = now
 	}
 }
 
 // Forget drops a peer that has stopped. Its share of the buckets passes to the other gateways.
-func (l *Ledger) Forget(now time.Time, name Peer) {
+func (l *Ledger) Forget(now time.Time, addr Peer) {
 	l.clearReserves()
-	delete(l.peers, name)
+	delete(l.peers, addr)
 	l.nextExpiry = now
 }
 
@@ -63,14 +63,14 @@
 }
 
 // Apply applies a report of a peer: it debits what the peer has admitted since its last report.
-func (l *Ledger) Apply(now time.Time, name Peer, r Report) {
-	p, ok := l.peers[name]
+func (l *Ledger) Apply(now time.Time, addr Peer, r Report) {
+	p, ok := l.peers[addr]
 	if !ok || !p.hasReported || p.startID != r.Start {
 		if !r.IsFirst && now.Sub(l.startedAt) < joinWindow {
 			l.capInitialTokens()
 		}
 		p = &peer{startID: r.Start, lastSeen: now, isTrackedFromStart: r.IsFirst, hasReported: true, totals: make(map[string]int64)}
-		l.peers[name] = p
+		l.peers[addr] = p
 		l.nextExpiry = now
 	}
 	if p.isSilent(now) {
@@ -82,13 +82,13 @@
 	}
 }
 
-// joinWindow is how long after its own start a gateway concludes from the report of a longer running peer
-// that others were admitting requests before that start.
+// joinWindow is how long after its start a gateway counts as joining. A first report in this time of a peer
+// that has been running for longer shows that others were admitting requests before that start.
 const joinWindow = time.Second
 
-// capInitialTokens limits each bucket to one token; only the first call has an effect. Other gateways were
-// admitting requests before this process started. How many tokens they have left is unknown, and they may use
-// all of them.
+// capInitialTokens limits each bucket to one token; only the first call has an effect. It is called if other
+// gateways were admitting requests before this process started: how many tokens they have left is unknown,
+// and they may use all of them.
 func (l *Ledger) capInitialTokens() {
 	if l.hasRunningPeers {
 		return
@@ -99,13 +99,13 @@
 	}
 }
 
-// maxLossSilence is the longest silence of a peer that counts as a loss of its reports. A peer that is silent
-// for longer was cut off, and may have used the share reserved for it.
-const maxLossSilence = time.Second
+// partitionSilence is the silence of a peer beyond which it counts as cut off by a network partition: it may
+// have used the share reserved for it. After a shorter silence only reports of it count as lost.
+const partitionSilence = time.Second
 
 // resumePeer handles the first report of a peer after a silence.
 func (l *Ledger) resumePeer(now time.Time, p *peer) {
-	if now.Sub(p.lastSeen) > maxLossSilence {
+	if now.Sub(p.lastSeen) > partitionSilence {
 		l.clearReserves()
 		clear(p.totals)
 		p.isTrackedFromStart = false
@@ -155,9 +155,9 @@
 	}
 	reachable, total := 1, 1
 	next := now.Add(peerSilenceLimit)
-	for name, p := range l.peers {
+	for addr, p := range l.peers {
 		if now.Sub(p.lastSeen) > l.opts.ClaimTTL {
-			delete(l.peers, name)
+			delete(l.peers, addr)
 			l.clearReserves()
 			continue
 		}
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -40,7 +40,7 @@
 	l, now := newLimiter()
 	n, d := admitAll(l, now)
 	if headroom := headroomShare * (0.1*(perSecond*5+burst) + 20); n != burst+int(headroom) {
-		t.Errorf("%d requests admitted in a burst, want the burst of 20 and the headroom", n)
+		t.Errorf("%d requests admitted in a burst, want 22: the burst of 20 and 2 of headroom", n)
 	}
 	if d.RetryAfter <= 0 || d.RetryAfter > time.Second/perSecond {
 		t.Errorf("a rejected request gets a retry time of %v, want more than 0 and at most 100ms", d.RetryAfter)
@@ -54,11 +54,11 @@
 	l, now := newLimiter()
 	for range 1000 {
 		if !l.Admit(now, "other").IsAdmitted {
-			t.Fatal("a request of a workspace without a quota was rejected")
+			t.Fatal("a request of a workspace without a quota was rejected, want all admitted")
 		}
 	}
 	if len(l.Counts()) != 0 {
-		t.Error("admissions of a workspace without a quota are reported")
+		t.Error("admissions of a workspace without a quota are reported, want no counts")
 	}
 }
 
@@ -70,7 +70,7 @@
 		t.Errorf("%d requests admitted after the refund of one of %d, want 1", admittedAfterRefund, admitted)
 	}
 	if c := l.Counts(); len(c) != 1 || c[0].Total != int64(admitted) {
-		t.Errorf("counts to report are %v, want one for w that leaves out the refunded request", c)
+		t.Errorf("counts to report are %v, want only one, for w, of 22: 23 requests admitted less 1 refunded", c)
 	}
 }
 
@@ -87,11 +87,11 @@
 		receiver.Apply(now, "a", Report{Start: "1", Counts: sender.Counts()})
 	}
 	if len(sender.Counts()) != 0 {
-		t.Error("a count is in more than reportRepeats reports after its last change")
+		t.Error("a count is in a fourth report after its last change, want 3 reports")
 	}
 	remaining, _ := admitAll(receiver, now)
 	if full, _ := admitAll(fullLimiter(now), now); remaining != full-2 {
-		t.Errorf("%d of %d requests are left after two admissions of a peer, want 2 fewer", remaining, full)
+		t.Errorf("%d requests admitted after two admissions of a peer and %d by a limiter with a full bucket, want a difference of 2", remaining, full)
 	}
 }
 
@@ -111,13 +111,13 @@
 		l.Apply(now, p, Report{Start: "1", IsFirst: true})
 	}
 	if s := l.Share(now); s != 1 {
-		t.Fatalf("share %v while no peer is silent, want 1", s)
+		t.Fatalf("the share of the buckets is %v while no peer is silent, want 1", s)
 	}
 	now = now.Add(peerSilenceLimit + time.Millisecond)
 	l.Apply(now, "a", Report{Start: "1"})
 	now = now.Add(time.Millisecond)
 	if s := l.Share(now); s != 0.5 {
-		t.Errorf("share %v while two of four gateways are silent, want 0.5", s)
+		t.Errorf("the share of the buckets is %v while two of four gateways are silent, want 0.5", s)
 	}
 	n, _ := admitAll(l, now)
 	if n > (burst+4)/2 {
@@ -125,11 +125,11 @@
 	}
 	l.Forget(now, "b")
 	if s := l.Share(now); s != 2.0/3 {
-		t.Errorf("share %v after one of the silent gateways has stopped, want 2/3", s)
+		t.Errorf("the share of the buckets is %v after one of the silent gateways has stopped, want 2/3", s)
 	}
 	l.Apply(now, "c", Report{Start: "1"})
 	if s := l.Share(now); s != 1 {
-		t.Errorf("share %v after a report of the other silent gateway, want 1", s)
+		t.Errorf("the share of the buckets is %v after a report of the other silent gateway, want 1", s)
 	}
 }
 
@@ -137,10 +137,10 @@
 	l, now := newLimiter()
 	l.Apply(now, "a", Report{Start: "1"})
 	if s := l.Share(now.Add(5 * time.Second)); s != 0.5 {
-		t.Errorf("share %v while the silent peer may still admit requests, want 0.5", s)
+		t.Errorf("the share of the buckets is %v while the silent peer may still admit requests, want 0.5", s)
 	}
 	if s := l.Share(now.Add(7 * time.Second)); s != 1 {
-		t.Errorf("share %v after the time to live of the silent peer, want 1", s)
+		t.Errorf("the share of the buckets is %v after the time to live of the silent peer, want 1", s)
 	}
 }
 
@@ -168,7 +168,7 @@
 	now = now.Add(peerSilenceLimit + 10*time.Millisecond)
 	l.Apply(now, "a", Report{Start: "1"})
 	if s := l.Share(now.Add(time.Millisecond)); s == 1 {
-		t.Fatal("the share is 1 while a peer is silent, want less")
+		t.Fatal("the share of the buckets is 1 while a peer is silent, want less")
 	}
 	l.Apply(now.Add(2*time.Millisecond), "b", Report{Start: "1", Counts: []Count{{"w", 3}}})
 	l.Share(now.Add(3 * time.Millisecond))
@@ -207,7 +207,7 @@
 	}
 	l.SetQuotas(now, nil)
 	if !l.Admit(now, "w").IsAdmitted {
-		t.Error("a request was rejected after the quota was removed")
+		t.Error("a request was rejected after the quota was removed, want it admitted")
 	}
 }
 
@@ -234,7 +234,7 @@
 		}
 	}
 	if len(reported) != len(workspaces) || len(l.Counts()) != 0 {
-		t.Errorf("%d of %d workspaces were reported, want all, and none again after the repeats", len(reported), len(workspaces))
+		t.Errorf("%d of %d workspaces were reported, want all of them, and no count left for the next report", len(reported), len(workspaces))
 	}
 }
 
@@ -248,11 +248,11 @@
 	now = now.Add(peerSilenceLimit + 100*time.Millisecond)
 	l.Apply(now, "direct", Report{Start: "a"})
 	if share := l.Share(now); share != 1 {
-		t.Errorf("share %v while no peer is silent, want 1", share)
+		t.Errorf("the share of the buckets is %v while no peer is silent, want 1", share)
 	}
 	now = now.Add(peerSilenceLimit)
 	l.Apply(now, "direct", Report{Start: "a"})
 	if share := l.Share(now); share > 0.7 {
-		t.Errorf("share %v while one of two peers is silent, want at most 0.7", share)
+		t.Errorf("the share of the buckets is %v while one of two peers is silent, want at most 0.7", share)
 	}
 }
