--- a/core/workspace/workspace_test.go
+++ b/core/workspace/workspace_test.go
@@ -45,7 +45,7 @@
 	}
 	for _, problem := range problems {
 		if strings.Contains(problem.Error(), "shared") {
-			t.Errorf("a problem contains a key: %v", problem)
+			t.Errorf("a problem contains the shared key, want no key in it: %v", problem)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 	for _, c := range cases {
 		got := ParseAuthorization(c.values)
 		if (got.Err != nil) != c.isInvalid || got.IsSet != (c.key != "") || c.key != "" && got.Key != DigestOf(c.key) {
-			t.Errorf("%s: credential %+v is not the wanted key or error", c.name, got)
+			t.Errorf("%s: credential %+v, want an error for an invalid header, else the digest of its key, or neither for no header", c.name, got)
 		}
 		if c.isInvalid && !errs.Is(got.Err, errs.Unauthenticated) {
 			t.Errorf("%s: error %v, want type unauthenticated", c.name, got.Err)
@@ -119,7 +119,7 @@
 			t.Fatalf("%q: credential %+v has both a key and an error or neither, want one of them", value, c)
 		}
 		if c.Err != nil && len(value) > 40 && strings.Contains(c.Err.Error(), value) {
-			t.Errorf("the error contains the header value %q: %v", value, c.Err)
+			t.Errorf("the error contains the header value %q, want an error without it: %v", value, c.Err)
 		}
 		if c.IsSet && ParseAuthorization([]string{value, value}).IsSet {
 			t.Errorf("two headers with the value %q give a key, want an error", value)
