--- a/core/freshness/freshness.go
+++ b/core/freshness/freshness.go
@@ -1,6 +1,6 @@
-// Package freshness decides for how long a gateway may use its copy of the operator's configuration, which
-// the platform's store may have replaced. Gateways use it so that a revoked API key is not accepted for
-// longer than a bound. It is a state machine without I/O or clock.
+// Package freshness decides for how long a gateway may use its copy of the operator's configuration, of which
+// the platform's store may hold a newer version. Gateways use it so that a revoked API key is not accepted
+// for longer than a bound. It is a state machine without I/O or clock.
 //
 // Only an answer of the store is proof that the copy is current: a read that began at some time and found no
 // later version shows that the copy contains every change confirmed before that time. A peer's report of its
--- a/core/freshness/freshness_test.go
+++ b/core/freshness/freshness_test.go
@@ -14,14 +14,14 @@
 	}
 	p.Confirm(10 * time.Second)
 	if !p.Holds(10*time.Second) || !p.Holds(14900*time.Millisecond) || p.Holds(15*time.Second) {
-		t.Error("the proof is not fresh for 4.9s after its confirmation, or still fresh after 5s")
+		t.Error("want the proof to be fresh 0s and 4.9s after its confirmation and not fresh 5s after it; at least one of these is not the case")
 	}
 	if p.IsFailing(12*time.Second) || !p.IsFailing(12500*time.Millisecond) {
-		t.Error("the proof is expiring 2s after its confirmation, or not yet after 2.5s")
+		t.Error("want the proof not to be expiring 2s after its confirmation and to be expiring 2.5s after it; at least one of these is not the case")
 	}
 	p.Confirm(9 * time.Second) // a read that began earlier and ends later
 	if age, ok := p.Age(11 * time.Second); !ok || age != time.Second {
-		t.Errorf("age %v (known: %v), want 1s since the start of the later read", age, ok)
+		t.Errorf("the age of the proof is %v (known: %v), want 1s (known: true), the time since the start of the later read", age, ok)
 	}
 }
 
@@ -32,6 +32,6 @@
 	}
 	p.Confirm(0)
 	if !p.Holds(1000*time.Hour) || p.IsFailing(1000*time.Hour) {
-		t.Error("without a bound the proof is not fresh or is expiring 1000 hours after its confirmation")
+		t.Error("without a bound the proof is not fresh or is expiring 1000 hours after its confirmation, want fresh and not expiring")
 	}
 }
--- a/core/freshness/model_test.go
+++ b/core/freshness/model_test.go
@@ -156,7 +156,7 @@
 	m := initialState(false)
 	for range modelBound {
 		if violation := explore(m, modelDepth, nil); violation != nil {
-			t.Fatalf("from %d steps after the last confirmation on, the events %v let a request with the revoked key run, want none to", m.now, violation)
+			t.Fatalf("from %d steps after the last confirmation on, the events %v let a request with the revoked key run, want no sequence of events that does", m.now, violation)
 		}
 		m.now++
 	}
