--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -9,7 +9,7 @@
 func TestParseDisablesNamedMechanisms(t *testing.T) {
 	disabled, err := Parse([]string{"hold", "turns"})
 	if err != nil || disabled.Allows(Hold) || disabled.Allows(Turns) || !disabled.Allows(ComeBack) {
-		t.Errorf("disabled mechanisms %v and error %v, want hold and turns and no error", disabled, err)
+		t.Errorf("disabled mechanisms %v and error %v, want only hold and turns, and no error", disabled, err)
 	}
 	if _, err := Parse([]string{"hold", "holt"}); !errs.Is(err, errs.BadSettings) {
 		t.Errorf("error %v for the unknown name holt, want type bad_settings", err)
