--- a/internal/loadshare/batch.go
+++ b/internal/loadshare/batch.go
@@ -21,7 +21,8 @@
 	Content cbor.RawMessage  // an encoded batchContent
 }
 
-// batchContent is what a batch says about gateways.
+// batchContent is the part of a batch that every receiver applies: descriptions, reports and heartbeats of
+// gateways.
 type batchContent struct {
 	_      struct{}        `cbor:",toarray"`
 	Hub    netip.AddrPort  // the hub that has built the batch
@@ -97,7 +98,7 @@
 	age             time.Duration // time since the gateway was last seen; limited to maxEncodedAge
 	storeContactAge time.Duration // time since the store last answered it; limited to maxEncodedStoreContactAge
 	isIdle          bool          // its newest report holds nothing that other gateways need
-	hasStopped      bool          // its process is known to have stopped
+	hasStopped      bool          // a hub has detected that its process has stopped
 	hasLostStore    bool          // it has lost its own connection to the store
 }
 
@@ -124,7 +125,7 @@
 // toUnits converts a duration to units, rounded up and limited to the range of a byte.
 func toUnits(d, unit time.Duration) byte { return byte(min(255, max(0, (d+unit-1)/unit))) }
 
-// flags returns the flags of the encoded heartbeat.
+// flags returns the byte of the encoded heartbeat in which each boolean field is one bit.
 func (h heartbeat) flags() (flags byte) {
 	for flag, isSet := range map[byte]bool{flagIdle: h.isIdle, flagStopped: h.hasStopped, flagLostStore: h.hasLostStore} {
 		if isSet {
@@ -177,7 +178,8 @@
 	maxHeartbeats = 768
 )
 
-// splitContents divides what a hub has to send into contents of batches that do not exceed these limits.
+// splitContents divides what a hub has to send into contents of batches with at most maxPeerInfos
+// descriptions, maxReports reports and maxHeartbeats heartbeats each.
 func splitContents(hub netip.AddrPort, infos []peerInfo, reports []relayedReport, heartbeats []heartbeat) []batchContent {
 	var contents []batchContent
 	for len(infos) > 0 || len(reports) > 0 || len(heartbeats) > 0 {
--- a/internal/loadshare/batch_test.go
+++ b/internal/loadshare/batch_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Guards against batches that are too large for a datagram, and against entries that are left out when the
-// update of a hub is split into several batches.
+// Guards against batches larger than 16 KiB in a fleet of 2000 gateways, and against entries that are left out
+// when the update of a hub is split into several batches.
 func TestLargeFleetBatchIsSplit(t *testing.T) {
 	const gateways = 2000
 	var infos []peerInfo
@@ -78,7 +78,7 @@
 	}
 }
 
-// Guards against a damaged batch that is applied in part and adds peers.
+// Guards against a batch that is damaged or names no hub, and still adds the peers that it describes.
 func TestDamagedBatchIsIgnored(t *testing.T) {
 	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
@@ -152,7 +152,7 @@
 	}
 }
 
-// FuzzHandleDatagram handles arbitrary data as datagrams. None of it may crash the process.
+// FuzzHandleDatagram passes arbitrary data to handleDatagram, which must not panic.
 func FuzzHandleDatagram(f *testing.F) {
 	encodedContent, err := cbor.Marshal(batchContent{Hub: testAddr(1), Intros: []peerInfo{{Name: "p", Addr: testAddr(2), Domain: 1}}, News: []relayedReport{{ID: 1, Seq: 1}}, Signs: make([]byte, heartbeatBytes)})
 	if err != nil {
--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// minHubInterval is the shortest time between two batches of a hub.
+	// minHubInterval is the shortest time from sending new reports and heartbeats as a hub until sending again.
 	minHubInterval = 5 * time.Millisecond
 	// maxDirectInterval is the longest interval between two reports that a gateway accepts to send to all
-	// receivers itself. maxDirectReceivers is the number of receivers at which sendIntervalPerPeer results in
-	// this interval. With more receivers a report arrives earlier through hubs.
+	// receivers itself. maxDirectReceivers (40) is the number of receivers at which sendIntervalPerPeer results
+	// in this interval. With more receivers a report arrives earlier through hubs.
 	maxDirectInterval  = 20 * time.Millisecond
 	maxDirectReceivers = int(maxDirectInterval / sendIntervalPerPeer)
-	// maxHubDelay is the longest additional delay of a report that arrives through hubs: one refresh and
-	// three batches.
+	// maxHubDelay is the longest additional delay of a report that arrives through hubs, for which the quotas
+	// allow: one wait of refreshInterval and three of minHubInterval.
 	maxHubDelay = refreshInterval + 3*minHubInterval
 	// peerInfosPerRefresh is how many gateways a hub describes again in each refresh, for receivers that have
 	// not received the earlier descriptions.
 	peerInfosPerRefresh = 16
 	// maxUnknownIDs is the largest number of gateways whose peerInfo one report requests.
 	maxUnknownIDs = 128
-	// maxUnconfirmedHubs is the largest number of gateways without a recent sign of life that receive a
-	// report besides the hubs, because they may act as hubs; see hubModeReceivers.
+	// maxUnconfirmedHubs is the largest number of gateways that were not seen recently and receive a report
+	// besides the hubs, because they may be live and act as hubs; see hubModeReceivers.
 	maxUnconfirmedHubs = 3
 )
 
@@ -40,7 +40,7 @@
 const (
 	roleNone    hubRole = iota // the receiver is no hub for the sender
 	roleStore                  // store the report, and send the state of the sender with each refresh
-	roleForward                // also forward the report at once
+	roleForward                // as roleStore, and forward the report at once
 )
 
 // hub holds the state of this gateway as a hub: the reports of the gateways of its domain, and those from the
@@ -96,7 +96,7 @@
 }
 
 // takeUpdate returns what is to be sent now and clears what is pending. A refresh includes a heartbeat of
-// each live gateway of the hub's domain.
+// each live gateway of the hub's domain, and describes the next peerInfosPerRefresh of them again.
 func (h *hub) takeUpdate(now time.Time, isRefresh bool, domain fanout.Domain) hubUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -151,19 +151,19 @@
 	if len(update.changes) == 0 && len(update.heartbeats) == 0 && len(update.announced) == 0 {
 		return
 	}
-	inDomain, otherDomains := s.hubUpdateReceivers(now)
+	ownDomainReceivers, otherDomainReceivers := s.hubUpdateReceivers(now)
 	infos := s.peerInfos(update.announced)
-	s.sendToBranches(s.encodeContents(now, infos, update), fanout.Branches(s.Addr(), inDomain))
+	s.sendToBranches(s.encodeContents(now, infos, update), fanout.Branches(s.Addr(), ownDomainReceivers))
 	ownInfos := slices.DeleteFunc(slices.Clone(infos), func(p peerInfo) bool { return p.Domain != s.domain })
 	for _, data := range s.encodeContents(now, ownInfos, update.forDomain(fanout.Domain(s.domain))) {
-		for _, to := range otherDomains {
+		for _, to := range otherDomainReceivers {
 			s.sendBatch(batch{Content: data}, to)
 		}
 	}
 }
 
-// HubFor returns the number of gateways of the own domain whose reports this one forwards as a hub; 0 if it
-// is no hub.
+// HubFor returns the number of gateways of the own domain whose reports this one forwards as a hub, at its last
+// refresh; 0 if it is no hub.
 func (s *Share) HubFor() int {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
@@ -220,7 +220,8 @@
 	}
 }
 
-// sendBatch sends a batch to some gateways. If encoding fails it logs the error and sends nothing.
+// sendBatch sends a batch to each of the given addresses. If encoding fails it logs the error and sends
+// nothing.
 func (s *Share) sendBatch(b batch, to ...netip.AddrPort) {
 	data, err := cbor.Marshal(b)
 	if err != nil {
@@ -233,7 +234,7 @@
 	}
 }
 
-// peerInfos returns the descriptions of the gateways with some ids. Ids of unknown gateways are left out.
+// peerInfos returns the descriptions of the gateways with the given ids. Ids of unknown gateways are left out.
 func (s *Share) peerInfos(ids []fanout.ID) []peerInfo {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/loadshare/hub_test.go
+++ b/internal/loadshare/hub_test.go
@@ -13,8 +13,8 @@
 	"arbutusramp/internal/fleetview"
 )
 
-// largeFleet is a set of running gateways in two domains. Each has more receivers than it sends reports to
-// without hubs. All use one target with one slot.
+// largeFleet is a set of running gateways in two domains. Each gateway would have more than maxDirectReceivers
+// receivers without hubs, so that hubs distribute the reports. All gateways use one target with one slot.
 type largeFleet struct {
 	t        *testing.T
 	gateways []*Share
@@ -23,9 +23,9 @@
 	running  sync.WaitGroup       // calls of Run
 }
 
-// startLargeFleet starts 86 gateways, half of them in each domain.
+// startLargeFleet starts 86 gateways: those with even indexes in domain d0, those with odd ones in d1.
 func startLargeFleet(t *testing.T) *largeFleet {
-	const domains, perDomain = 2, 43 // more than maxDirectReceivers receivers for each gateway
+	const domains, perDomain = 2, 43 // 43 receivers without hubs, 42 of them in the own domain; maxDirectReceivers is 40
 	f := &largeFleet{t: t}
 	for i := range domains * perDomain {
 		f.add(fmt.Sprintf("d%d", i%domains))
@@ -79,7 +79,7 @@
 	}
 }
 
-// isHub reports whether gateway i is a hub of its domain.
+// isHub reports whether gateway i selects itself as a hub of its domain.
 func (f *largeFleet) isHub(i int) bool {
 	s := f.gateways[i]
 	s.mu.Lock()
@@ -121,7 +121,8 @@
 }
 
 // checkLoadPropagation occupies the only slot through the gateway with index holder and releases it. It waits
-// each time until one of the last gateways of each domain has received the change.
+// each time until two other gateways have received the change: the third-last and the fourth-last, which are in
+// different domains.
 func checkLoadPropagation(t *testing.T, f *largeFleet, holder int) {
 	t.Helper()
 	r, ok := f.views[holder].StartOnline("s", nil)
@@ -137,7 +138,9 @@
 	}
 }
 
-// Guards against a gateway or a hub of a large fleet that sends to more gateways the larger the fleet is.
+// Guards against a gateway of a large fleet that sends its report to others than the two hubs of its domain,
+// and against a hub that sends to more than one gateway of each other domain. The 300 peers are in three domains,
+// 100 of them in that of s.
 func TestLargeFleetLimitsReceivers(t *testing.T) {
 	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
@@ -158,8 +161,8 @@
 			t.Errorf("%d receivers, of which %d forward the report, want 2 and 1", len(receivers), forwarderCount)
 		}
 	}
-	inDomain, otherDomains := s.hubUpdateReceivers(now)
-	if len(inDomain) != 100 || len(otherDomains) != 2 {
-		t.Errorf("a hub sends to %d gateways of its domain and %d of other domains, want 100 and 2", len(inDomain), len(otherDomains))
+	ownDomainReceivers, otherDomainReceivers := s.hubUpdateReceivers(now)
+	if len(ownDomainReceivers) != 100 || len(otherDomainReceivers) != 2 {
+		t.Errorf("a hub sends to %d gateways of its domain and %d of other domains, want 100 and 2", len(ownDomainReceivers), len(otherDomainReceivers))
 	}
 }
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -41,8 +41,8 @@
 	// refreshInterval is the time between reports without a change of the loads, and between the refreshes in
 	// which a hub sends the state of all gateways of its domain.
 	refreshInterval = 200 * time.Millisecond
-	// PeerTTL is how long the loads in a report stay valid without a newer report: it spans several
-	// refreshes, since datagrams get lost.
+	// PeerTTL is how long the loads in a report stay valid without a newer report: it spans three times
+	// refreshInterval, since datagrams get lost.
 	PeerTTL = 700 * time.Millisecond
 	// silentAfter is the time without a report or heartbeat of a peer after which reports are sent to it only
 	// every silentSendInterval: it has stopped, or it is cut off and may be reachable again later.
@@ -54,11 +54,12 @@
 	// maxStoreContactAge is the longest time since the store last answered a peer for which the peer counts
 	// as having access to the store. Without faults the store answers each gateway at least every 0.6 s.
 	maxStoreContactAge = time.Second
-	// maxDatagramBytes is the largest size of a datagram.
+	// maxDatagramBytes is the largest size of a datagram that is received whole.
 	maxDatagramBytes = 60 << 10
 )
 
-// peer holds what this process knows about the gateway at an address. A restarted gateway gets a new peer.
+// peer holds what this process has received or read about the gateway at an address. A restarted gateway gets a
+// new peer.
 type peer struct {
 	addr   netip.AddrPort
 	seq    uint64     // sequence number of the peer's newest report
@@ -69,8 +70,10 @@
 	capacity       fanout.Capacity
 	lastSeen       time.Time // time of the last report, heartbeat or batch; at first, when the peer was added
 	lastSeenDirect time.Time // last time of a report not through a hub, or of a batch of the peer as a hub
-	lastSent       time.Time // when a report or batch was last sent to the peer, as far as silentSendInterval applies
-	lastProbed     time.Time // time of the last probe; see peersToProbe
+	// lastSent is when a report or batch was last sent to the peer. It limits how often one is sent to a peer
+	// that is silent or whose domain is unknown; see silentSendInterval.
+	lastSent   time.Time
+	lastProbed time.Time // time of the last probe; see peersToProbe
 	// lastStoreContact is when the platform's log store last answered the peer. hasLostStore is set if the
 	// peer has lost its own connection to that store.
 	lastStoreContact time.Time
@@ -97,7 +100,7 @@
 	self      fleet.Peer
 	domain    digest // digest of the name of this process's failure domain
 	capacity  fanout.Capacity
-	hasRelays bool // one gateway of each other domain forwards the reports; see selectReceivers
+	hasRelays bool // policy.Relays is enabled: gateways forward reports of others; see selectReceivers
 	view      *fleetview.View
 	// hasLostStore reports whether this process has lost its own connection to the store.
 	hasLostStore func() bool
@@ -155,7 +158,7 @@
 	Domain string     // failure domain of this process
 	// Capacity is the processor time of this process.
 	Capacity fanout.Capacity
-	Off      policy.Off      // mechanisms that are disabled by the settings
+	Off      policy.Off      // mechanisms that the settings disable; only policy.Relays matters here
 	View     *fleetview.View // provides this process's loads and receives those of the peers
 	Quotas   Quotas
 	// Quarantine provides the records that are sent with the loads, and receives those of the peers.
@@ -455,8 +458,9 @@
 	return s.targetIndex.idByDigest
 }
 
-// noteReport records when a report of the gateway at from has arrived, and what it says about that gateway.
-// It returns whether the report is newer than all previous ones of that gateway's process.
+// noteReport records that a report of the gateway at from has arrived, and the domain, the capacity and the
+// state of the connection to the store that it contains. It returns whether the report is newer than all
+// previous ones of that gateway's process.
 func (s *Share) noteReport(from netip.AddrPort, r report) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -475,8 +479,8 @@
 }
 
 // PeersWithStore returns the addresses (IP:port) of live peers that the store has answered over their own
-// connection within maxStoreContactAge. Each process orders them differently, so that not all of them use the
-// same peer.
+// connection within maxStoreContactAge. Each process returns them in another order, so that not all processes
+// use the same peer.
 func (s *Share) PeersWithStore() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -195,7 +195,7 @@
 	for addr, r := range reports {
 		s.noteReport(netip.MustParseAddrPort(addr), r)
 	}
-	s.AddPeer("127.0.0.1:5", "", 0) // only the address is known
+	s.AddPeer("127.0.0.1:5", "", 0) // has not reported yet
 	s.peers[netip.MustParseAddrPort("127.0.0.1:4")].lastSeen = time.Now().Add(-2 * PeerTTL)
 	if addrs := s.PeersWithStore(); len(addrs) != 1 || addrs[0] != "127.0.0.1:1" {
 		t.Errorf("peers with access to the store are %v, want only 127.0.0.1:1", addrs)
--- a/internal/loadshare/message.go
+++ b/internal/loadshare/message.go
@@ -19,7 +19,7 @@
 	Seq   uint64       `cbor:"2,keyasint"` // sequence number; a report that is not newer than a received one is ignored
 	Loads []targetLoad `cbor:"3,keyasint"` // targets at which the sender has no load are left out
 	Items int          `cbor:"4,keyasint"` // number of batch items at the sender that wait for a slot
-	Due   int64        `cbor:"5,keyasint"` // when the first of them is due, in milliseconds since 1970
+	Due   int64        `cbor:"5,keyasint"` // when the earliest of them is due, in milliseconds since 1970
 	// ContactAge is how long ago the store last answered the sender, in milliseconds. It is an age and not a
 	// time because the clocks of hosts differ.
 	ContactAge int64 `cbor:"6,keyasint"`
@@ -35,8 +35,9 @@
 	Origin netip.AddrPort `cbor:"10,keyasint,omitzero"`
 	// Suspects are the digests of the ids of targets at which requests of the sender have recently failed.
 	Suspects []digest `cbor:"11,keyasint,omitempty"`
-	// IsFirst is set in the first reports after the start of the sender. Admitted holds the counts of
-	// admitted requests that have changed recently.
+	// IsFirst is set in the first reports after the start of the sender, so that a receiver can distinguish a
+	// sender that has just started from one that it has not received reports of before. Admitted holds the
+	// counts of admitted requests that have changed recently.
 	IsFirst  bool            `cbor:"12,keyasint,omitempty"`
 	Admitted []admittedCount `cbor:"13,keyasint,omitempty"`
 	// Quarantine holds quarantine records of requests under which targets crash, which some peers may not
@@ -140,7 +141,7 @@
 // targetIndex holds the target ids by their digests, for one version of the list of targets. It is cached
 // because reports arrive hundreds of times a second and the list changes rarely.
 type targetIndex struct {
-	version    uint64 // version of the list of targets; each change of the list has another one
+	version    uint64 // version of the list of targets; it differs after each change of the list
 	idByDigest map[digest]string
 }
 
--- a/internal/loadshare/probe.go
+++ b/internal/loadshare/probe.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// probeAfter is the time without a direct datagram from a peer after which the peer is probed. The
-	// reports of a live peer arrive at least every refreshInterval, unless it reports only to hubs.
+	// probeAfter is the time without a direct datagram from a peer after which the peer is probed. It is longer
+	// than refreshInterval, at which the reports of a live peer arrive unless it reports only to hubs.
 	probeAfter = 250 * time.Millisecond
-	// probeInterval is the time between two passes over all peers. probeRepeatInterval is the shortest time
+	// probeInterval is the pause between two passes over all peers. probeRepeatInterval is the shortest time
 	// between two probes of one peer.
 	probeInterval       = 100 * time.Millisecond
 	probeRepeatInterval = 400 * time.Millisecond
--- a/internal/loadshare/quota_test.go
+++ b/internal/loadshare/quota_test.go
@@ -41,7 +41,8 @@
 }
 
 // Guards against quotas that each gateway applies by itself: the requests that one gateway admits are taken
-// out of the bucket of another, and a refund is added there too. The loop ends only then.
+// out of the bucket of another, and a refund is added there too. The loop ends once the bucket of b has lost 4
+// tokens: 5 requests less 1 refund.
 func TestGatewaysExchangeAdmissions(t *testing.T) {
 	quotasA, quotasB := newTestQuotas("a"), newTestQuotas("b")
 	a, b := newSharerWithQuotas(t, "a", quotasA), newSharerWithQuotas(t, "b", quotasB)
--- a/internal/loadshare/receive.go
+++ b/internal/loadshare/receive.go
@@ -38,7 +38,8 @@
 		if info.Addr == s.Addr() || info.Name == "" {
 			continue
 		}
-		// A hub that has not received a report of a restarted process yet describes the previous process.
+		// Ignore a description with another name than that of the live peer at this address: the hub may not
+		// have received a report of the restarted process yet, and then still describes the previous one.
 		if p, ok := s.peers[info.Addr]; ok && p.name != "" && p.name != info.Name && now.Sub(p.lastSeen) < PeerTTL {
 			continue
 		}
@@ -47,7 +48,7 @@
 	}
 }
 
-// markHubSeen records that a batch of the hub at addr has arrived.
+// markHubSeen records that a batch of the hub at addr has arrived, so that the hub counts as live.
 func (s *Share) markHubSeen(addr netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +59,7 @@
 
 // applyContent applies the reports and heartbeats of a hub to the peers, the quotas and the quarantine, and
 // returns the updates for the view of the fleet. What a hub of another domain sends is also put into this
-// gateway's own table as a hub, which distributes it in its domain.
+// gateway's own table, from which runHub distributes it in the own domain.
 func (s *Share) applyContent(c batchContent, heartbeats []heartbeat) []fleetview.PeerNews {
 	now := time.Now()
 	ids := s.targetIDs()
@@ -134,10 +135,14 @@
 		p.lastSeen = seenAt
 		p.lastStoreContact, p.hasLostStore = now.Add(-h.storeContactAge), h.hasLostStore
 	}
-	// A newer report may have arrived earlier through another hub. The heartbeat then says nothing about the
-	// present loads.
+	// The heartbeat holds only the low 16 bits of the sequence number. The signed difference of 16 bits is
+	// negative if a newer report has arrived earlier through another hub, also when the bits wrap around. The
+	// heartbeat then says nothing about the present loads.
 	seqAhead := int16(h.seq - uint16(p.seq))
 	isIdle := h.isIdle && seqAhead >= 0
+	// A heartbeat of an idle gateway replaces its report, so that reports up to this sequence number are
+	// ignored from now on. The report of a gateway that is not idle is sent separately and must still be
+	// accepted.
 	if isIdle {
 		p.seq += uint64(seqAhead)
 	}
--- a/internal/loadshare/receivers.go
+++ b/internal/loadshare/receivers.go
@@ -41,10 +41,10 @@
 	return s.directModeReceivers(now, seq)
 }
 
-// isLargeFleet reports whether a report without hubs would have more than maxDirectReceivers receivers, so
-// that hubs are used. The caller holds the lock.
+// isLargeFleet reports whether hubs are used: a report without hubs would have more than maxDirectReceivers
+// receivers, and the settings allow that gateways forward reports (hasRelays). The caller holds the lock.
 func (s *Share) isLargeFleet(now time.Time) bool {
-	otherDomains := make(map[digest]bool)
+	otherDomainSet := make(map[digest]bool)
 	ownDomainPeers := 0
 	for _, p := range s.peers {
 		switch {
@@ -52,14 +52,15 @@
 		case p.domain == s.domain:
 			ownDomainPeers++
 		default:
-			otherDomains[p.domain] = true
+			otherDomainSet[p.domain] = true
 		}
 	}
-	return s.hasRelays && ownDomainPeers+len(otherDomains) > maxDirectReceivers
+	return s.hasRelays && ownDomainPeers+len(otherDomainSet) > maxDirectReceivers
 }
 
 // domainMembers returns the gateways of a domain that have not been silent for longer than silentAfter,
-// including this one. The caller holds the lock.
+// including this one. IsHeard is set for this one and for those whose name is known and which were seen within
+// PeerTTL. The caller holds the lock.
 func (s *Share) domainMembers(now time.Time, domain digest) []fanout.Member {
 	var members []fanout.Member
 	if domain == s.domain {
@@ -73,19 +74,22 @@
 	return members
 }
 
-// selfMember returns this gateway as a member of its domain.
+// selfMember returns the Member that stands for this gateway in fanout.Hubs and fanout.Rank.
 func (s *Share) selfMember() fanout.Member {
 	return fanout.Member{Addr: s.Addr(), Domain: fanout.Domain(s.domain), Capacity: s.capacity, IsHeard: true}
 }
 
 // hubModeReceivers returns the receivers of the report with sequence number seq when hubs distribute it: the
-// hubs of the own domain, each of which forwards half of the reports at once. Gateways that rank before the
-// hubs but have not been seen recently may act as hubs without this gateway in their view, so up to
-// maxUnconfirmedHubs of them receive the report too. Gateways whose domain is unknown also receive it, at
-// most every silentSendInterval, since no hub sends to them. The caller holds the lock.
+// hubs of the own domain, each of which forwards half of the reports at once. Gateways that come before the
+// last hub in the order of fanout.Hubs but were not seen recently may be live and act as hubs. They may have
+// no entry for this gateway yet, so up to maxUnconfirmedHubs of them receive the report too. Gateways whose
+// domain is unknown also receive it, at most every silentSendInterval, since no hub sends to them. The caller
+// holds the lock.
 func (s *Share) hubModeReceivers(now time.Time, seq uint64) []receiver {
-	hubs, listed := fanout.Hubs(s.domainMembers(now, s.domain))
-	if len(listed) >= maxUnconfirmedHubs {
+	hubs, unconfirmed := fanout.Hubs(s.domainMembers(now, s.domain))
+	// Right after the start the peers are listed but have not reported yet. With this many unconfirmed
+	// gateways before it, this gateway does not use itself as a hub.
+	if len(unconfirmed) >= maxUnconfirmedHubs {
 		hubs = slices.DeleteFunc(hubs, func(ap netip.AddrPort) bool { return ap == s.Addr() })
 	}
 	var receivers []receiver
@@ -96,7 +100,7 @@
 		}
 		receivers = append(receivers, receiver{ap, assignment{role: role}})
 	}
-	for _, ap := range listed[:min(maxUnconfirmedHubs, len(listed))] {
+	for _, ap := range unconfirmed[:min(maxUnconfirmedHubs, len(unconfirmed))] {
 		receivers = append(receivers, receiver{ap, assignment{role: roleForward}})
 	}
 	for ap, p := range s.peers {
@@ -109,42 +113,47 @@
 }
 
 // hubUpdateReceivers returns the receivers of an update of this gateway as a hub: the other gateways of its
-// domain, and in each other domain a hub and at most one gateway that may act as a hub without having been
-// seen recently.
-func (s *Share) hubUpdateReceivers(now time.Time) (inDomain, otherDomains []netip.AddrPort) {
+// domain, of which those silent for longer than silentAfter are included only every silentSendInterval; and in
+// each other domain one hub and at most one unconfirmed gateway of fanout.Hubs.
+func (s *Share) hubUpdateReceivers(now time.Time) (ownDomainReceivers, otherDomainReceivers []netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	isDomainKnown := make(map[digest]bool)
+	otherDomainSet := make(map[digest]bool) // false for 0, the unknown domain
 	for ap, p := range s.peers {
 		silentFor := now.Sub(p.lastSeen)
 		switch {
 		case p.domain != s.domain:
-			isDomainKnown[p.domain] = p.domain != 0
+			otherDomainSet[p.domain] = p.domain != 0
 		case silentFor > silentAfter && now.Sub(p.lastSent) < silentSendInterval:
 		default:
 			p.lastSent = now
-			inDomain = append(inDomain, ap)
+			ownDomainReceivers = append(ownDomainReceivers, ap)
 		}
 	}
 	ownHubs, _ := fanout.Hubs(s.domainMembers(now, s.domain))
+	// The hubs of this domain send to different hubs of another domain, as far as it has as many: the first
+	// hub to the first one there, the second to the second. A gateway that is not among the hubs sends to the
+	// first one.
 	rank := max(0, slices.Index(ownHubs, s.Addr()))
-	for domain, isKnown := range isDomainKnown {
+	for domain, isKnown := range otherDomainSet {
 		if !isKnown {
 			continue
 		}
-		hubs, listed := fanout.Hubs(s.domainMembers(now, domain))
+		hubs, unconfirmed := fanout.Hubs(s.domainMembers(now, domain))
 		if len(hubs) > 0 {
-			otherDomains = append(otherDomains, hubs[rank%len(hubs)])
+			otherDomainReceivers = append(otherDomainReceivers, hubs[rank%len(hubs)])
 		}
-		otherDomains = append(otherDomains, listed[:min(1, len(listed))]...)
+		otherDomainReceivers = append(otherDomainReceivers, unconfirmed[:min(1, len(unconfirmed))]...)
 	}
-	return inDomain, otherDomains
+	return ownDomainReceivers, otherDomainReceivers
 }
 
 // directModeReceivers returns the receivers of the report with sequence number seq when no hubs are used: all
-// gateways of the own domain, and one of each other domain, which forwards the report. If the sender sent the
-// report to each gateway, it would cross between domains once for each, and traffic between domains is the
-// most costly. The caller holds the lock.
+// gateways of the own domain, and one live gateway of each other domain, which forwards the report. If the
+// sender sent the report to each gateway, it would cross between domains once for each, and traffic between
+// domains is the most costly. Gateways of other domains that have not reported yet, or were not seen within
+// PeerTTL, receive the report directly, as do all gateways if relays are disabled. Gateways that are silent for
+// longer than silentAfter are included only every silentSendInterval. The caller holds the lock.
 func (s *Share) directModeReceivers(now time.Time, seq uint64) []receiver {
 	var receivers []receiver
 	relayCandidates := make(map[digest][]netip.AddrPort) // live gateways of each other domain
--- a/internal/loadshare/traffic.go
+++ b/internal/loadshare/traffic.go
@@ -21,7 +21,7 @@
 // distributing the loads of the fleet.
 type Traffic struct {
 	Own      Flow // sent with the process's own report, counted once for each receiver
-	PassedOn Flow // sent with reports of other gateways, as a relay or a hub, or with descriptions of gateways
+	PassedOn Flow // sent with reports of other gateways, as a hub or after PassOn, or with descriptions of gateways
 	Heard    Flow // all received datagrams, including batches of hubs
 }
 
