--- a/core/fanout/fanout_test.go
+++ b/core/fanout/fanout_test.go
@@ -11,7 +11,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
 }
 
-// testMembers returns n members of domain 1. isLive reports whether the i-th of them was seen recently.
+// testMembers returns n members of domain 1. The i-th of them has IsHeard set if isLive(i) is true.
 func testMembers(n int, isLive func(i int) bool) []Member {
 	var members []Member
 	for i := range n {
@@ -149,7 +149,8 @@
 }
 
 // Guards against gateways that stay in the table after a silence of more than one second, and against
-// heartbeats of idle gateways that do not clear the stored report, or that clear a report newer than the heartbeat.
+// heartbeats of idle gateways that do not clear the stored report, or that clear a report newer than the
+// heartbeat.
 func TestTableDropsSilentGateways(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := newCountTable()
--- a/core/fanout/sim_test.go
+++ b/core/fanout/sim_test.go
@@ -29,7 +29,7 @@
 	simObserverCount       = 8                     // approximate number of gateways whose views are measured
 )
 
-// simEvent is a call of run at a simulated time. Events at the same time run in the order of seq.
+// simEvent is a function call that is due at a simulated time. Events at the same time run in the order of seq.
 type simEvent struct {
 	at  time.Duration
 	seq int
@@ -78,16 +78,16 @@
 	isDead    bool              // the gateway sends and receives nothing
 	seq       uint64            // sequence number of its newest report
 	changedAt time.Duration     // time of the last load change
-	table     *Table[simReport] // state as a hub
+	table     *Table[simReport] // the reports that this gateway has received as a hub
 	isPaused, // the pause after a report is not over
 	isSendDue bool // a report is to be sent once isPaused is reset
 	isFlushDue     bool            // a batch is scheduled
 	sent, received int             // datagrams
 	isObserver     bool            // the view of this gateway is measured
 	lastFlush      time.Duration   // when the last batch was sent
-	knownSeq       []uint64        // newest sequence number of each gateway
-	knownChangedAt []time.Duration // time of the last load change received from each gateway
-	lastSeen       []time.Duration // when each gateway was last seen
+	knownSeq       []uint64        // newest sequence number received from each gateway, by ID
+	knownChangedAt []time.Duration // time of the last load change received from each gateway, by ID
+	lastSeen       []time.Duration // when each gateway was last seen, by ID
 }
 
 // newSimFleet returns a fleet of n gateways with their first reports and refreshes scheduled at random times.
@@ -342,7 +342,7 @@
 	}
 }
 
-// hubsOf returns the first result of Hubs, to pass both results of a call on.
+// hubsOf returns its first argument. With a call of Hubs as its arguments it returns only the hubs.
 func hubsOf(hubs, _ []netip.AddrPort) []netip.AddrPort { return hubs }
 
 // applyBatch applies a received batch. isFromOtherDomain is set for a batch that a hub of another domain has
--- a/core/fanout/table.go
+++ b/core/fanout/table.go
@@ -96,7 +96,7 @@
 }
 
 // recordLiveness copies from e when the gateway was last seen, whether its process has stopped, and the state
-// of its connection to the store, unless e is older than the row.
+// of its connection to the store. It does nothing unless e.Heard is later than that of the row.
 func (r *row[R]) recordLiveness(e Origin[R]) {
 	if e.Heard.After(r.Heard) {
 		r.Heard, r.Contact, r.HasDetour, r.HasStopped = e.Heard, e.Contact, e.HasDetour, e.HasStopped
