--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -14,15 +14,17 @@
 )
 
 const (
-	// minHubInterval is the shortest time from sending new reports and heartbeats as a hub until sending again.
+	// minHubInterval is the shortest time after a hub has forwarded new reports or heartbeats until it sends
+	// again.
 	minHubInterval = 5 * time.Millisecond
-	// maxDirectInterval is the longest interval between two reports that a gateway accepts to send to all
+	// maxDirectInterval is the longest interval between two reports up to which a gateway sends them to all
 	// receivers itself. maxDirectReceivers (40) is the number of receivers at which sendIntervalPerPeer results
 	// in this interval. With more receivers a report arrives earlier through hubs.
 	maxDirectInterval  = 20 * time.Millisecond
 	maxDirectReceivers = int(maxDirectInterval / sendIntervalPerPeer)
-	// maxHubDelay is the longest additional delay of a report that arrives through hubs, for which the quotas
-	// allow: one wait of refreshInterval and three of minHubInterval.
+	// maxHubDelay is the longest additional delay of a report that arrives through hubs: one wait of
+	// refreshInterval and three of minHubInterval. The quotas treat a peer as silent that much later if its
+	// reports arrive through hubs.
 	maxHubDelay = refreshInterval + 3*minHubInterval
 	// peerInfosPerRefresh is how many gateways a hub describes again in each refresh, for receivers that have
 	// not received the earlier descriptions.
@@ -203,7 +205,7 @@
 	return contents
 }
 
-// newHeartbeat returns the heartbeat for an entry of the table.
+// newHeartbeat returns the heartbeat for an entry of the table, with its ages at the time now.
 func newHeartbeat(now time.Time, e fanout.Origin[relayedReport]) heartbeat {
 	return heartbeat{
 		id: e.ID, seq: uint16(e.Seq), age: now.Sub(e.Heard), storeContactAge: now.Sub(e.Contact), isIdle: e.IsIdle, hasStopped: e.HasStopped, hasLostStore: e.HasDetour,
@@ -268,7 +270,7 @@
 	signal(h.changed)
 }
 
-// markStopped marks a gateway's process as stopped in the table.
+// markStopped marks a gateway's process as stopped in the table, so that the next heartbeat says so.
 func (h *hub) markStopped(id fanout.ID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/loadshare/hub_test.go
+++ b/internal/loadshare/hub_test.go
@@ -14,7 +14,7 @@
 )
 
 // largeFleet is a set of running gateways in two domains. Each gateway would have more than maxDirectReceivers
-// receivers without hubs, so that hubs distribute the reports. All gateways use one target with one slot.
+// (40) receivers without hubs, so that hubs distribute the reports. All gateways use one target with one slot.
 type largeFleet struct {
 	t        *testing.T
 	gateways []*Share
@@ -25,7 +25,7 @@
 
 // startLargeFleet starts 86 gateways: those with even indexes in domain d0, those with odd ones in d1.
 func startLargeFleet(t *testing.T) *largeFleet {
-	const domains, perDomain = 2, 43 // 43 receivers without hubs, 42 of them in the own domain; maxDirectReceivers is 40
+	const domains, perDomain = 2, 43 // without hubs 43 receivers: 42 in the own domain, 1 in the other
 	f := &largeFleet{t: t}
 	for i := range domains * perDomain {
 		f.add(fmt.Sprintf("d%d", i%domains))
@@ -139,8 +139,8 @@
 }
 
 // Guards against a gateway of a large fleet that sends its report to others than the two hubs of its domain,
-// and against a hub that sends to more than one gateway of each other domain. The 300 peers are in three domains,
-// 100 of them in that of s.
+// and against a hub that sends to more than one gateway of each other domain. The 300 peers
+// are in three domains, 100 of them in that of s.
 func TestLargeFleetLimitsReceivers(t *testing.T) {
 	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -495,5 +495,6 @@
 	return addrs
 }
 
-// hashPeer returns the hash by which this process orders the peers. Each process has another order.
+// hashPeer returns the hash by which this process orders the peers from which it selects some. It depends on the
+// name of this process, so that not all processes select the same ones.
 func (s *Share) hashPeer(addr string) uint64 { return xxhash.Sum64String(string(s.self) + " " + addr) }
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -160,8 +160,8 @@
 	s.handleDatagram([]byte("garbage"), from)
 }
 
-// Guards against traffic to stopped peers: reports are sent to a silent peer at a lower rate, and the peer is
-// removed in the end.
+// Guards against traffic to stopped peers: reports are sent to a peer that is silent for longer than silentAfter
+// only once in silentSendInterval, and the peer is removed after removeAfter.
 func TestSilentPeersAreSentToRarelyAndThenRemoved(t *testing.T) {
 	s, _ := newTestSharer(t, "a")
 	defer s.conn.Close()
@@ -256,8 +256,8 @@
 	}
 }
 
-// Guards against a forwarded report that is stored as one of the relay, does not reach the domain of the
-// relay, or is forwarded again.
+// Guards against a forwarded report that is stored under the address of the relay, does not reach the domain of
+// the relay, or is forwarded again.
 func TestRelayForwardsReport(t *testing.T) {
 	origin := netip.MustParseAddrPort("127.0.0.1:9")
 	relay, _ := newTestSharer(t, "relay")
@@ -292,8 +292,8 @@
 	}
 }
 
-// Guards against reports that their sender does not count, or counts with another size than the peer
-// receives.
+// Guards against datagrams that their sender does not count in Traffic, or counts with another size than the
+// peer receives.
 func TestTrafficIsCounted(t *testing.T) {
 	a, _ := newTestSharer(t, "a")
 	b, _ := newTestSharer(t, "b")
--- a/internal/loadshare/message.go
+++ b/internal/loadshare/message.go
@@ -52,7 +52,7 @@
 	Capacity fanout.Capacity `cbor:"17,keyasint,omitempty"`
 }
 
-// encodeRecords converts quarantine records for a report.
+// encodeRecords converts quarantine records into the messages that a report contains.
 func encodeRecords(records []quarantine.Record) []quarantine.Message {
 	var messages []quarantine.Message
 	for _, r := range records {
@@ -68,7 +68,7 @@
 	Total     int64
 }
 
-// encodeCounts converts counts of admitted requests for a report.
+// encodeCounts converts counts of admitted requests into those that a report contains.
 func encodeCounts(counts []quota.Count) []admittedCount {
 	var encoded []admittedCount
 	for _, c := range counts {
@@ -77,7 +77,7 @@
 	return encoded
 }
 
-// decodeCounts converts the counts of admitted requests in a report.
+// decodeCounts converts the counts of admitted requests in a report into those that the quotas use.
 func decodeCounts(counts []admittedCount) []quota.Count {
 	var decoded []quota.Count
 	for _, c := range counts {
@@ -108,7 +108,7 @@
 	Batch  int
 }
 
-// encodeLoads converts loads by target id for a report.
+// encodeLoads converts loads by target id into those that a report contains.
 func encodeLoads(loads map[string]fleet.Load) []targetLoad {
 	var encoded []targetLoad
 	for id, l := range loads {
--- a/internal/loadshare/probe.go
+++ b/internal/loadshare/probe.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// peersToProbe returns the addresses of the peers that are due for a probe, and marks these peers as probed.
+// peersToProbe returns the addresses of at most maxProbesPerPass peers that have sent no direct datagram for
+// probeAfter and were not probed within probeRepeatInterval. It sets lastProbed of these peers to now.
 // Peers without a direct datagram for longer than silentAfter are left out: they report only to hubs, which
 // probe them, or they have been due for several probes already.
 func (s *Share) peersToProbe(now time.Time) []netip.AddrPort {
--- a/internal/loadshare/receivers.go
+++ b/internal/loadshare/receivers.go
@@ -10,7 +10,8 @@
 )
 
 // relaysPerDomain is how many gateways of another domain take turns in forwarding the reports of a sender.
-// With only one, its loss would leave its domain without these reports until it has been silent for PeerTTL.
+// With only one, the loss of this gateway would keep the reports from its domain until it has been silent for
+// PeerTTL; with two, every second report still arrives.
 const relaysPerDomain = 2
 
 // receiver is a gateway to which a report is sent, and what it does with the report besides applying it.
