--- a/internal/loadshare/probe.go
+++ b/internal/loadshare/probe.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// probeAfter is the time without a direct datagram from a peer after which the peer is probed. The
-	// reports of a live peer arrive at least every refreshInterval, unless it reports only to hubs.
+	// probeAfter is the time without a direct datagram from a peer after which the peer is probed. It is longer
+	// than refreshInterval, at which the reports of a live peer arrive unless it reports only to hubs.
 	probeAfter = 250 * time.Millisecond
-	// probeInterval is the time between two passes over all peers. probeRepeatInterval is the shortest time
+	// probeInterval is the pause between two passes over all peers. probeRepeatInterval is the shortest time
 	// between two probes of one peer.
 	probeInterval       = 100 * time.Millisecond
 	probeRepeatInterval = 400 * time.Millisecond
@@ -50,7 +50,8 @@
 	}
 }
 
-// peersToProbe returns the addresses of the peers that are due for a probe, and marks these peers as probed.
+// peersToProbe returns the addresses of at most maxProbesPerPass peers that have sent no direct datagram for
+// probeAfter and were not probed within probeRepeatInterval. It sets lastProbed of these peers to now.
 // Peers without a direct datagram for longer than silentAfter are left out: they report only to hubs, which
 // probe them, or they have been due for several probes already.
 func (s *Share) peersToProbe(now time.Time) []netip.AddrPort {
