--- a/core/backlog/codec.go
+++ b/core/backlog/codec.go
@@ -30,8 +30,9 @@
 	// chunkHeaderBytes is the length of the header of a chunk: the index of the chunk and the number of
 	// chunks, two bytes each.
 	chunkHeaderBytes = 4
-	// maxChunks is one more than the largest number of chunks that the header of a chunk can hold.
-	maxChunks = 1 << 16
+	// chunkCountLimit is the exclusive upper bound of the number of chunks, which a chunk header stores in two
+	// bytes.
+	chunkCountLimit = 1 << 16
 )
 
 // EncodeJob returns the records that store a job. Errors: errs.BodyTooLarge, errs.Internal.
@@ -88,10 +89,10 @@
 func encodeRecords(key string, v any) ([]platform.KeyedRecord, error) {
 	data, err := cbor.Marshal(v)
 	if err != nil {
-		return nil, errs.Newf(errs.Internal, "record %s: %v", key, err)
+		return nil, errs.Newf(errs.Internal, "encode record %s: %v", key, err)
 	}
 	n := (len(data) + chunkBytes - 1) / chunkBytes
-	if n >= maxChunks {
+	if n >= chunkCountLimit {
 		return nil, errs.Newf(errs.BodyTooLarge, "record %s is too large: %d bytes", key, len(data))
 	}
 	var records []platform.KeyedRecord
@@ -129,7 +130,7 @@
 		return r.Key, part, nil
 	}
 	if i >= n {
-		return "", nil, errs.Newf(errs.BadFrame, "record %s is chunk %d of %d", r.Key, i, n)
+		return "", nil, errs.Newf(errs.BadFrame, "record %s has chunk index %d, but its value has only %d chunks", r.Key, i, n)
 	}
 	key, _, _ = strings.Cut(r.Key, "#")
 	if len(a.partial[key]) != n {
--- a/core/backlog/state_test.go
+++ b/core/backlog/state_test.go
@@ -173,14 +173,14 @@
 		t.Fatalf("a text of some chunks has %d records, error %v; want at least 3 records and no error", len(records), err)
 	}
 	if r := (&Result{Size: len(want.Text)}); r.TextRecords() != len(records) {
-		t.Errorf("TextRecords is %d, want the %d records of the text", r.TextRecords(), len(records))
+		t.Errorf("the computed number of records is %d, want the %d records of the text", r.TextRecords(), len(records))
 	}
 	records[0], records[1] = records[1], records[0]
 	reader := NewTextReader()
 	for i, r := range records {
 		key, text, isComplete, err := reader.Put(r)
 		if err != nil || isComplete != (i == len(records)-1) {
-			t.Fatalf("after record %d of %d: complete is %v, error %v; want complete after the last record only, and no error", i, len(records), isComplete, err)
+			t.Fatalf("after the record of index %d of %d records: complete is %v, error %v; want complete after the last record only, and no error", i, len(records), isComplete, err)
 		}
 		if isComplete && (key != TextKey(want.Job, want.Index, Sum(want.Text)) || text != want.Text) {
 			t.Errorf("the complete text has key %s and %d bytes, want the encoded key and text", key, len(text))
@@ -191,8 +191,8 @@
 	}
 }
 
-// TextRecords must not be less than the number of records that are written, for any length of the text:
-// otherwise records of deleted texts stay in the store.
+// The computed number of records of a text must not be less than the number that is written, for any length of
+// the text: otherwise records of deleted texts stay in the store.
 func TestTextRecordCountIsUpperBound(t *testing.T) {
 	for size := chunkBytes - 20; size < chunkBytes+20; size++ {
 		records, err := EncodeText(Text{Job: "j", Text: strings.Repeat("x", size)})
@@ -200,7 +200,7 @@
 			t.Fatal(err)
 		}
 		if r := (&Result{Size: size}); r.TextRecords() < len(records) {
-			t.Errorf("a text of %d bytes has %d records, TextRecords is %d, want at least as many", size, len(records), r.TextRecords())
+			t.Errorf("a text of %d bytes has %d records, the computed number is %d, want at least as many", size, len(records), r.TextRecords())
 		}
 	}
 }
--- a/core/backlog/types.go
+++ b/core/backlog/types.go
@@ -69,8 +69,8 @@
 	TextAt uint64 `cbor:"9,keyasint,omitempty"`
 }
 
-// Progress is how far an item has been run. The process that owns the item's shard stores it, so that the next
-// owner can resume the item.
+// Progress holds the events, the number of failures and the outcome of an item without a stored result. The
+// process that owns the item's shard stores it, so that the next owner can resume the item.
 type Progress struct {
 	Job    string `cbor:"1,keyasint"` // id of the job
 	Item   string `cbor:"2,keyasint"` // id of the item
