--- a/internal/backlog/faulty_builds_test.go
+++ b/internal/backlog/faulty_builds_test.go
@@ -15,7 +15,7 @@
 // The random runs must detect violated guarantees: a check that can't fail proves nothing. Each faulty build
 // omits one mechanism that the guarantees depend on, and at least one random run must report a violation.
 func TestRandomFaultsDetectFaultyBuilds(t *testing.T) {
-	for name, build := range map[string]func(platform.Store) platform.Store{
+	for name, wrapStore := range map[string]func(platform.Store) platform.Store{
 		"results are written without an epoch":          func(s platform.Store) platform.Store { return unfencedStore{s} },
 		"takeovers read no results":                     func(s platform.Store) platform.Store { return emptyResultsStore{s} },
 		"a lost answer is treated as a failed write":    func(s platform.Store) platform.Store { return unknownAsFailedStore{s} },
@@ -23,7 +23,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= faultyBuildSeeds; seed++ {
-				if n := countViolations(t, seed, build); n > 0 {
+				if n := countViolations(t, seed, wrapStore); n > 0 {
 					t.Logf("seed %d: %d violations", seed, n)
 					return
 				}
--- a/internal/backlog/item.go
+++ b/internal/backlog/item.go
@@ -22,7 +22,8 @@
 const (
 	// itemIdleTimeout is how long an item's stream may be idle before its run is cancelled and the item is
 	// moved to another target. A stream may wait in its target's queue, so the timeout is longer than the one
-	// for a target that sends nothing on any stream, and at least twice the normal silence of a working target.
+	// for a target that sends nothing on any stream. A watchdog waits longer if twice the time for which a
+	// working target of the service may send nothing exceeds this timeout.
 	itemIdleTimeout = 1500 * time.Millisecond
 	// watchdogInterval is the interval at which a watchdog checks its run.
 	watchdogInterval = 100 * time.Millisecond
@@ -56,7 +57,7 @@
 	v, err := m.streamItem(ctx, t, r, route)
 	r.Done()
 	took := time.Since(began)
-	first, idle := r.Times()
+	timeToFirstEvent, timeSinceLastEvent := r.Times()
 	telemetry.Observe(m.registry, runMetric, took)
 	m.runTimes.Ran(t.job.Route, t.eventCount()-eventsBefore, took)
 	if v == runComplete {
@@ -70,7 +71,7 @@
 	}
 	m.runLog.Info(time.Now(), "item run", "job", t.job.ID, "item", t.item().ID, "shard", t.shard.index, "epoch", t.shard.epoch,
 		"route", route.Name, "target", r.Choice.String(), "from_event", fromEvent, "to_event", toEvent, "ms", took.Milliseconds(),
-		"first_ms", first.Milliseconds(), "idle_ms", idle.Milliseconds(), "verdict", v.String(), "preempted", isPreempted, "error", errText(err))
+		"first_ms", timeToFirstEvent.Milliseconds(), "idle_ms", timeSinceLastEvent.Milliseconds(), "verdict", v.String(), "preempted", isPreempted, "error", errText(err))
 }
 
 // String returns the verdict as it is logged.
@@ -183,7 +184,7 @@
 	switch {
 	case answer.OtherInstance:
 		m.view.Drop(r.Target.ID)
-		return runInterrupted, errs.New(errs.TargetFailed, "another target has the address")
+		return runInterrupted, errs.New(errs.TargetFailed, "the target's address now belongs to another target")
 	case answer.NotRun:
 		return runInterrupted, errs.Newf(errs.TargetFailed, "the target rejected the item with status %d", answer.Status)
 	case answer.Foreign:
@@ -198,8 +199,8 @@
 	return runInterrupted, errs.Newf(errs.TargetFailed, "the target answered with status %d", answer.Status)
 }
 
-// brokenRun returns the description that the quarantine records of a run that has ended before the item's
-// output was complete. The run began after the event fromEvent; err is the reason of its end.
+// brokenRun returns the description, as it is reported to the quarantine, of a run that has ended before the
+// item's output was complete. The run began after the event fromEvent; err is the reason of its end.
 func brokenRun(t *task, r *fleetview.Run, fromEvent string, err error) quarantine.Broken {
 	return quarantine.Broken{
 		Content: t.content, Target: r.Target, Start: r.Target.ID, Began: r.Began(), From: fromEvent, To: t.lastEvent(),
--- a/internal/backlog/load.go
+++ b/internal/backlog/load.go
@@ -10,8 +10,9 @@
 	"arbutusramp/core/platform"
 )
 
-// pageLimits bounds the time for one page of a load and the pause after a page that failed. If a hundred
-// processes each read 1 MB from a store that sends 80 MB/s, a page takes 1.3 s.
+// pageLimits bounds the time for one page of a load and the pause after a page that failed. All processes share
+// the store's bandwidth: while a hundred of them each read a page of 1 MB at 80 MB/s in total, a page takes
+// 1.3 s.
 var pageLimits = paging.Limits{Patience: 10 * time.Second, Backoff: 3 * time.Second}
 
 // tailReadInterval is the interval at which a load also reads the tail, the records that were written since
--- a/internal/backlog/load_test.go
+++ b/internal/backlog/load_test.go
@@ -43,10 +43,11 @@
 	}
 }
 
-// All processes of a large fleet must load the backlog after a simultaneous start. 88 processes each read all
-// results, 8 MB, from a store that sends 80 MB a second to all of them together, so a page of 1 MB takes
-// 1.5 s. If a load abandons each page after a fixed 1.2 s and begins with the first page again, it never ends:
-// half a minute after the start, each request for results was still answered with 503.
+// All processes of a large fleet must load the backlog after a simultaneous start. If 88 processes each read
+// 8 MB of results from a store that sends 80 MB a second to all of them together, a page of 1 MB takes 1.5 s.
+// A load that abandons each page after a fixed 1.2 s and begins with the first page again then never ends: half
+// a minute after the start, each request for results is still answered with 503. The test simulates a tenth of
+// this rate.
 func TestSimultaneousStartsLoadBacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := keyedlog.New(1)
@@ -107,13 +108,13 @@
 func TestLoadReadsRecordsWrittenMeanwhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := keyedlog.New(1)
-		const old, added = 70, 30
-		writeTestResults(t, store.View(), 0, old)
-		store.LimitReads(old * startupTextBytes / (2 * historyRetention.Seconds()))
+		const oldCount, addedCount = 70, 30
+		writeTestResults(t, store.View(), 0, oldCount)
+		store.LimitReads(oldCount * startupTextBytes / (2 * historyRetention.Seconds()))
 		go func() {
 			// The keys of this job's results precede those that are being read.
-			for i := range added {
-				time.Sleep(historyRetention / added)
+			for i := range addedCount {
+				time.Sleep(historyRetention / addedCount)
 				records, err := backlog.EncodeResult(&backlog.Result{Job: "a", Position: i, Item: fmt.Sprint(i), Outcome: backlog.Complete})
 				if err != nil {
 					t.Error(err)
@@ -143,8 +144,8 @@
 			time.Sleep(time.Second)
 		}
 		r.withState(func(s *backlog.State) {
-			if oldRead, addedRead := s.Listed("j"), s.Listed("a"); oldRead != old || addedRead != added {
-				t.Errorf("%d results from before the load are listed, want %d; %d results written meanwhile, want %d", oldRead, old, addedRead, added)
+			if oldRead, addedRead := s.Listed("j"), s.Listed("a"); oldRead != oldCount || addedRead != addedCount {
+				t.Errorf("%d results from before the load are listed, want %d; %d results written meanwhile, want %d", oldRead, oldCount, addedRead, addedCount)
 			}
 		})
 		cancel()
--- a/internal/backlog/manager_test.go
+++ b/internal/backlog/manager_test.go
@@ -26,7 +26,7 @@
 			cl.checkResults(j, n.results(j, 20*time.Second))
 		}
 		if n := cl.targets.runCount(j.Items[3].ID); n != j.Attempts {
-			t.Errorf("an item that fails in each run was run %d times, want %d as in Job.Attempts", n, j.Attempts)
+			t.Errorf("an item that fails in each run was run %d times, want %d, the maximum number of attempts", n, j.Attempts)
 		}
 		if n := cl.targets.runCount(j.Items[2].ID); n != 1 {
 			t.Errorf("an item that no target can process was run %d times, want once", n)
@@ -290,8 +290,8 @@
 	})
 }
 
-// A process that alone can't reach the store must not start items after its lease: another process may have
-// taken them over.
+// A process that alone can't reach the store must not start items after its lease has expired: another process
+// may have taken them over.
 func TestNoItemsStartOnIsolatedProcess(t *testing.T) {
 	withCluster(t, 2, func(t *testing.T, cl *cluster) {
 		j := cl.job("a", repeat("ok", 200)...)
@@ -304,7 +304,7 @@
 			return time.Since(outageStart) < 6*time.Second
 		})
 		if last := cl.targets.lastStartOf(j); last.After(outageStart.Add(maxCancelAge + testMinTTL*3/2)) {
-			t.Errorf("the last item started %v after the process was isolated, want none after its lease and maxCancelAge", last.Sub(outageStart))
+			t.Errorf("the last item started %v after the process was isolated, want at most maxCancelAge plus its lease of 1.5 times testMinTTL", last.Sub(outageStart))
 		}
 	})
 }
@@ -323,9 +323,8 @@
 	}
 }
 
-// Items must not be run again from their start after all shards have been reassigned, as after an outage of
-// the store. Their former owners have unfinished items, whose progress they can no longer write under their
-// old epochs.
+// A reassignment of all shards, as after an outage of the store, must not make items start over: the new owners
+// resume them from the progress that the former owners have stored.
 func TestItemResumesFromFormerOwnersProgress(t *testing.T) {
 	withCluster(t, 2, func(t *testing.T, cl *cluster) {
 		j := cl.job("a", repeat("okay", 4)...)
@@ -343,7 +342,8 @@
 	})
 }
 
-// slowFirstPage is a store that returns the first page of a load a second late and then calls afterFirstPage.
+// slowFirstPage is a store that delays the first page of a load: after reading the page, it waits a second and
+// calls afterFirstPage before it returns the page.
 type slowFirstPage struct {
 	platform.Store
 	afterFirstPage func()
--- a/internal/backlog/membership.go
+++ b/internal/backlog/membership.go
@@ -130,9 +130,9 @@
 	}
 	for i := range isAssigned {
 		if s, ok := shards[i]; ok {
-			// A fenced shard restarts only in a later epoch. In the same one it would reuse sequence numbers, and
+			// A lost shard restarts only in a later epoch. In the same one it would reuse sequence numbers, and
 			// the store would acknowledge its writes as repeats without doing them.
-			if !s.isFenced() || assignment.Generation <= s.epoch {
+			if !s.hasNewerOwner() || assignment.Generation <= s.epoch {
 				continue
 			}
 			s.stop()
--- a/internal/backlog/order_test.go
+++ b/internal/backlog/order_test.go
@@ -9,8 +9,8 @@
 )
 
 // Under overload, items that can still meet their due times must start first. If items start in the order of
-// their due times alone, those that are due first end late, and the next ones become late meanwhile: less
-// than half of the items were in time, although the engines had enough slots for two thirds.
+// their due times alone, those that are due first end late, and the next ones become late meanwhile: fewer
+// than half of the items end in time, even if the engines have enough slots for two thirds.
 func TestItemsThatCanMeetDueTimeStartFirst(t *testing.T) {
 	const tokens, events = 1000, 300
 	m := &Manager{runTimes: backlog.NewPace()}
--- a/internal/backlog/progress.go
+++ b/internal/backlog/progress.go
@@ -19,7 +19,8 @@
 	// progress.
 	checkpointInterval = 500 * time.Millisecond
 	// checkpointEvents is the number of events of an item between two checkpoints: 1.5 s of its run at 15 ms
-	// per event. Each checkpoint writes the item's whole text so far, once, and only the next owner reads it.
+	// per event. A smaller number would write more, since each checkpoint contains the item's whole text so far.
+	// Only the next owner reads checkpoints.
 	checkpointEvents = 100
 )
 
--- a/internal/backlog/random_test.go
+++ b/internal/backlog/random_test.go
@@ -155,16 +155,16 @@
 // writes are late or rejected can't store its count for the next one.
 const maxOwners = 3
 
-// checkAttempts reports a failure if an item of kind "fail" was run more than maxOwners times Job.Attempts,
-// or one of kind "never" more than maxOwners times.
+// checkAttempts reports a failure if an item of kind "fail" was run more often than maxOwners times the job's
+// maximum number of attempts, or one of kind "never" more than maxOwners times.
 func (fr *faultRun) checkAttempts(j *backlog.Job) {
 	for _, item := range j.Items {
 		runs := fr.targets.runCount(item.ID)
 		if strings.HasPrefix(item.ID, "fail") && runs > maxOwners*j.Attempts {
-			fr.reportFailure("job %s: item %s, which always fails, was run %d times, want at most maxOwners times Job.Attempts", j.ID, item.ID, runs)
+			fr.reportFailure("job %s: item %s, which always fails, was run %d times, want at most maxOwners (3) times its maximum number of attempts", j.ID, item.ID, runs)
 		}
 		if strings.HasPrefix(item.ID, "never") && runs > maxOwners {
-			fr.reportFailure("job %s: item %s, which no target can process, was run %d times, want at most maxOwners", j.ID, item.ID, runs)
+			fr.reportFailure("job %s: item %s, which no target can process, was run %d times, want at most maxOwners (3)", j.ID, item.ID, runs)
 		}
 	}
 }
@@ -175,7 +175,7 @@
 func (fr *faultRun) checkCancellation(j *backlog.Job) {
 	ackedAt, ok := fr.cancelAckedAt[j.ID]
 	if last := fr.targets.lastStartOf(j); ok && last.After(ackedAt.Add(maxCancelAge+longPollWait)) {
-		fr.reportFailure("job %s: an item started %v after the cancellation was acknowledged, want at most maxCancelAge and longPollWait", j.ID, last.Sub(ackedAt))
+		fr.reportFailure("job %s: an item started %v after the cancellation was acknowledged, want at most maxCancelAge plus longPollWait", j.ID, last.Sub(ackedAt))
 	}
 }
 
@@ -209,14 +209,14 @@
 	fr.readRandomJob()
 }
 
-// lateJobs is the number of jobs that are submitted before the writes of a process are delayed, so that items
-// end during the delay.
-const lateJobs = 4
+// jobsBeforeDelay is the number of jobs that are submitted before the writes of a process are delayed, so that
+// items end during the delay.
+const jobsBeforeDelay = 4
 
 // delayWrites submits jobs, delays the writes of a random process by 2 s and has all shards reassigned
 // meanwhile.
 func (fr *faultRun) delayWrites(step int) {
-	for i := range lateJobs {
+	for i := range jobsBeforeDelay {
 		fr.submitRandomJob(randomSteps*(1+step) + i)
 	}
 	fr.any().view.Set(keyedlog.Faults{Late: 2 * time.Second})
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -20,7 +20,8 @@
 	refreshTimeout = 700 * time.Millisecond
 	// maxPageBytes is the maximum size of the texts of a page of results; the first result may be larger.
 	maxPageBytes = 900 << 10
-	// uncertainRetryDelay is the retry delay that a caller receives if the answer can't be determined.
+	// uncertainRetryDelay is the retry delay that a caller receives if the answer to its call can't be
+	// determined, because reading the store failed.
 	uncertainRetryDelay = 300 * time.Millisecond
 )
 
@@ -41,7 +42,7 @@
 // uncertainError returns the error for a call whose answer can't be determined because reading the store
 // failed with err. Its type is errs.LogDown.
 func uncertainError(err error) error {
-	return errs.Newf(errs.LogDown, "can't determine the answer: %v", err).WithRan(errs.RanNo).WithRetry(uncertainRetryDelay)
+	return errs.Newf(errs.LogDown, "can't read the batch jobs and their results from the store: %v", err).WithRan(errs.RanNo).WithRetry(uncertainRetryDelay)
 }
 
 // ensureJobExists returns nil if the job with the scoped id exists. It refreshes the state before it returns
@@ -151,7 +152,7 @@
 		}
 	})
 	if !isFound {
-		return nil, errs.Newf(errs.NotFound, "job %q has no item %q", id, item)
+		return nil, errs.Newf(errs.NotFound, "batch job %q has no item %q", id, item)
 	}
 	m.bodyLog.Info(time.Now(), "item body read", "job", id, "item", item, "body_bytes", len(body), "body_sum", bodyChecksum(body))
 	return body, nil
--- a/internal/backlog/replica.go
+++ b/internal/backlog/replica.go
@@ -1,7 +1,7 @@
 // Package backlog runs batch jobs on the gateways: it accepts jobs from callers, divides them among the
 // processes, runs their items at targets and returns their results. Each gateway runs one Manager. Jobs,
-// results and progress are records in the platform's store, from which every process builds the same state; a
-// caller gets an answer only once the record behind it has been stored.
+// results and progress are records in the platform's store, from which every process builds the same state. A
+// submission or cancellation is acknowledged only once its record has been stored.
 package backlog
 
 import (
@@ -26,8 +26,9 @@
 	// jobPartition holds jobs and their cancellations, which any process writes. A job is written on the
 	// condition that its writer has read all earlier records of the partition.
 	jobPartition = platform.Partition{Topic: "keyed.jobs"}
-	// resultPartition holds results. Only the owner of a job's shard writes them; the store rejects a write
-	// with an older epoch than that of the newest owner.
+	// resultPartition holds results. Only the owner of a job's shard writes them, under its epoch: the store
+	// rejects a result with an older epoch than that of the newest owner. The tombstones of expired jobs are
+	// written without an epoch.
 	resultPartition = platform.Partition{Topic: "keyed.results"}
 	// textPartition holds texts that are stored separately from their results. It is read only when a caller
 	// asks for a text.
@@ -42,10 +43,10 @@
 	// answer contains the end of the partition, so this also bounds the age of the state of a partition to
 	// which nothing is written.
 	longPollWait = 600 * time.Millisecond
-	// jobReadPause and resultReadPause are the pauses between two reads of a partition. Records accumulate in
-	// them, since each read has a cost. The pause is shorter for jobs: a job is written on the condition that
-	// its writer has read all earlier ones, so a stale state costs a second attempt. Results are only needed by
-	// callers, which ask for them twice a second.
+	// jobReadPause and resultReadPause are the pauses between two reads of a partition. Each read has a cost, so
+	// records that arrive in a pause are read together. The pause is shorter for jobs: a job is written on the
+	// condition that its writer has read all earlier ones, so a stale state costs a second attempt. Results are
+	// only needed by callers, which ask for them twice a second.
 	jobReadPause    = 25 * time.Millisecond
 	resultReadPause = 100 * time.Millisecond
 	// readPausePerPeer is added to these pauses for each other process, up to maxExtraReadPause: n processes
@@ -66,11 +67,12 @@
 	memberID string // identifies this start of this process
 	store    platform.Store
 	log      hclog.Logger
-	// onContact is called after each read of new jobs that the store has answered.
+	// onContact is called after each answered read of jobPartition. It records that this process reaches the
+	// store.
 	onContact func()
 	// peerCount returns the number of other live processes.
 	peerCount func() int
-	// isFollowing reports whether this process needs all new records at once, as members of the group do.
+	// isFollowing reports whether this process needs all new records at once, as members of shardGroup do.
 	isFollowing func() bool
 	// readRequested holds a channel for each partition that is followed. A token in it makes awaitReadDue check
 	// again whether new records are needed.
@@ -94,8 +96,7 @@
 }
 
 // NewReplica returns a replica without records. memberID identifies this start of this process. onContact is
-// called after each read of new jobs that the store has answered; peerCount returns the number of other live
-// processes.
+// called after each answered read of jobPartition; peerCount returns the number of other live processes.
 func NewReplica(memberID string, store platform.Store, onContact func(), peerCount func() int, log hclog.Logger) *Replica {
 	return &Replica{
 		memberID: memberID, store: store, log: log, onContact: onContact, peerCount: peerCount, state: backlog.NewState(), changed: make(chan struct{}),
@@ -219,13 +220,13 @@
 func (r *Replica) loadProgress(ctx context.Context, shard int) (tombstones []platform.KeyedRecord, err error) {
 	prefix := backlog.ProgressPrefix(shard)
 	_, err = platform.EachNewest(ctx, r.store, progressPartition, prefix, func(records []platform.StoredRecord) bool {
-		ownRecords := records
+		shardRecords := records
 		firstOther := slices.IndexFunc(records, func(rec platform.StoredRecord) bool { return !strings.HasPrefix(rec.Key, prefix) })
 		if firstOther >= 0 {
-			ownRecords = records[:firstOther]
+			shardRecords = records[:firstOther]
 		}
-		r.apply(ownRecords)
-		tombstones = append(tombstones, r.obsoleteProgress(ownRecords)...)
+		r.apply(shardRecords)
+		tombstones = append(tombstones, r.obsoleteProgress(shardRecords)...)
 		return firstOther < 0
 	})
 	r.mu.Lock()
@@ -352,7 +353,7 @@
 // errs.LogDown (the partition has not been loaded), those of the store.
 func (r *Replica) catchUp(ctx context.Context, p platform.Partition) error {
 	if _, isLoaded := r.nextOffset(p); !isLoaded {
-		return errs.New(errs.LogDown, "the backlog has not been loaded yet").WithRetry(readRetryPause)
+		return errs.New(errs.LogDown, "this process has not finished its first load of batch jobs and results").WithRetry(readRetryPause)
 	}
 	var end uint64
 	for first := true; ; first = false {
--- a/internal/backlog/restart_test.go
+++ b/internal/backlog/restart_test.go
@@ -22,13 +22,13 @@
 		restartedAt := time.Now()
 		time.Sleep(retryDelay + 50*time.Millisecond)
 		if n := cl.targets.runCount(id); n != 2 {
-			t.Fatalf("the item was run %d times after the restart of its target, want 2", n)
+			t.Fatalf("the item was run %d times in total, want 2: once before and once after the restart of its target", n)
 		}
 		if delay := cl.targets.lastStart(id).Sub(restartedAt); delay > retryDelay+demandPollInterval {
-			t.Errorf("the item resumed %v after the restart of its target, want at most retryDelay and demandPollInterval", delay)
+			t.Errorf("the item resumed %v after the restart of its target, want at most retryDelay plus demandPollInterval", delay)
 		}
 		if from := cl.targets.lastResumedAfter(id); from == "" || strings.HasPrefix(from, "0") {
-			t.Errorf("the item resumed after event %q, want the last event of its first run", from)
+			t.Errorf("the item resumed after event %q, want the id of an event that its first run has received", from)
 		}
 		cl.checkResults(j, cl.nodes[0].results(j, 30*time.Second))
 	})
--- a/internal/backlog/shard.go
+++ b/internal/backlog/shard.go
@@ -86,8 +86,8 @@
 	return &platform.Producer{Name: "shard-" + strconv.Itoa(s.index), Epoch: s.epoch, Seq: s.seq}
 }
 
-// isFenced reports whether the store has rejected a write of this owner because a newer one exists.
-func (s *shard) isFenced() bool {
+// hasNewerOwner reports whether the shard is lost: the store has rejected a write because a newer owner exists.
+func (s *shard) hasNewerOwner() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.isLost
--- a/internal/backlog/submit.go
+++ b/internal/backlog/submit.go
@@ -138,7 +138,7 @@
 	s.tries++
 	next, isLoaded := s.m.replica.nextOffset(jobPartition)
 	if !isLoaded {
-		return false, errs.New(errs.LogDown, "the backlog has not been loaded yet")
+		return false, errs.New(errs.LogDown, "this process has not finished its first load of batch jobs and results")
 	}
 	if next > s.expectedEnd {
 		// All records before next have been read: the job is among them, or its append at s.expectedEnd can no
@@ -188,7 +188,7 @@
 			return false, nil
 		}
 	}
-	return true, errs.Newf(errs.RateLimited, "the workspace has %d of %d queued tokens on the route, and the job exceeds the limit", s.queuedTokens, s.route.MaxQueued).WithRetry(limitRetryDelay)
+	return true, errs.Newf(errs.RateLimited, "the workspace has %d queued tokens on the route, where its limit is %d; the job would exceed the limit", s.queuedTokens, s.route.MaxQueued).WithRetry(limitRetryDelay)
 }
 
 // fitsLimit updates queuedTokens from the state and reports whether these and the job's tokens are within the
--- a/internal/backlog/submit_test.go
+++ b/internal/backlog/submit_test.go
@@ -26,7 +26,7 @@
 			t.Fatalf("the submission failed after %v: %v, want it accepted", time.Since(began), err)
 		}
 		if took := time.Since(began); took > silence+appendTimeout+2*writeRetryPause {
-			t.Errorf("the job was accepted %v after the store was back, want at most appendTimeout and twice writeRetryPause", took-silence)
+			t.Errorf("the job was accepted %v after the store was back, want at most appendTimeout plus twice writeRetryPause", took-silence)
 		}
 		cl.checkResults(j, n.results(j, 20*time.Second))
 	})
--- a/internal/backlog/task.go
+++ b/internal/backlog/task.go
@@ -22,7 +22,7 @@
 
 	content *quarantine.Content // the request as it is sent to targets
 
-	createdAt time.Time // when the task was created
+	createdAt time.Time // start of the time that waitMetric measures
 
 	mu             sync.Mutex
 	hasRun         bool                   // a run has begun in this process
