--- a/internal/fleetview/run.go
+++ b/internal/fleetview/run.go
@@ -10,10 +10,12 @@
 	"arbutusramp/core/structs"
 )
 
-// Run is one request that a target serves.
+// Run is one request or batch item that this gateway has sent to a target. It counts in the load of the
+// target until Done is called.
 type Run struct {
+	// Target is the target that serves the run.
 	Target serving.Target
-	// Choice says why the target was picked.
+	// Choice is the target as picked, with its load at that time.
 	Choice fleet.Choice
 
 	view         *View
@@ -21,15 +23,15 @@
 	firstEventAt time.Time // zero before the first event
 	lastEventAt  time.Time // zero before the first event
 	class        structs.Class
-	rank         int    // of batch runs; see serving.Route
-	preempt      func() // of batch runs
+	rank         int    // of a batch run: its urgency, 0 the most urgent
+	preempt      func() // of a batch run: makes it release its slot
 	isDone       bool
-	// onTargetEnd is called when the start of the target is known to be over; see WhenEnded.
+	// onTargetEnd is called when the target is known to have restarted; see WhenEnded.
 	onTargetEnd    func()
 	hasTargetEnded bool
 }
 
-// addRun counts a run at its target. The caller holds v.mu.
+// addRun adds a run to the load of its target and to the active runs. The caller holds v.mu.
 func (v *View) addRun(now time.Time, r *Run) {
 	v.fleet.Begin(now, r.Target.ID, r.class)
 	if v.active[r.Target.ID] == nil {
@@ -38,7 +40,7 @@
 	v.active[r.Target.ID][r] = struct{}{}
 }
 
-// removeRun drops a run from the active ones. The caller holds v.mu.
+// removeRun removes a run from the active runs, but not from the load of its target. The caller holds v.mu.
 func (v *View) removeRun(r *Run) {
 	delete(v.active[r.Target.ID], r)
 	if len(v.active[r.Target.ID]) == 0 {
@@ -46,14 +48,14 @@
 	}
 }
 
-// WhenEnded sets a callback, called at most once, for when the start of the target that serves the run is
-// known to be over and no answer can arrive. f must not block.
+// WhenEnded sets the function that is called, at most once, when the target of the run is known to have
+// restarted, so that no answer can arrive. If that is known already, f is called at once. f must not block.
 func (r *Run) WhenEnded(f func()) {
 	r.view.mu.Lock()
 	r.onTargetEnd = f
-	ended := r.hasTargetEnded
+	hasTargetEnded := r.hasTargetEnded
 	r.view.mu.Unlock()
-	if ended {
+	if hasTargetEnded {
 		f()
 	}
 }
@@ -61,16 +63,17 @@
 // Began returns when the run started.
 func (r *Run) Began() time.Time { return r.startedAt }
 
-// HasEnded reports whether the start of the target that serves the run is known to be over.
+// HasEnded reports whether the target of the run is known to have restarted since the run began.
 func (r *Run) HasEnded() bool {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	return r.hasTargetEnded
 }
 
-// Ended calls the WhenEnded callbacks of the runs at targets whose starts are over. A crash behind a
-// network partition closes no connection, and activity of the next start of the target resets the idle time
-// by which the runs would detect the loss.
+// Ended calls the WhenEnded functions of all runs at the targets with these ids, which are known to have
+// restarted. An id names one start of a target: the restarted target has another id. Without this call such
+// a run could last forever: a crash behind a network partition closes no connection, and data from the
+// restarted target resets the idle time by which the run would detect the crash.
 func (v *View) Ended(ids []string) {
 	var callbacks []func()
 	v.mu.Lock()
@@ -88,7 +91,7 @@
 	}
 }
 
-// Done counts the run as finished. It may be called more than once.
+// Done removes the run from the load of its target. Calls after the first have no effect.
 func (r *Run) Done() {
 	v := r.view
 	v.mu.Lock()
@@ -104,15 +107,16 @@
 	signal(v.roomFreed)
 }
 
-// NoteActivity records that the target of the run has sent data.
+// NoteActivity records that the target of the run has just sent data to this process.
 func (r *Run) NoteActivity() {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	r.view.fleet.NoteActivity(time.Now(), r.Target.ID)
 }
 
-// Event records an event of the run's stream in the response times of its service. It returns how long ago
-// the first event arrived.
+// Event records that an event of the run's stream has just arrived, and adds the time it took to the response
+// times of the service; the first event is left out there if the run may have waited for a slot. Event returns
+// how long ago the first event of the run arrived, 0 for the first event.
 func (r *Run) Event() (sinceFirst time.Duration) {
 	v := r.view
 	v.mu.Lock()
@@ -132,7 +136,7 @@
 	return now.Sub(r.firstEventAt)
 }
 
-// AnsweredFor returns how long ago the first event of the run arrived; 0 before it.
+// AnsweredFor returns how long ago the first event of the run arrived, 0 if none has arrived.
 func (r *Run) AnsweredFor() time.Duration {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
@@ -142,8 +146,8 @@
 	return time.Since(r.firstEventAt)
 }
 
-// Times returns, for a finished run, how long the first event took and how long ago the last event arrived.
-// Both are the time since the start of the run if it produced no event.
+// Times returns how long after the start of the run its first event arrived, and how long ago its last event
+// arrived. Both are the time since the start of the run if no event has arrived.
 func (r *Run) Times() (first, sinceLast time.Duration) {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
@@ -154,45 +158,46 @@
 	return r.firstEventAt.Sub(r.startedAt), time.Since(r.lastEventAt)
 }
 
-// IdleLimit returns how long a working target of the run's service may send nothing.
+// IdleLimit returns how long a working target of the run's service may send no data during a run.
 func (r *Run) IdleLimit() time.Duration {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	return r.view.fleet.IdleLimit(r.Target.Service)
 }
 
-// Failed records that the target has failed the run. It reports whether the target became suspect by that.
+// Failed records that the run has failed at its target. It reports whether this failure made the target
+// suspect, that is, avoided by later requests.
 func (r *Run) Failed() bool {
 	v := r.view
 	v.mu.Lock()
 	now := time.Now()
-	suspect := v.fleet.Failed(now, r.Target.ID)
+	isSuspect := v.fleet.Failed(now, r.Target.ID)
 	victims := v.takeVictims(now)
 	v.mu.Unlock()
-	if suspect {
+	if isSuspect {
 		signal(v.loadsChanged)
 	}
 	preemptAll(victims)
-	return suspect
+	return isSuspect
 }
 
-// IsIdle reports whether the target has sent nothing to this process since sent, when a request was sent to
-// it, for longer than a working target takes.
-func (r *Run) IsIdle(sent time.Time) bool {
+// IsIdle reports whether the target has sent no data to this process since sentAt, the time when a request was
+// sent to it, for so long that it has probably failed.
+func (r *Run) IsIdle(sentAt time.Time) bool {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
-	return r.view.fleet.IsIdleSince(time.Now(), sent, r.Target.ID)
+	return r.view.fleet.IsIdleSince(time.Now(), sentAt, r.Target.ID)
 }
 
-// QueueWait returns how long the run may have to wait for a slot at its target.
+// QueueWait returns the longest time that the run may have to wait for a slot at its target, by the known loads.
 func (r *Run) QueueWait() time.Duration {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	return r.view.fleet.QueueWait(r.Target.ID)
 }
 
-// Held records that the run has received its complete answer. The time counts towards how long requests of
-// the service hold a slot, unless the run may have waited for one.
+// Held records that the run has received its complete answer. The duration of the run counts towards the mean
+// time that requests of its service hold a slot, unless the run may have waited for a slot.
 func (r *Run) Held() {
 	if r.Choice.Waits() {
 		return
@@ -202,44 +207,45 @@
 	r.view.fleet.Held(r.Target.Service, time.Since(r.startedAt))
 }
 
-// takeVictims removes the runs that must be preempted from the preemptible ones and returns them: the least
-// urgent first, and of these the youngest, since the oldest are closest to completion. Each still counts in
-// the loads until it is done. The caller holds v.mu.
+// takeVictims removes the runs that must be preempted from v.preemptible and returns them. At each target it
+// chooses the least urgent runs, and among equally urgent ones the youngest, since the oldest are closest to
+// completion. A chosen run counts in the load of its target until it is done. The caller holds v.mu.
 func (v *View) takeVictims(now time.Time) []*Run {
-	var list []*Run
+	var victims []*Run
 	for id, n := range v.fleet.Preempt(now) {
 		runs := v.preemptible[id]
-		// Runs that were preempted before and are not done yet still count in the loads.
+		// Runs that an earlier call has chosen and that are not done yet release a slot each.
 		preempting := v.countPreempting(id)
 		n = min(n-preempting, len(runs))
 		if n <= 0 {
 			continue
 		}
 		slices.SortStableFunc(runs, func(a, b *Run) int { return cmp.Compare(a.rank, b.rank) })
-		list = append(list, runs[len(runs)-n:]...)
+		victims = append(victims, runs[len(runs)-n:]...)
 		v.preemptible[id] = runs[:len(runs)-n]
 	}
-	return list
+	return victims
 }
 
-// countPreempting returns the number of batch runs at a target that were preempted and are not done yet.
+// countPreempting returns how many batch runs at the target with this id are preempted but not done yet.
 // The caller holds v.mu.
 func (v *View) countPreempting(id string) int {
 	return v.fleet.OwnAt(id).Batch - len(v.preemptible[id])
 }
 
+// preemptAll calls the preempt function of each run. The caller does not hold v.mu.
 func preemptAll(runs []*Run) {
 	for _, r := range runs {
 		r.preempt()
 	}
 }
 
-// removePreemptible drops a run from the preemptible ones. The caller holds v.mu.
+// removePreemptible removes a run from v.preemptible if it is there. The caller holds v.mu.
 func (v *View) removePreemptible(r *Run) {
-	list := v.preemptible[r.Target.ID]
-	for i, other := range list {
+	runs := v.preemptible[r.Target.ID]
+	for i, other := range runs {
 		if other == r {
-			v.preemptible[r.Target.ID] = append(list[:i:i], list[i+1:]...)
+			v.preemptible[r.Target.ID] = append(runs[:i:i], runs[i+1:]...)
 			return
 		}
 	}
--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -1,5 +1,6 @@
-// Package fleetview keeps the gateway's view of the fleet under one lock. The online path, the batch
-// workers, the target list and the load reports of peers share it.
+// Package fleetview keeps the targets that a gateway can use and their loads under one lock. The gateway uses
+// it to pick a target for each online request and batch item, and to preempt batch items that hold slots
+// which online requests need.
 package fleetview
 
 import (
@@ -11,25 +12,25 @@
 	"arbutusramp/core/structs"
 )
 
-// View is a fleet.Fleet with a lock and the batch runs that can be preempted. It is safe for concurrent
-// use.
+// View holds the targets, their loads and the runs of this process. It adds a lock to a fleet.Fleet, which picks
+// the targets and computes which runs must be preempted. View is safe for concurrent use.
 type View struct {
 	mu    sync.Mutex
 	fleet *fleet.Fleet
-	// preemptible holds the batch runs of this process that were not preempted, by target id, oldest first.
+	// preemptible holds, by target id, the batch runs of this process that can be preempted, oldest first.
 	preemptible map[string][]*Run
-	// active holds all runs of this process by target id, including preempted ones that are not done yet.
+	// active holds, by target id, all runs of this process, including preempted ones that are not done yet.
 	active map[string]map[*Run]struct{}
-	// listRevision counts the changes of the target list.
+	// listRevision counts the calls of Put.
 	listRevision uint64
 
-	// loadsChanged receives a token when the loads of this process have changed.
+	// loadsChanged holds a value while a load report to the peers is due; see Changed.
 	loadsChanged chan struct{}
-	// roomFreed receives a token when a batch item may find a free slot.
+	// roomFreed holds a value while a slot may have become free for a batch item; see Freed.
 	roomFreed chan struct{}
 }
 
-// New returns a view of an empty fleet.
+// New returns a view without targets.
 func New(o fleet.Options) *View {
 	return &View{
 		fleet:        fleet.New(o),
@@ -40,13 +41,14 @@
 	}
 }
 
-// Changed returns a channel that receives a token after the loads of this process have changed.
+// Changed returns the channel on which a value arrives after a run of this process has started or finished, a
+// target became suspect, or ReportSoon was called. A receiver sends a load report to the peers.
 func (v *View) Changed() <-chan struct{} { return v.loadsChanged }
 
-// Freed returns a channel that receives a token when a slot may have become free for a batch item.
+// Freed returns the channel on which a value arrives when a slot may have become free for a batch item.
 func (v *View) Freed() <-chan struct{} { return v.roomFreed }
 
-// signal sends a token unless one is pending. It never blocks.
+// signal sends a value on c unless one is pending. It never blocks.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -54,8 +56,9 @@
 	}
 }
 
-// StartOnline picks a target for an online request and counts the request there. It preempts batch runs of
-// this process whose slots the request needs.
+// StartOnline picks a target of a service for an online request and starts a run there; ok is false if there
+// is no target. tried are the ids of the targets that earlier attempts of the request have used. StartOnline
+// preempts the batch runs of this process whose slots the request needs.
 func (v *View) StartOnline(service string, tried []string) (*Run, bool) {
 	v.mu.Lock()
 	now := time.Now()
@@ -73,9 +76,10 @@
 	return r, true
 }
 
-// StartBatch picks a target with a free slot for a batch item; ok is false if there is none. preempt is
-// called at most once, when the run must release its slot, and must not block. At one target the runs with
-// the highest rank are preempted first; see serving.Route.
+// StartBatch picks a target of a service with a free slot for a batch item and starts a run there; ok is false
+// if there is no such target. tried are the ids of the targets that earlier attempts of the item have used.
+// preempt is called at most once, when the run must release its slot, and must not block. rank is the urgency
+// of the item, 0 the most urgent: at one target the runs with the highest rank are preempted first.
 func (v *View) StartBatch(service string, rank int, tried []string, preempt func()) (*Run, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -91,14 +95,15 @@
 	return r, true
 }
 
-// Prospect returns what an online request of a service that arrives now can expect.
+// Prospect returns the expected wait and hold time of an online request of a service that arrives now.
 func (v *View) Prospect(service string) fleet.Prospect {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.Prospect(time.Now(), service)
 }
 
-// ApplyReport applies the load report of a peer.
+// ApplyReport records the load report that the peer from has sent, and preempts the batch runs of this
+// process whose slots the online requests of the peer need.
 func (v *View) ApplyReport(from fleet.Peer, report fleet.Report) {
 	v.mu.Lock()
 	now := time.Now()
@@ -109,24 +114,26 @@
 	preemptAll(victims)
 }
 
-// PeerNews is what another gateway relays about a peer.
+// PeerNews is the load report of a peer, or only its liveness, as relayed by another gateway.
 type PeerNews struct {
+	// From is the peer that the report is about.
 	From fleet.Peer
 	// Report is the newest report of the peer; nil if only Sign is relayed.
 	Report *fleet.Report
-	Sign   fleet.Sign
+	// Sign says when the peer was last alive; it is used only if Report is nil.
+	Sign fleet.Sign
 }
 
-// ApplyNews applies what another gateway relays about peers.
-func (v *View) ApplyNews(list []PeerNews) {
+// ApplyNews records the reports of peers that another gateway has relayed, and preempts as ApplyReport does.
+func (v *View) ApplyNews(reports []PeerNews) {
 	v.mu.Lock()
 	now := time.Now()
-	for _, n := range list {
-		if n.Report != nil {
-			v.fleet.ApplyReport(now, n.From, *n.Report)
+	for _, r := range reports {
+		if r.Report != nil {
+			v.fleet.ApplyReport(now, r.From, *r.Report)
 			continue
 		}
-		v.fleet.NoteSign(now, n.From, n.Sign)
+		v.fleet.NoteSign(now, r.From, r.Sign)
 	}
 	victims := v.takeVictims(now)
 	v.mu.Unlock()
@@ -134,50 +141,52 @@
 	preemptAll(victims)
 }
 
-// Report returns the load of this process at targets and its demand for batch items.
+// Report returns the load report of this process for its peers: its runs at each target, the batch items that
+// it waits to start, when the store last answered it, and the targets that it suspects.
 func (v *View) Report() fleet.Report {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.Report(time.Now())
 }
 
-// SetDemand records which batch items this process waits to start.
+// SetDemand records how many batch items this process waits to start, and when the first of them is due.
 func (v *View) SetDemand(demand fleet.Demand) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.fleet.SetDemand(demand)
 }
 
-// SetContact records that the store has just answered this process.
+// SetContact records that the platform's store has just answered this process.
 func (v *View) SetContact() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.fleet.SetContact(time.Now())
 }
 
-// Peers returns the number of other gateways that are alive.
+// Peers returns the number of other gateways that are alive, by the reports that this one has received.
 func (v *View) Peers() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.Peers(time.Now())
 }
 
-// StoreDownForAll reports whether no live peer has reached the store since this process last did.
+// StoreDownForAll reports whether no live peer has reached the platform's store since this process last reached
+// it. It is false without live peers, since this process alone may be separated from the store.
 func (v *View) StoreDownForAll() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.StoreDownForAll(time.Now())
 }
 
-// Put adds or updates the targets in present and removes those in gone, by id.
-func (v *View) Put(present []serving.Target, gone []string) {
+// Put adds or updates the targets in present, and removes the targets whose ids are in goneIDs.
+func (v *View) Put(present []serving.Target, goneIDs []string) {
 	v.mu.Lock()
 	now := time.Now()
 	v.listRevision++
 	for _, t := range present {
 		v.fleet.Put(t)
 	}
-	for _, id := range gone {
+	for _, id := range goneIDs {
 		v.fleet.Remove(id)
 	}
 	victims := v.takeVictims(now)
@@ -186,36 +195,36 @@
 	preemptAll(victims)
 }
 
-// Listed returns a revision of the target list that differs after each change.
+// Listed returns the revision of the target list, which rises by 1 with each call of Put.
 func (v *View) Listed() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.listRevision
 }
 
-// Targets returns the targets on the list.
+// Targets returns all targets of the list, including those that drain.
 func (v *View) Targets() []serving.Target {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.Targets()
 }
 
-// IsInService reports whether a target is on the list and not draining.
+// IsInService reports whether the target with this id is on the list and not draining.
 func (v *View) IsInService(id string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.IsInService(id)
 }
 
-// HeardSince reports whether a target has sent data to this process after t.
-func (v *View) HeardSince(id string, t time.Time) bool {
+// HeardSince reports whether the target with this id has sent data to this process later than since.
+func (v *View) HeardSince(id string, since time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fleet.HeardSince(id, t)
+	return v.fleet.HeardSince(id, since)
 }
 
-// ReportSoon triggers a report to the peers before the next regular one.
+// ReportSoon triggers a load report to the peers before the next regular one.
 func (v *View) ReportSoon() { signal(v.loadsChanged) }
 
-// Drop removes a target at once, because another target answers at its address.
+// Drop removes the target with this id at once. It is called when another target answers at its address.
 func (v *View) Drop(id string) { v.Put(nil, []string{id}) }
--- a/internal/fleetview/view_test.go
+++ b/internal/fleetview/view_test.go
@@ -9,6 +9,7 @@
 	"arbutusramp/core/serving"
 )
 
+// newView returns a view with one target "t" of service "s" that has the given number of slots.
 func newView(slots int) *View {
 	v := New(fleet.Options{Self: "self", PeerTTL: time.Minute})
 	v.Put([]serving.Target{{ID: "t", Service: "s", Slots: slots}}, nil)
@@ -16,7 +17,7 @@
 }
 
 // An online request that finds all slots taken preempts one batch run: the youngest, since the oldest is
-// closest to completion. A preempted run that is not done yet counts, so that no second run is preempted.
+// closest to completion. While the preempted run is not done yet, no second run is preempted.
 func TestOnlinePreemptsYoungestBatchRun(t *testing.T) {
 	v := newView(2)
 	var preempted []int
@@ -24,48 +25,50 @@
 	for i := range 2 {
 		r, ok := v.StartBatch("s", 0, nil, func() { preempted = append(preempted, i) })
 		if !ok {
-			t.Fatal("no free slot")
+			t.Fatal("no free slot for a batch run")
 		}
 		runs = append(runs, r)
 	}
 	if _, ok := v.StartBatch("s", 0, nil, func() {}); ok {
-		t.Error("a third item started in two slots")
+		t.Error("a third batch run started at a target with 2 slots")
 	}
 	online, ok := v.StartOnline("s", nil)
 	if !ok || len(preempted) != 1 || preempted[0] != 1 {
-		t.Fatalf("preempted %v", preempted)
+		t.Fatalf("preempted runs %v, want [1], the younger of two", preempted)
 	}
 	v.ApplyReport("peer", fleet.Report{})
 	if len(preempted) != 1 {
-		t.Errorf("preempted %v although one is not done yet", preempted)
+		t.Errorf("preempted runs %v, want only [1] while run 1 is not done yet", preempted)
 	}
 	runs[1].Done()
 	runs[1].Done()
 	v.ApplyReport("peer", fleet.Report{})
 	if len(preempted) != 1 || v.Report().Loads["t"] != (fleet.Load{Online: 1, Batch: 1}) {
-		t.Errorf("preempted %v, load %+v", preempted, v.Report().Loads["t"])
+		t.Errorf("preempted runs %v with load %+v, want [1] with 1 online and 1 batch run", preempted, v.Report().Loads["t"])
 	}
 	online.Done()
 	runs[0].Done()
 	if len(v.Report().Loads) != 0 {
-		t.Errorf("loads %v", v.Report().Loads)
+		t.Errorf("loads %v after all runs are done, want none", v.Report().Loads)
 	}
 }
 
+// A target that fails an online request becomes suspect, and its batch runs are preempted.
 func TestFailedTargetHasBatchRunsPreempted(t *testing.T) {
 	v := newView(4)
 	preempted := 0
 	for range 3 {
 		if _, ok := v.StartBatch("s", 0, nil, func() { preempted++ }); !ok {
-			t.Fatal("no free slot")
+			t.Fatal("no free slot for a batch run")
 		}
 	}
 	r, ok := v.StartOnline("s", nil)
 	if !ok || !r.Failed() || preempted != 3 {
-		t.Errorf("%d of 3 items were preempted", preempted)
+		t.Errorf("%d of 3 batch runs at a failed target were preempted, want 3", preempted)
 	}
 }
 
+// The test blocks forever, and so fails, if a signal is missing.
 func TestChangesSendSignals(t *testing.T) {
 	v := newView(1)
 	<-v.Freed() // from adding the target
@@ -76,22 +79,22 @@
 	<-v.Freed()
 }
 
-// Guards against priority inversion: an item of an urgent route is preempted while a less urgent one
-// continues.
+// Guards against priority inversion: a batch run of an urgent route is preempted while a less urgent one, with
+// a higher rank, continues.
 func TestLeastUrgentRunIsPreemptedFirst(t *testing.T) {
 	v := newView(3)
 	var preempted []int
 	for i, rank := range []int{1, 2, 1} {
 		if _, ok := v.StartBatch("s", rank, nil, func() { preempted = append(preempted, i) }); !ok {
-			t.Fatal("no free slot")
+			t.Fatal("no free slot for a batch run")
 		}
 	}
 	for range 3 {
 		if _, ok := v.StartOnline("s", nil); !ok {
-			t.Fatal("no target")
+			t.Fatal("no target for an online request")
 		}
 	}
 	if !slices.Equal(preempted, []int{1, 2, 0}) {
-		t.Errorf("preempted %v", preempted)
+		t.Errorf("runs preempted in order %v, want [1 2 0]", preempted)
 	}
 }
