--- a/internal/watch/access.go
+++ b/internal/watch/access.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// staleRetryAfter is the retry delay for a caller rejected because the configuration of this gateway is
-	// too old. Its next attempt reaches another gateway.
+	// staleRetryAfter is the retry delay for a caller whose key this gateway cannot verify, because it has not
+	// reached the store for too long. The next attempt of the caller reaches another gateway.
 	staleRetryAfter = 50 * time.Millisecond
-	// staleRetryAfterWithPeers is the same while peers are alive: the fault that separates this gateway
-	// from the store is then likely to affect them as well.
+	// staleRetryAfterWithPeers is the retry delay of such a caller while this gateway still reaches other
+	// gateways: the fault that separates it from the store is then likely to affect the others as well.
 	staleRetryAfterWithPeers = 500 * time.Millisecond
 )
 
-// Authorize returns the caller that sent a request. route is nil for calls about batch jobs, whose callers
-// are checked against the job. Authorize must be called after the request has arrived, since it relies on
-// the configuration as confirmed at the time of the call. Errors: errs.Unauthenticated; errs.ConfigStale;
-// errs.NoTarget while no configuration is known.
-func (w *Watch) Authorize(route *serving.Route, c workspace.Credential) (serving.Caller, error) {
+// Authorize returns the caller that sent a request with this credential. route is nil for calls about batch
+// jobs, whose callers are also checked against the job. Authorize must be called after the request has arrived,
+// since it relies on the configuration as confirmed at the time of the call. Errors: errs.Unauthenticated for a
+// missing, malformed or unknown key; errs.ConfigStale if the key cannot be verified because the configuration
+// was confirmed too long ago; errs.NoTarget while no configuration is known.
+func (w *Watch) Authorize(route *serving.Route, credential workspace.Credential) (serving.Caller, error) {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	switch {
@@ -30,47 +31,48 @@
 	case !w.config.KeysRequired:
 		return serving.Caller{}, nil
 	case route != nil && route.IsPublic:
-		return w.identifyPublicCaller(c), nil
-	case c.Err != nil:
-		return serving.Caller{}, c.Err
-	case !c.IsSet && route == nil:
+		return w.identifyPublicCaller(credential), nil
+	case credential.Err != nil:
+		return serving.Caller{}, credential.Err
+	case !credential.IsSet && route == nil:
 		return serving.Caller{IsUnidentified: true}, nil
-	case !c.IsSet:
+	case !credential.IsSet:
 		return serving.Caller{}, workspace.MissingKey()
 	}
-	return w.identifyKeyHolder(c)
+	return w.identifyKeyHolder(credential)
 }
 
-// identifyPublicCaller returns the caller of a public route, which requires no key. A key that is invalid
-// or cannot be verified counts as none. The caller holds w.mu.
-func (w *Watch) identifyPublicCaller(c workspace.Credential) serving.Caller {
-	if c.Err != nil || !c.IsSet {
+// identifyPublicCaller returns the caller of a public route, which requires no key. The request of a caller
+// whose key is invalid or cannot be verified counts as one without a key. The caller of the method holds w.mu.
+func (w *Watch) identifyPublicCaller(credential workspace.Credential) serving.Caller {
+	if credential.Err != nil || !credential.IsSet {
 		return serving.Caller{}
 	}
-	caller, err := w.identifyKeyHolder(c)
+	caller, err := w.identifyKeyHolder(credential)
 	if err != nil {
 		return serving.Caller{}
 	}
 	return caller
 }
 
-// identifyKeyHolder returns the workspace that holds a key. Errors: errs.ConfigStale, errs.Unauthenticated.
-// The caller holds w.mu.
-func (w *Watch) identifyKeyHolder(c workspace.Credential) (serving.Caller, error) {
+// identifyKeyHolder returns the workspace that holds the key in credential. Errors: errs.ConfigStale if the
+// configuration was confirmed too long ago; errs.Unauthenticated if no workspace holds the key. The caller of
+// the method holds w.mu.
+func (w *Watch) identifyKeyHolder(credential workspace.Credential) (serving.Caller, error) {
 	now := w.clock()
 	if !w.proof.Holds(now) {
 		age, _ := w.proof.Age(now)
 		return serving.Caller{}, errs.Newf(errs.ConfigStale, "version %d of the configuration was last confirmed %d ms ago; keys may have been revoked since then",
 			w.config.Version, age.Milliseconds()).WithRetry(w.chooseStaleRetry())
 	}
-	found, ok := w.workspaces.ByKey(c.Key)
+	holder, ok := w.workspaces.ByKey(credential.Key)
 	if !ok {
 		return serving.Caller{}, errs.Newf(errs.Unauthenticated, "the API key is not in version %d of the configuration", w.config.Version)
 	}
-	return serving.Caller{Workspace: found.Name, Rank: found.Rank}, nil
+	return serving.Caller{Workspace: holder.Name, Rank: holder.Rank}, nil
 }
 
-// chooseStaleRetry returns the retry delay for a rejection with errs.ConfigStale.
+// chooseStaleRetry returns the retry delay for a request that is rejected with errs.ConfigStale.
 func (w *Watch) chooseStaleRetry() time.Duration {
 	if w.view.Peers() > 0 {
 		return staleRetryAfterWithPeers
@@ -78,7 +80,8 @@
 	return staleRetryAfter
 }
 
-// IsStale reports whether keys can soon no longer be verified, so that callers should use another gateway.
+// IsStale reports whether this gateway has not reached the store for so long that it soon cannot verify keys,
+// so that callers should use another gateway. It is false if the configuration requires no keys.
 func (w *Watch) IsStale() bool {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
--- a/internal/watch/access_test.go
+++ b/internal/watch/access_test.go
@@ -13,26 +13,28 @@
 	"arbutusramp/internal/fleetview"
 )
 
-// newKeyedConfig returns a configuration in which workspace w holds the given keys and "/public/" is
-// public.
+// newKeyedConfig returns a configuration that requires keys: workspace w holds the given keys, the route of
+// path "/a/" needs one of them, and that of "/public/" needs none.
 func newKeyedConfig(version uint64, keys ...string) *serving.Config {
 	rank := 1
-	w := workspace.Workspace{Name: "w", Rank: &rank}
+	holder := workspace.Workspace{Name: "w", Rank: &rank}
 	for _, key := range keys {
-		w.Keys = append(w.Keys, workspace.DigestOf(key))
+		holder.Keys = append(holder.Keys, workspace.DigestOf(key))
 	}
-	c := newConfig(version, "/a/", "/public/")
-	c.Routes[1].IsPublic = true
-	c.KeysRequired = true
-	c.Workspaces = []workspace.Workspace{w}
-	return c
+	config := newConfig(version, "/a/", "/public/")
+	config.Routes[1].IsPublic = true
+	config.KeysRequired = true
+	config.Workspaces = []workspace.Workspace{holder}
+	return config
 }
 
+// newCredential returns the credential of a request with a key in its Authorization header.
 func newCredential(key string) workspace.Credential {
 	return workspace.ParseAuthorization([]string{"Bearer " + key})
 }
 
-// runWatchWithKeys is runWatch with required keys and a revocation bound of 5 s.
+// runWatchWithKeys calls f with a running Watch, a route that needs a key, and a public route. Keys "k1" and
+// "k2" are valid, and a revoked key must be rejected within 5 s.
 func runWatchWithKeys(t *testing.T, f func(d *fakeDirectory, w *Watch, route, public *serving.Route)) {
 	d := &fakeDirectory{revokeWithin: 5 * time.Second, configs: []*serving.Config{newKeyedConfig(1, "k1", "k2")}}
 	runWatchWith(t, d, hclog.NewNullLogger(), func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
@@ -49,19 +51,19 @@
 	})
 }
 
-// requireCaller fails the test unless key belongs to workspace w.
+// requireCaller reports an error unless key is accepted as a key of workspace w.
 func requireCaller(t *testing.T, w *Watch, route *serving.Route, key string) {
 	t.Helper()
-	if c, err := w.Authorize(route, newCredential(key)); err != nil || c.Workspace != "w" || c.RankOn(route) != 1 {
-		t.Errorf("%s: %+v, %v", key, c, err)
+	if caller, err := w.Authorize(route, newCredential(key)); err != nil || caller.Workspace != "w" || caller.RankOn(route) != 1 {
+		t.Errorf("request with key %s: caller %+v, error %v, want workspace w with rank 1", key, caller, err)
 	}
 }
 
-// requireError fails the test unless Authorize returns an error of type want.
-func requireError(t *testing.T, w *Watch, route *serving.Route, c workspace.Credential, want errs.Type) {
+// requireError reports an error unless Authorize returns an error of type want.
+func requireError(t *testing.T, w *Watch, route *serving.Route, credential workspace.Credential, want errs.Type) {
 	t.Helper()
-	if caller, err := w.Authorize(route, c); !errs.Is(err, want) {
-		t.Errorf("%+v, %v, want %s", caller, err, want)
+	if caller, err := w.Authorize(route, credential); !errs.Is(err, want) {
+		t.Errorf("Authorize returned caller %+v and error %v, want an error of type %s", caller, err, want)
 	}
 }
 
@@ -73,20 +75,21 @@
 		requireError(t, w, route, workspace.Credential{}, errs.Unauthenticated)
 		requireError(t, w, route, newCredential(""), errs.Unauthenticated)
 		requireError(t, w, nil, newCredential("k3"), errs.Unauthenticated)
-		if c, err := w.Authorize(nil, workspace.Credential{}); err != nil || !c.IsUnidentified {
-			t.Errorf("call about jobs without a key: %+v, %v", c, err)
+		if caller, err := w.Authorize(nil, workspace.Credential{}); err != nil || !caller.IsUnidentified {
+			t.Errorf("call about jobs without a key: caller %+v, error %v, want an unidentified caller", caller, err)
 		}
 		for _, c := range []workspace.Credential{{}, newCredential("k3"), newCredential("")} {
 			if caller, err := w.Authorize(public, c); err != nil || caller.Workspace != "" {
-				t.Errorf("public route: %+v, %v", caller, err)
+				t.Errorf("public route, request without a valid key: caller %+v, error %v, want no workspace", caller, err)
 			}
 		}
 		if len(d.quotas.workspaces) != 1 {
-			t.Errorf("quotas of %v", d.quotas.workspaces)
+			t.Errorf("quotas were set for workspaces %v, want 1 workspace", d.quotas.workspaces)
 		}
 	})
 }
 
+// A configuration without workspaces requires no keys, so an outage of the store causes no rejections.
 func TestNoKeyIsRequiredWithoutWorkspaces(t *testing.T) {
 	d := &fakeDirectory{revokeWithin: 5 * time.Second, configs: []*serving.Config{newConfig(1, "/a/")}}
 	runWatchWith(t, d, hclog.NewNullLogger(), func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
@@ -94,30 +97,31 @@
 		d.update(func(d *fakeDirectory) { d.isDown = true })
 		time.Sleep(time.Minute)
 		route, _, _ := w.Route("h", "/a/")
-		if c, err := w.Authorize(route, newCredential("any")); err != nil || c != (serving.Caller{}) {
-			t.Errorf("%+v, %v", c, err)
+		if caller, err := w.Authorize(route, newCredential("any")); err != nil || caller != (serving.Caller{}) {
+			t.Errorf("configuration without workspaces: caller %+v, error %v, want an empty caller", caller, err)
 		}
 		if w.IsStale() {
-			t.Error("stale although no keys are required")
+			t.Error("IsStale is true although the configuration requires no keys")
 		}
 	})
 }
 
-// Guards against use of a revoked key: without the store, a key is accepted for the bound and no longer.
-func TestKeysAreRejectedWithoutStorePastBound(t *testing.T) {
+// Guards against use of a revoked key: while the store is unreachable, a key is accepted until
+// RevokeWithin has passed since the last confirmation, and not longer. RevokeWithin is 5 s here.
+func TestKeysAreRejectedPastRevokeWithinDuringOutage(t *testing.T) {
 	runWatchWithKeys(t, func(d *fakeDirectory, w *Watch, route, public *serving.Route) {
 		d.update(func(d *fakeDirectory) { d.isDown = true })
 		time.Sleep(2 * time.Second)
 		requireCaller(t, w, route, "k1")
 		time.Sleep(time.Second)
 		if !w.IsStale() {
-			t.Error("not reported as stale after half of the bound")
+			t.Error("IsStale is false 3 s into an outage, after half of RevokeWithin")
 		}
 		time.Sleep(2 * time.Second)
 		requireError(t, w, route, newCredential("k1"), errs.ConfigStale)
-		requireError(t, w, route, newCredential("k3"), errs.ConfigStale) // a newer version may contain it
-		if c, err := w.Authorize(public, newCredential("k1")); err != nil || c.Workspace != "" {
-			t.Errorf("public route: %+v, %v", c, err)
+		requireError(t, w, route, newCredential("k3"), errs.ConfigStale) // a newer version may contain this key
+		if caller, err := w.Authorize(public, newCredential("k1")); err != nil || caller.Workspace != "" {
+			t.Errorf("public route, key that cannot be verified: caller %+v, error %v, want no workspace", caller, err)
 		}
 		d.update(func(d *fakeDirectory) { d.isDown = false })
 		time.Sleep(time.Second)
@@ -125,8 +129,8 @@
 	})
 }
 
-// Guards against use of a revoked key: a host that was suspended must not rely on confirmations from before
-// the suspension, although its monotonic clock stood still.
+// Guards against use of a revoked key: a process whose host was suspended must not rely on confirmations from
+// before the suspension. The monotonic clock does not advance during a suspension.
 func TestKeysAreRejectedAfterHostSuspension(t *testing.T) {
 	runWatchWithKeys(t, func(d *fakeDirectory, w *Watch, route, _ *serving.Route) {
 		requireCaller(t, w, route, "k1")
@@ -135,7 +139,8 @@
 	})
 }
 
-// Guards against use of a revoked key: answers from an older state of the store confirm nothing.
+// Guards against use of a revoked key: an answer from an older state of the store does not confirm that the
+// configuration is the newest.
 func TestStaleAnswersDoNotConfirmConfiguration(t *testing.T) {
 	runWatchWithKeys(t, func(d *fakeDirectory, w *Watch, route, _ *serving.Route) {
 		d.update(func(d *fakeDirectory) { d.isStale = true })
@@ -153,8 +158,8 @@
 	})
 }
 
-// If only this gateway has lost the store, its caller retries at once, since others can serve it; if all
-// have lost it, the caller retries later.
+// If only this gateway has lost the store, its caller retries soon, since other gateways can serve it. If live
+// peers show that the fault may affect all gateways, the caller retries later.
 func TestStaleRetryDelayDependsOnPeers(t *testing.T) {
 	d := &fakeDirectory{revokeWithin: time.Second, configs: []*serving.Config{newKeyedConfig(1, "k1")}}
 	runWatchWith(t, d, hclog.NewNullLogger(), func(d *fakeDirectory, w *Watch, v *fleetview.View) {
@@ -165,15 +170,15 @@
 		_, errWithoutPeers := w.Authorize(route, newCredential("k1"))
 		v.ApplyReport("peer", fleet.Report{})
 		_, errWithPeers := w.Authorize(route, newCredential("k1"))
-		if a, b := errs.As(errWithoutPeers).RetryAfterMs, errs.As(errWithPeers).RetryAfterMs; a <= 0 || a >= b {
-			t.Errorf("retry after %d ms without peers, after %d ms with peers", a, b)
+		if alone, withPeers := errs.As(errWithoutPeers).RetryAfterMs, errs.As(errWithPeers).RetryAfterMs; alone <= 0 || alone >= withPeers {
+			t.Errorf("retry after %d ms without peers and %d ms with peers, want the first above 0 and below the second", alone, withPeers)
 		}
 	})
 }
 
-// Guards against rejections without a fault: with a short bound, a read that waits for news must end before
-// the previous confirmation expires.
-func TestShortBoundHoldsWithoutFaults(t *testing.T) {
+// Guards against rejections without a fault: with a short RevokeWithin, a read that waits for a change must end
+// before the previous confirmation of the configuration expires.
+func TestShortRevokeWithinRejectsNothingWithoutFaults(t *testing.T) {
 	d := &fakeDirectory{revokeWithin: 2 * time.Second, configs: []*serving.Config{newKeyedConfig(1, "k1")}}
 	runWatchWith(t, d, hclog.NewNullLogger(), func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
 		time.Sleep(time.Second)
@@ -182,7 +187,7 @@
 			time.Sleep(50 * time.Millisecond)
 			requireCaller(t, w, route, "k1")
 			if w.IsStale() {
-				t.Errorf("configuration not confirmed for %v although the store answers", w.Age())
+				t.Errorf("IsStale is true, configuration last confirmed %v ago, although the store answers", w.Age())
 			}
 		}
 	})
--- a/internal/watch/targets.go
+++ b/internal/watch/targets.go
@@ -7,39 +7,41 @@
 	"arbutusramp/core/serving"
 )
 
-// maxRemovedNames bounds how many names of removed targets are kept. In a fleet whose targets get a new
-// name with each restart, their number grows without limit.
+// maxRemovedNames bounds how many names of removed targets are stored. If targets get a new name with each
+// restart, the number of names would otherwise grow without limit.
 const maxRemovedNames = 4096
 
-// targetList is the list of targets as last read. It separates real changes from entries that were written
-// again unchanged, and keeps targets whose entry expired while the store was unreachable.
+// targetList is the list of targets as last read from the directory, which has an entry for each target. It
+// tells changed entries from those that were written again unchanged. It keeps the targets whose entries
+// expired while the store was unreachable.
 type targetList struct {
 	targets map[string]serving.Target // by name
-	// lastStart holds the last start under each name, including names whose target was removed.
+	// lastStart holds, by name, serving.Target.Started of the last known start of a target, including targets
+	// that were removed. A target that restarts keeps its name and gets a later start.
 	lastStart map[string]int64
-	// unusableReason holds, by name, why an entry does not describe a valid target.
+	// unusableReason holds, by name, the reason why the entry does not describe a valid target.
 	unusableReason map[string]string
-	// graceUntil holds, by name, the targets whose entry is missing since an outage, and the time until
-	// which the entry may be written again.
+	// graceUntil holds, by name of a target whose entry is missing since an outage, the time at which the
+	// target is removed unless the entry has been written again; see entryGrace.
 	graceUntil map[string]time.Time
 	// storeBackAt is when the store became reachable after its last outage; zero before the first outage.
 	storeBackAt time.Time
 }
 
-// targetChanges are the changes that result from one read.
+// targetChanges are the changes of the list that result from one read.
 type targetChanges struct {
-	put     []serving.Target
-	goneIDs []string
-	// endedIDs are ids of starts that are known to be over, because a later start has their name. Requests
-	// that run there are never answered.
+	put     []serving.Target // targets that are new or have changed
+	goneIDs []string         // ids of targets that are no longer on the list
+	// endedIDs are the ids in goneIDs whose targets have restarted. An id names one start of a target;
+	// requests that were sent to an earlier start are never answered.
 	endedIDs []string
-	// unusable are entries that have become unusable, or whose reason has changed.
+	// unusable are the entries that have become unusable, or are now unusable for another reason.
 	unusable []platform.UnusableEntry
-	// olderStarts are entries of starts that a later start has replaced.
+	// olderStarts are the entries of targets that have restarted since the entry was written.
 	olderStarts []serving.Target
 }
 
-// newTargetList returns an empty list.
+// newTargetList returns a list without targets.
 func newTargetList() *targetList {
 	return &targetList{
 		targets: make(map[string]serving.Target), lastStart: make(map[string]int64),
@@ -50,38 +52,39 @@
 // onStoreRecovered records that the store answers again after an outage.
 func (l *targetList) onStoreRecovered(now time.Time) { l.storeBackAt = now }
 
-// update applies the result of one read and returns the changes.
+// update applies the result of a read that ended at now, and returns the changes of the list.
 func (l *targetList) update(now time.Time, news platform.TargetNews) targetChanges {
-	var c targetChanges
+	var changes targetChanges
 	present := make(map[string]bool, len(news.Present)+len(news.Unusable))
 	for _, t := range news.Present {
 		present[t.Name] = true
-		l.applyEntry(t, &c)
+		l.applyEntry(t, &changes)
 	}
 	for _, e := range news.Unusable {
 		present[e.Name] = true
-		l.markUnusable(e, &c)
+		l.markUnusable(e, &changes)
 	}
 	for _, name := range news.Gone {
-		l.markMissing(now, name, &c)
+		l.markMissing(now, name, &changes)
 	}
 	if news.Whole {
 		for name := range l.targets {
 			if !present[name] {
-				l.markMissing(now, name, &c)
+				l.markMissing(now, name, &changes)
 			}
 		}
 	}
-	l.removeAfterGrace(now, &c)
+	l.removeAfterGrace(now, &changes)
 	l.pruneStarts()
-	return c
+	return changes
 }
 
-// applyEntry applies the entry of a target. An entry of an older start than the last known one changes
-// nothing: a read may be answered from an earlier state, and a start that another one has replaced is over.
-func (l *targetList) applyEntry(t serving.Target, c *targetChanges) {
+// applyEntry applies the entry of a target. An entry of an older start than the last known one is ignored: a
+// read may be answered from an earlier state of the store, and a target that has restarted no longer answers
+// as its previous start.
+func (l *targetList) applyEntry(t serving.Target, changes *targetChanges) {
 	if t.Started < l.lastStart[t.Name] {
-		c.olderStarts = append(c.olderStarts, t)
+		changes.olderStarts = append(changes.olderStarts, t)
 		return
 	}
 	delete(l.unusableReason, t.Name)
@@ -91,31 +94,31 @@
 		return
 	}
 	if ok && old.ID != t.ID {
-		c.goneIDs = append(c.goneIDs, old.ID)
-		c.endedIDs = append(c.endedIDs, old.ID)
+		changes.goneIDs = append(changes.goneIDs, old.ID)
+		changes.endedIDs = append(changes.endedIDs, old.ID)
 	}
 	l.targets[t.Name] = t
 	l.lastStart[t.Name] = t.Started
-	c.put = append(c.put, t)
+	changes.put = append(changes.put, t)
 }
 
-// markUnusable applies an entry that does not describe a valid target. The target that was listed under its
-// name is removed.
-func (l *targetList) markUnusable(e platform.UnusableEntry, c *targetChanges) {
-	why := e.Err.Error()
-	if l.unusableReason[e.Name] != why {
-		l.unusableReason[e.Name] = why
-		c.unusable = append(c.unusable, e)
+// markUnusable applies an entry that does not describe a valid target. It removes the target that was on the
+// list under the name of the entry.
+func (l *targetList) markUnusable(e platform.UnusableEntry, changes *targetChanges) {
+	reason := e.Err.Error()
+	if l.unusableReason[e.Name] != reason {
+		l.unusableReason[e.Name] = reason
+		changes.unusable = append(changes.unusable, e)
 	}
 	if _, ok := l.targets[e.Name]; ok {
-		l.remove(e.Name, c)
+		l.remove(e.Name, changes)
 	}
 }
 
-// markMissing applies the absence of a target's entry. Shortly after an outage the target may still run, so
-// it stays listed until entryGrace has passed: without this, every outage would empty the list and cause
-// all requests to be rejected for seconds.
-func (l *targetList) markMissing(now time.Time, name string, c *targetChanges) {
+// markMissing applies the absence of the entry with this name. Shortly after an outage of the store the target
+// may still run, so it stays on the list until entryGrace has passed: otherwise every outage would empty the
+// list, and all requests would be rejected for seconds. A draining target is removed at once.
+func (l *targetList) markMissing(now time.Time, name string, changes *targetChanges) {
 	delete(l.unusableReason, name)
 	t, ok := l.targets[name]
 	if !ok {
@@ -128,36 +131,38 @@
 		}
 		return
 	}
-	l.remove(name, c)
+	l.remove(name, changes)
 }
 
-// timeToGraceEnd returns how long the list stays valid without news, at most pollWait. A target whose grace
-// period ends while a read waits for news would otherwise receive requests until the next change.
+// timeToGraceEnd returns the time until the next grace period of a target ends, at most pollWait. A read of the
+// list waits no longer than that: otherwise a target whose grace period ends during the read would receive
+// requests until the read returns.
 func (l *targetList) timeToGraceEnd(now time.Time) time.Duration {
-	next := pollWait
+	wait := pollWait
 	for _, until := range l.graceUntil {
-		next = min(next, until.Sub(now))
+		wait = min(wait, until.Sub(now))
 	}
-	return max(next, 0)
+	return max(wait, 0)
 }
 
 // removeAfterGrace removes the targets whose grace period has ended.
-func (l *targetList) removeAfterGrace(now time.Time, c *targetChanges) {
+func (l *targetList) removeAfterGrace(now time.Time, changes *targetChanges) {
 	for name, until := range l.graceUntil {
 		if !now.Before(until) {
-			l.remove(name, c)
+			l.remove(name, changes)
 		}
 	}
 }
 
-// remove drops a listed target.
-func (l *targetList) remove(name string, c *targetChanges) {
-	c.goneIDs = append(c.goneIDs, l.targets[name].ID)
+// remove removes the target with this name, which must be on the list.
+func (l *targetList) remove(name string, changes *targetChanges) {
+	changes.goneIDs = append(changes.goneIDs, l.targets[name].ID)
 	delete(l.targets, name)
 	delete(l.graceUntil, name)
 }
 
-// pruneStarts drops the starts of names that are not on the list once there are more than maxRemovedNames.
+// pruneStarts removes the entries of lastStart whose names are not on the list, if there are more than
+// maxRemovedNames of them.
 func (l *targetList) pruneStarts() {
 	if len(l.lastStart) <= len(l.targets)+maxRemovedNames {
 		return
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,5 +1,6 @@
-// Package watch follows the operator's configuration and the list of targets, and keeps the current state
-// of both in this process.
+// Package watch reads the operator's configuration and the list of targets from the platform's directory
+// repeatedly, and keeps the current state of both. The gateway uses it to find the route of a request and to
+// check the key of its caller.
 package watch
 
 import (
@@ -24,69 +25,72 @@
 )
 
 const (
-	// pollWait is how long one read waits for news. An answer without news also proves that the store is
-	// reachable.
+	// pollWait is how long a read waits until the configuration or the list has changed. An answer without a
+	// change also shows that the store is reachable.
 	pollWait = time.Second
-	// pollPause is the time between two reads, in which changes accumulate: each read has a cost, and
-	// targets write more often than anything changes. A change must be known within two seconds at the
-	// latest.
+	// pollPause is the time between two successful reads. Changes accumulate in it: each read has a cost, and
+	// targets write their entries more often than the entries change. A change must be known within two
+	// seconds at the latest.
 	pollPause = 300 * time.Millisecond
-	// retryPause is the time between reads while they fail.
+	// retryPause is the time between a failed read and the next one.
 	retryPause = 100 * time.Millisecond
-	// entryGrace is how long after an outage of the store the entry of a running target may still be
-	// missing: entries expire during the outage and are written again within two seconds of the recovery. A
-	// process cannot distinguish an expired entry from a removed one, and after a removal requests must end
-	// within two seconds. The grace period is therefore shorter than that, by the delay with which a
-	// process may detect the recovery.
+	// entryGrace is how long after an outage of the store a target stays on the list although its entry is
+	// missing. Entries expire during the outage, and running targets write them again within two seconds of
+	// the recovery. This process cannot tell an expired entry from a removed one, and a removed target must
+	// receive no requests after two seconds. The grace period is shorter than these two seconds by the delay
+	// with which a process may detect the recovery.
 	entryGrace = 1500 * time.Millisecond
-	// noConfigRetryAfter is the retry delay for a caller that arrives before the first configuration.
+	// noConfigRetryAfter is the retry delay for a request that arrives before this process has read a
+	// configuration.
 	noConfigRetryAfter = 300 * time.Millisecond
 )
 
-// Watch holds the configuration and the target list that are known to this process. It is safe for
+// Watch holds the configuration and the target list as this process has last read them. It is safe for
 // concurrent use.
 type Watch struct {
 	directory platform.Directory
 	view      *fleetview.View
 	log       hclog.Logger
-	// targetLog logs lines about targets, many of which can be listed at once.
+	// targetLog writes one log line for each changed target, and bounds their rate: many targets can change at
+	// once.
 	targetLog *logging.Routine
 
 	clock    bootclock.Clock
 	quotas   Quotas
 	observer TargetObserver
-	// revokeWithin is Options.RevokeWithin.
+	// revokeWithin bounds how long a revoked key may still be accepted; see Options.RevokeWithin.
 	revokeWithin time.Duration
 
 	mu         sync.RWMutex
 	config     *serving.Config
 	router     *serving.Router
 	workspaces *workspace.Index
-	proof      freshness.Proof // when config was last confirmed as the newest version
-	hasTargets bool            // the list of targets, or a usable part of it, has been read
+	proof      freshness.Proof // when a read last confirmed that config is the newest version
+	hasTargets bool            // the target list, or a part of it with at least one target, has been read
 }
 
-// Quotas receives the quotas of each configuration that is put in force.
+// Quotas applies the quotas of each configuration that is put in force.
 type Quotas interface {
+	// SetWorkspaces is called with all workspaces of the new configuration.
 	SetWorkspaces(list []workspace.Workspace)
 }
 
-// TargetObserver is notified of changes of the target list.
+// TargetObserver is called when targets leave the target list.
 type TargetObserver interface {
-	// TargetsGone is called with the ids of targets that are no longer on the list.
+	// TargetsGone is called with the ids of the targets that a read has removed from the list.
 	TargetsGone(ids []string)
 }
 
 // Options are the dependencies and settings of a Watch.
 type Options struct {
-	Directory platform.Directory
-	View      *fleetview.View // receives the targets
-	Quotas    Quotas
-	Observer  TargetObserver
-	// RevokeWithin bounds how long after the revocation of a key a request may still be authorized by it,
-	// even at a process that is separated from the store; 0 is no bound.
+	Directory platform.Directory // the source of the configuration and of the target list
+	View      *fleetview.View    // receives the targets
+	Quotas    Quotas             // receives the workspaces of each configuration
+	Observer  TargetObserver     // is called when targets leave the list
+	// RevokeWithin bounds how long after the revocation of a key a request with this key may still be
+	// authorized, also by a process that cannot reach the store; 0 means no bound.
 	RevokeWithin time.Duration
-	Clock        bootclock.Clock
+	Clock        bootclock.Clock // the time since the start of the host, including suspensions
 	Log          hclog.Logger
 }
 
@@ -95,7 +99,7 @@
 	return &Watch{directory: o.Directory, view: o.View, quotas: o.Quotas, observer: o.Observer, clock: o.Clock, log: o.Log, targetLog: logging.NewRoutine(o.Log), revokeWithin: o.RevokeWithin, proof: freshness.New(o.RevokeWithin)}
 }
 
-// Run follows the configuration and the targets until ctx ends.
+// Run reads the configuration and the target list repeatedly until ctx ends, and then returns nil.
 func (w *Watch) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return w.followConfig(ctx) })
@@ -103,8 +107,8 @@
 	return g.Wait()
 }
 
-// Route returns the route of a request and the configured limits. Errors: errs.NoTarget while no
-// configuration is known, since the route may exist; errs.NotFound.
+// Route returns the route that serves a request for uri at host, and the limits from the configuration. Errors:
+// errs.NotFound if no route matches; errs.NoTarget while no configuration is known, since the route may exist.
 func (w *Watch) Route(host, uri string) (*serving.Route, serving.Limits, error) {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -113,7 +117,7 @@
 	}
 	route := w.router.Match(host, uri)
 	if route == nil {
-		return nil, serving.Limits{}, errs.Newf(errs.NotFound, "no route in version %d of the configuration", w.config.Version)
+		return nil, serving.Limits{}, errs.Newf(errs.NotFound, "no route for this host and path in version %d of the configuration", w.config.Version)
 	}
 	return route, w.config.Limits, nil
 }
@@ -128,16 +132,16 @@
 	return w.config.Version
 }
 
-// Ready reports whether the configuration and the targets are known. A process without known targets
-// rejects all requests, while other processes could serve them.
+// Ready reports whether a configuration and at least a part of the target list have been read. Before that this
+// process rejects all requests, while other processes can serve them.
 func (w *Watch) Ready() bool {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	return w.config != nil && w.hasTargets
 }
 
-// Age returns how long ago the configuration was last confirmed as the newest version; before the first
-// confirmation, the time since the start of the host.
+// Age returns how long ago a read last confirmed that the configuration is the newest version. Before the first
+// confirmation it returns the time since the start of the host.
 func (w *Watch) Age() time.Duration {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -145,19 +149,19 @@
 	return age
 }
 
-// readPauses are the times between two reads.
+// readPauses are the pauses after a successful and after a failed read.
 var readPauses = dependency.Pauses{Answered: pollPause, Failed: retryPause}
 
-// followConfig reads the configuration and applies it until ctx ends.
+// followConfig reads the configuration repeatedly and applies each new version, until ctx ends.
 func (w *Watch) followConfig(ctx context.Context) error {
 	var news platform.ConfigNews
 	var readStart time.Duration
 	link := dependency.NewLink(w.log, "configuration")
 	read := func() error {
 		readStart = w.clock()
-		got, err := w.directory.Config(ctx, news.Known, link.Patience(w.configWait()))
+		answer, err := w.directory.Config(ctx, news.Known, link.Patience(w.configWait()))
 		if err == nil {
-			news = got
+			news = answer
 			w.view.SetContact()
 		}
 		return err
@@ -174,12 +178,12 @@
 	return nil
 }
 
-// configWaitShare is the share of RevokeWithin that one read of the configuration may wait for news. A
-// confirmation counts from the start of its read, so that it is two waits and one pause old before the next
-// one arrives.
+// configWaitShare is the share of RevokeWithin that one read of the configuration may wait for a change. A
+// confirmation counts from the start of its read, so it is up to two waits and one pause old when the next
+// confirmation arrives.
 const configWaitShare = 0.1
 
-// configWait returns how long a read of the configuration waits for news.
+// configWait returns how long a read of the configuration waits for a change.
 func (w *Watch) configWait() time.Duration {
 	if w.revokeWithin == 0 {
 		return pollWait
@@ -187,15 +191,17 @@
 	return min(pollWait, time.Duration(configWaitShare*float64(w.revokeWithin)))
 }
 
-// confirm records that a read that started at readStart, by w.clock, has returned the newest configuration.
+// confirm records that a read which started at readStart, by w.clock, has shown that the known configuration is
+// the newest version.
 func (w *Watch) confirm(readStart time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.proof.Confirm(readStart)
 }
 
-// applyConfig puts a configuration in force. An older version is ignored: a read may be answered from an
-// earlier state, and a version that was replaced must not return.
+// applyConfig puts a configuration in force; nil changes nothing. A version that is not newer than the one in
+// force is ignored: a read may be answered from an earlier state of the store, and a replaced version must not
+// take effect again.
 func (w *Watch) applyConfig(c *serving.Config) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -217,23 +223,23 @@
 	w.log.Info("configuration in force", "version", c.Version, "routes", len(c.Routes), "keys_required", c.KeysRequired, "workspaces", index.Len(), "workspace_ranks", fmt.Sprint(index.Ranks()))
 }
 
-// followTargets reads the list of targets and applies it until ctx ends.
+// followTargets reads the target list repeatedly and applies its changes, until ctx ends.
 func (w *Watch) followTargets(ctx context.Context) error {
 	var news platform.TargetNews
 	list := newTargetList()
 	link := dependency.NewLink(w.log, "targets")
 	read := func() error {
 		wait := link.Patience(min(pollWait, list.timeToGraceEnd(time.Now())))
-		got, err := w.directory.Targets(ctx, news.Known, wait)
+		answer, err := w.directory.Targets(ctx, news.Known, wait)
 		if err == nil {
-			news = got
+			news = answer
 			w.view.SetContact()
 		}
 		return err
 	}
 	targetPauses := dependency.Pauses{Failed: readPauses.Failed, More: func() time.Duration {
 		if news.More {
-			return 0 // a long list arrives in parts
+			return 0 // the read returned a part of a long list, and the next part is available
 		}
 		return readPauses.Answered
 	}}
@@ -248,31 +254,31 @@
 	return nil
 }
 
-// markTargetsKnown records that the list of targets has been read, or enough of it to serve requests.
+// markTargetsKnown records whether the last read has returned enough of the target list to serve requests.
 func (w *Watch) markTargetsKnown(isUsable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hasTargets = w.hasTargets || isUsable
 }
 
-// applyTargets logs the changes of the list and passes them to the view and the observer.
-func (w *Watch) applyTargets(c targetChanges) {
-	for _, e := range c.unusable {
+// applyTargets logs the changes of the target list and passes them to the view and the observer.
+func (w *Watch) applyTargets(changes targetChanges) {
+	for _, e := range changes.unusable {
 		w.log.Warn("entry names no target to use", "name", e.Name, "error", e.Err)
 	}
-	for _, t := range c.olderStarts {
+	for _, t := range changes.olderStarts {
 		w.log.Info("entry of an older start left out", "target", t.ID)
 	}
-	if len(c.put) == 0 && len(c.goneIDs) == 0 {
+	if len(changes.put) == 0 && len(changes.goneIDs) == 0 {
 		return
 	}
-	w.view.Put(c.put, c.goneIDs)
-	w.view.Ended(c.endedIDs)
-	w.observer.TargetsGone(c.goneIDs)
-	for _, t := range c.put {
+	w.view.Put(changes.put, changes.goneIDs)
+	w.view.Ended(changes.endedIDs)
+	w.observer.TargetsGone(changes.goneIDs)
+	for _, t := range changes.put {
 		w.targetLog.Info(time.Now(), "target", "target", t.ID, "addr", t.Addr, "service", t.Service, "slots", t.Slots, "domain", t.Domain, "draining", t.Draining)
 	}
-	for _, id := range c.goneIDs {
-		w.log.Info("target gone", "target", id, "restarted", slices.Contains(c.endedIDs, id))
+	for _, id := range changes.goneIDs {
+		w.log.Info("target gone", "target", id, "restarted", slices.Contains(changes.endedIDs, id))
 	}
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -22,20 +22,21 @@
 	"arbutusramp/internal/fleetview"
 )
 
-// fakeDirectory returns each queued configuration and target list once.
+// fakeDirectory is a platform.Directory that returns each queued configuration and target list once. It is also
+// the observer of the watch, and holds its quotas.
 type fakeDirectory struct {
 	mu                 sync.Mutex
-	isDown             bool
-	configs            []*serving.Config
-	targets            []platform.TargetNews
-	testDelay          time.Duration // time that the test itself has spent waiting
-	longPollsWhileDown int           // reads during an outage that would have waited for news
-	isStale            bool          // answers come from an older state
+	isDown             bool                  // reads fail
+	configs            []*serving.Config     // queued answers of Config
+	targets            []platform.TargetNews // queued answers of Targets
+	testDelay          time.Duration         // time that the test itself has spent waiting
+	longPollsWhileDown int                   // reads with a wait during an outage
+	isStale            bool                  // answers come from an older state of the store
 	// revokeWithin is the RevokeWithin of the watch; suspendedNanos is how long its host was suspended.
 	revokeWithin   time.Duration
 	suspendedNanos atomic.Int64
 	quotas         fakeQuotas
-	goneIDs        []string // targets passed to the observer
+	goneIDs        []string // ids passed to TargetsGone
 }
 
 // TargetsGone implements TargetObserver.
@@ -43,17 +44,20 @@
 	d.update(func(d *fakeDirectory) { d.goneIDs = append(d.goneIDs, ids...) })
 }
 
-// fakeQuotas records the workspaces passed to it.
+// fakeQuotas records the workspaces of the last call of SetWorkspaces.
 type fakeQuotas struct{ workspaces []workspace.Workspace }
 
+// SetWorkspaces implements Quotas.
 func (q *fakeQuotas) SetWorkspaces(list []workspace.Workspace) { q.workspaces = list }
 
+// update calls f while it holds d.mu.
 func (d *fakeDirectory) update(f func(d *fakeDirectory)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d)
 }
 
+// Config implements platform.Directory.
 func (d *fakeDirectory) Config(ctx context.Context, known uint64, wait time.Duration) (platform.ConfigNews, error) {
 	var news platform.ConfigNews
 	err := d.answer(ctx, wait, func() bool {
@@ -68,6 +72,7 @@
 	return news, err
 }
 
+// Targets implements platform.Directory.
 func (d *fakeDirectory) Targets(ctx context.Context, known uint64, wait time.Duration) (platform.TargetNews, error) {
 	var news platform.TargetNews
 	err := d.answer(ctx, wait, func() bool {
@@ -81,11 +86,12 @@
 	return news, err
 }
 
-// answer waits for news up to wait, as the store does.
-func (d *fakeDirectory) answer(ctx context.Context, wait time.Duration, take func() bool) error {
+// answer returns once takeNews has returned true, which takes a queued answer, or once wait has passed. It
+// returns an error at once while the store is down.
+func (d *fakeDirectory) answer(ctx context.Context, wait time.Duration, takeNews func() bool) error {
 	for until := time.Now().Add(wait); ; {
 		d.mu.Lock()
-		isDown, took := d.isDown, !d.isDown && take()
+		isDown, hasNews := d.isDown, !d.isDown && takeNews()
 		if isDown && wait > 0 {
 			d.longPollsWhileDown++
 		}
@@ -93,44 +99,47 @@
 		switch {
 		case isDown:
 			return errs.New(errs.LogDown, "down")
-		case took || ctx.Err() != nil || !time.Now().Before(until):
+		case hasNews || ctx.Err() != nil || !time.Now().Before(until):
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
+// newConfig returns a configuration with one route of host "h" for each path prefix.
 func newConfig(version uint64, prefixes ...string) *serving.Config {
-	c := &serving.Config{Version: version}
-	for _, p := range prefixes {
-		c.Routes = append(c.Routes, serving.Route{Name: p, Host: "h", Prefix: p})
+	config := &serving.Config{Version: version}
+	for _, prefix := range prefixes {
+		config.Routes = append(config.Routes, serving.Route{Name: prefix, Host: "h", Prefix: prefix})
 	}
-	return c
+	return config
 }
 
+// newTarget returns a target of service "s" with 4 slots, whose name is its id.
 func newTarget(id string) serving.Target {
 	return serving.Target{ID: id, Name: id, Service: "s", Slots: 4}
 }
 
-// runWatch calls f with a running Watch in a synctest bubble.
+// runWatch calls f in a synctest bubble, with a running Watch, its directory and its view. The Watch has no
+// configuration and no targets at first.
 func runWatch(t *testing.T, f func(d *fakeDirectory, w *Watch, v *fleetview.View)) {
 	runWatchWithLog(t, hclog.NewNullLogger(), f)
 }
 
-// runWatchWithLog is runWatch with a logger.
+// runWatchWithLog is runWatch with the logger that the Watch uses.
 func runWatchWithLog(t *testing.T, log hclog.Logger, f func(d *fakeDirectory, w *Watch, v *fleetview.View)) {
 	runWatchWith(t, &fakeDirectory{}, log, f)
 }
 
-// runWatchWith is runWatch with a directory and a logger.
+// runWatchWith is runWatch with the directory and the logger that the Watch uses.
 func runWatchWith(t *testing.T, d *fakeDirectory, log hclog.Logger, f func(d *fakeDirectory, w *Watch, v *fleetview.View)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		v := fleetview.New(fleet.Options{PeerTTL: time.Second})
-		began := time.Now()
+		startedAt := time.Now()
 		w := New(Options{
 			Directory: d, View: v, Quotas: &d.quotas, Observer: d, RevokeWithin: d.revokeWithin, Log: log,
-			Clock: func() time.Duration { return time.Since(began) + time.Duration(d.suspendedNanos.Load()) },
+			Clock: func() time.Duration { return time.Since(startedAt) + time.Duration(d.suspendedNanos.Load()) },
 		})
 		done := make(chan error)
 		go func() { done <- w.Run(ctx) }()
@@ -142,13 +151,13 @@
 	})
 }
 
-// Before the first configuration a process cannot decide that a route does not exist, so it must not answer
-// with errs.NotFound.
+// Before it has read a configuration, a process cannot decide that a route does not exist, so it must not
+// return errs.NotFound.
 func TestRouteIsNotMissingBeforeFirstConfiguration(t *testing.T) {
 	runWatch(t, func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
 		time.Sleep(time.Second)
 		if _, _, err := w.Route("h", "/a/"); !errs.Is(err, errs.NoTarget) || errs.As(err).RetryAfterMs == 0 {
-			t.Errorf("before the first configuration: %v", err)
+			t.Errorf("route before the first configuration: error %v, want errs.NoTarget with a retry delay", err)
 		}
 		d.update(func(d *fakeDirectory) { d.configs = append(d.configs, newConfig(3, "/a/")) })
 		time.Sleep(time.Second)
@@ -156,42 +165,42 @@
 			t.Error(err)
 		}
 		if _, _, err := w.Route("h", "/b/x"); !errs.Is(err, errs.NotFound) {
-			t.Errorf("a route that does not exist: %v", err)
+			t.Errorf("route that does not exist: error %v, want errs.NotFound", err)
 		}
 	})
 }
 
-// Guards against requests rejected after a start because the process reports ready before any target is
-// known.
+// Guards against rejected requests after a start: the process reports that it is ready before it has read any
+// target, and so receives requests that it cannot serve.
 func TestReadyRequiresTargets(t *testing.T) {
 	runWatch(t, func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
 		d.update(func(d *fakeDirectory) { d.isDown = true })
 		time.Sleep(2 * time.Second)
 		if w.Ready() {
-			t.Error("ready without a configuration and targets")
+			t.Error("Ready is true without a configuration and targets")
 		}
 		d.update(func(d *fakeDirectory) {
 			d.isDown = false
 			d.configs = append(d.configs, newConfig(1, "/a/"))
 		})
-		// A failed read is repeated after retryPause; the pause below is well above it. The list is not
-		// available until the test queues it.
+		// A failed read is repeated after retryPause, so the configuration is read within 5 of them. The fake
+		// directory has no target list yet.
 		time.Sleep(5 * retryPause)
 		if w.Version() != 1 || w.Ready() {
-			t.Errorf("version %d, ready %v before targets are read", w.Version(), w.Ready())
+			t.Errorf("before targets are read: version %d, ready %v, want version 1, ready false", w.Version(), w.Ready())
 		}
 		d.update(func(d *fakeDirectory) {
 			d.targets = append(d.targets, platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{newTarget("a")}})
 		})
 		time.Sleep(time.Second)
 		if !w.Ready() {
-			t.Error("not ready with a configuration and targets")
+			t.Error("Ready is false with a configuration and targets")
 		}
 	})
 }
 
-// Guards against requests rejected after many processes start at once, because no target is used before the
-// whole list is read.
+// Guards against rejected requests after many processes start at once: reads of the target list then take long,
+// and a process that waits for the whole list uses none of the targets it has already read.
 func TestPartialTargetListIsUsedAtOnce(t *testing.T) {
 	runWatch(t, func(d *fakeDirectory, w *Watch, v *fleetview.View) {
 		newPart := func(id string) platform.TargetNews {
@@ -203,29 +212,30 @@
 		})
 		time.Sleep(20 * time.Millisecond)
 		if r, ok := v.StartOnline("s", nil); !ok || r.Target.ID != "a" || !w.Ready() {
-			t.Errorf("after the first part: target found %v, ready %v", ok, w.Ready())
+			t.Errorf("after the first part of the list: target found %v, ready %v, want target a and ready true", ok, w.Ready())
 		}
 		d.update(func(d *fakeDirectory) {
 			complete := platform.TargetNews{Known: 9, Whole: true, Present: []serving.Target{newTarget("b"), newTarget("c")}}
 			d.targets = append(d.targets, newPart("b"), complete)
 		})
 		time.Sleep(20 * time.Millisecond)
-		if listed := v.Targets(); len(listed) != 2 {
-			t.Errorf("the complete list has b and c, not a: %v", listed)
+		if remaining := v.Targets(); len(remaining) != 2 {
+			t.Errorf("targets after the complete list: %v, want b and c", remaining)
 		}
 	})
 }
 
-// Guards against a regression of the configuration: an answer from before the last change is put in force.
+// Guards against a regression of the configuration: an answer from an earlier state of the store puts an older
+// version in force.
 func TestConfigurationVersionNeverRegresses(t *testing.T) {
 	runWatch(t, func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
 		d.update(func(d *fakeDirectory) { d.configs = append(d.configs, newConfig(8, "/new/"), newConfig(5, "/old/")) })
 		time.Sleep(2 * time.Second)
 		if w.Version() != 8 {
-			t.Errorf("version %d is in force", w.Version())
+			t.Errorf("version %d is in force after versions 8 and 5 were read, want 8", w.Version())
 		}
 		if _, _, err := w.Route("h", "/old/"); !errs.Is(err, errs.NotFound) {
-			t.Errorf("a route of an older version: %v", err)
+			t.Errorf("route of the older version: error %v, want errs.NotFound", err)
 		}
 	})
 }
@@ -240,18 +250,18 @@
 			t.Error(err)
 		}
 		if w.Age() < 50*time.Second {
-			t.Errorf("age of the configuration: %v", w.Age())
+			t.Errorf("age of the configuration after 1 min of outage: %v, want at least 50 s", w.Age())
 		}
 		d.update(func(d *fakeDirectory) { d.isDown = false; d.configs = append(d.configs, newConfig(2, "/b/")) })
 		time.Sleep(2 * time.Second)
 		if w.Version() != 2 || w.Age() > 2*time.Second {
-			t.Errorf("version %d, age %v", w.Version(), w.Age())
+			t.Errorf("after the outage: version %d, age %v, want version 2, age at most 2 s", w.Version(), w.Age())
 		}
 	})
 }
 
-// Guards against requests rejected after an outage: targets whose entries expired during the outage are
-// treated as removed.
+// Guards against rejected requests after an outage of the store: targets whose entries expired during the
+// outage are treated as removed, although they still run.
 func TestExpiredEntriesAreKeptAfterOutage(t *testing.T) {
 	runWatch(t, func(d *fakeDirectory, w *Watch, v *fleetview.View) {
 		all := []serving.Target{newTarget("lives"), newTarget("gone")}
@@ -272,13 +282,13 @@
 		d.update(func(d *fakeDirectory) { d.targets = append(d.targets, platform.TargetNews{Known: 3, Present: all[:1]}) })
 		time.Sleep(4 * time.Second)
 		if left := v.Targets(); len(left) != 1 || left[0].ID != "lives" {
-			t.Errorf("targets after the grace period: %v", left)
+			t.Errorf("targets after the grace period: %v, want only lives", left)
 		}
 	})
 }
 
-// Guards against requests sent to a target that has left: a missing entry is checked only when there is
-// news.
+// Guards against requests sent to a target that has left during an outage: its grace period ends while a read
+// waits for a change, and the target is removed only when that read returns.
 func TestTargetIsRemovedAfterGraceWithoutNews(t *testing.T) {
 	runWatch(t, func(d *fakeDirectory, w *Watch, v *fleetview.View) {
 		d.update(func(d *fakeDirectory) {
@@ -296,22 +306,22 @@
 			d.update(func(d *fakeDirectory) { d.testDelay += 10 * time.Millisecond })
 		}
 		if removedAfter := 1200*time.Millisecond + d.testDelay; removedAfter > entryGrace+pollPause {
-			t.Errorf("removed %s after the store recovered, want within %s", removedAfter, entryGrace+pollPause)
+			t.Errorf("target removed %s after the store recovered, want within %s", removedAfter, entryGrace+pollPause)
 		}
 	})
 }
 
-// Guards against stale state after a network partition: a read that checks whether the store is reachable
-// again waits as long as one that waits for news.
+// Guards against stale state after a network partition: a read that checks whether the store is reachable again
+// must return at once instead of waiting for a change.
 func TestUnreachableStoreIsReadWithoutWaiting(t *testing.T) {
 	runWatch(t, func(d *fakeDirectory, w *Watch, v *fleetview.View) {
 		time.Sleep(2 * time.Second)
 		d.update(func(d *fakeDirectory) { d.isDown, d.longPollsWhileDown = true, 0 })
 		time.Sleep(3 * time.Second)
 		d.update(func(d *fakeDirectory) {
-			// Each of the two readers sends one such read before it detects the outage.
+			// The reads of the configuration and of the targets each wait once before the outage is detected.
 			if d.longPollsWhileDown > 2 {
-				t.Errorf("%d reads of the unreachable store would have waited for news", d.longPollsWhileDown)
+				t.Errorf("%d reads with a wait were sent while the store was unreachable, want at most 2", d.longPollsWhileDown)
 			}
 		})
 	})
@@ -331,33 +341,33 @@
 		time.Sleep(time.Second)
 		left := v.Targets()
 		if len(left) != 1 || !left[0].Draining {
-			t.Errorf("targets %v", left)
+			t.Errorf("targets %v after a left and b started to drain, want only b, draining", left)
 		}
 		if _, ok := v.StartOnline("s", nil); ok {
-			t.Error("a draining target received a request")
+			t.Error("an online request was sent to a draining target")
 		}
 	})
 }
 
-// newStart returns the n-th start of a target.
+// newStart returns the target with this name as of its n-th start. Each start has an id of its own.
 func newStart(name string, n int64) serving.Target {
 	t := newTarget(name)
 	t.ID, t.Started = fmt.Sprintf("%s/%d", name, n), n
 	return t
 }
 
-// targetIDs returns the sorted ids of the targets on the list.
+// targetIDs returns the sorted ids of the targets in the view, separated by spaces.
 func targetIDs(v *fleetview.View) string {
-	var list []string
+	var ids []string
 	for _, t := range v.Targets() {
-		list = append(list, t.ID)
+		ids = append(ids, t.ID)
 	}
-	slices.Sort(list)
-	return strings.Join(list, " ")
+	slices.Sort(ids)
+	return strings.Join(ids, " ")
 }
 
-// Guards against a stalled stream: the new start of a target is treated as the previous one, so that runs
-// of the previous start never end.
+// Guards against a stalled stream: a restarted target is treated as the same target, so that the runs which it
+// lost in the restart never end.
 func TestNewStartEndsPreviousStart(t *testing.T) {
 	runWatch(t, func(d *fakeDirectory, _ *Watch, v *fleetview.View) {
 		publish := func(news platform.TargetNews) {
@@ -366,48 +376,49 @@
 		}
 		publish(platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{newStart("a", 1), newStart("b", 1)}})
 		var mu sync.Mutex
-		ended := make(map[string]int)
+		endCalls := make(map[string]int) // calls of the WhenEnded function, by target id
 		for range 2 {
 			r, ok := v.StartOnline("s", nil)
 			if !ok {
-				t.Fatal("no target")
+				t.Fatal("no target for an online request")
 			}
 			r.WhenEnded(func() {
 				mu.Lock()
 				defer mu.Unlock()
-				ended[r.Target.ID]++
+				endCalls[r.Target.ID]++
 			})
 			defer r.Done()
 		}
 		publish(platform.TargetNews{Known: 2, Present: []serving.Target{newStart("a", 2)}})
 		if got := targetIDs(v); got != "a/2 b/1" {
-			t.Errorf("targets %s", got)
+			t.Errorf("targets %s after a has restarted, want a/2 b/1", got)
 		}
 		mu.Lock()
-		if ended["a/1"] != 1 || ended["b/1"] != 0 {
-			t.Errorf("runs notified that the start of their target is over: %v", ended)
+		if endCalls["a/1"] != 1 || endCalls["b/1"] != 0 {
+			t.Errorf("calls of the WhenEnded functions by target: %v, want 1 for a/1 and none for b/1", endCalls)
 		}
 		mu.Unlock()
 		if _, ok := v.Report().Loads["a/2"]; ok {
-			t.Error("the new start has the load of the previous one")
+			t.Error("the restarted target a/2 has the load of a/1, want no load")
 		}
 		publish(platform.TargetNews{Known: 3, Present: []serving.Target{newStart("a", 1)}})
 		if got := targetIDs(v); got != "a/2 b/1" {
-			t.Errorf("targets after an entry of an older start: %s", got)
+			t.Errorf("targets after an entry of an older start: %s, want a/2 b/1", got)
 		}
 		publish(platform.TargetNews{Known: 4, Gone: []string{"a"}})
 		publish(platform.TargetNews{Known: 5, Present: []serving.Target{newStart("a", 1)}})
 		if got := targetIDs(v); got != "b/1" {
-			t.Errorf("targets after an entry of an older start, with the last start removed: %s", got)
+			t.Errorf("targets after an entry of an older start, with the last start removed: %s, want b/1", got)
 		}
 		publish(platform.TargetNews{Known: 6, Whole: true, Present: []serving.Target{newStart("a", 2), newStart("b", 1)}})
 		if got := targetIDs(v); got != "a/2 b/1" {
-			t.Errorf("targets after the entry of the last start is written again: %s", got)
+			t.Errorf("targets after the entry of the last start is written again: %s, want a/2 b/1", got)
 		}
 	})
 }
 
-// Guards against misrouting: requests go to a target whose entry another writer has overwritten.
+// Guards against misrouting: requests are sent to a target although its entry has been overwritten with text
+// that describes no valid target.
 func TestUnusableEntryRemovesTarget(t *testing.T) {
 	logBuffer := &lockedBuffer{}
 	runWatchWithLog(t, hclog.New(&hclog.LoggerOptions{Output: logBuffer}), func(d *fakeDirectory, _ *Watch, v *fleetview.View) {
@@ -415,7 +426,7 @@
 			d.update(func(d *fakeDirectory) { d.targets = append(d.targets, news) })
 			time.Sleep(time.Second)
 		}
-		unusable := []platform.UnusableEntry{{Name: "a", Err: errs.New(errs.BadRequest, "no text")}}
+		unusable := []platform.UnusableEntry{{Name: "a", Err: errs.New(errs.BadRequest, "entry is empty")}}
 		publish(platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{newTarget("a"), newTarget("b")}})
 		d.update(func(d *fakeDirectory) { d.isDown = true })
 		time.Sleep(time.Second)
@@ -423,25 +434,25 @@
 		// Right after an outage a missing entry may have expired; one that is present but unusable has not.
 		publish(platform.TargetNews{Known: 2, Unusable: unusable})
 		if got := targetIDs(v); got != "b" {
-			t.Errorf("targets %s", got)
+			t.Errorf("targets %s after the entry of a became unusable, want b", got)
 		}
 		publish(platform.TargetNews{Known: 3, Whole: true, Present: []serving.Target{newTarget("b")}, Unusable: unusable})
 		publish(platform.TargetNews{Known: 4, Unusable: unusable})
 		if n := strings.Count(logBuffer.String(), "names no target"); n != 1 {
-			t.Errorf("%d log lines for one change", n)
+			t.Errorf("%d log lines after the entry became unusable once, want 1", n)
 		}
 		publish(platform.TargetNews{Known: 5, Present: []serving.Target{newTarget("a")}})
 		if got := targetIDs(v); got != "a b" {
-			t.Errorf("targets after a usable entry: %s", got)
+			t.Errorf("targets after the entry of a is usable again: %s, want a b", got)
 		}
 		publish(platform.TargetNews{Known: 6, Unusable: unusable})
 		if n := strings.Count(logBuffer.String(), "names no target"); n != 2 {
-			t.Errorf("%d log lines for two changes", n)
+			t.Errorf("%d log lines after the entry became unusable twice, want 2", n)
 		}
 	})
 }
 
-// Names of removed targets must not exhaust the memory of a process that runs for years.
+// Guards against a memory leak in a process that runs for years: the names of removed targets accumulate.
 func TestRemovedNamesAreBounded(t *testing.T) {
 	l := newTargetList()
 	for i := range 3 * maxRemovedNames {
@@ -450,22 +461,25 @@
 		l.update(time.Time{}, platform.TargetNews{Gone: []string{name}})
 	}
 	if len(l.lastStart) > maxRemovedNames {
-		t.Errorf("%d starts are kept", len(l.lastStart))
+		t.Errorf("%d starts of removed targets are stored, want at most maxRemovedNames", len(l.lastStart))
 	}
 }
 
-// lockedBuffer is a log output that can be read while it is written.
+// lockedBuffer is a log output that can be read while a logger writes to it. It implements io.Writer and
+// fmt.Stringer.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
 }
 
+// Write appends p to the buffer.
 func (b *lockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buffer.Write(p)
 }
 
+// String returns all bytes written so far.
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
