--- a/internal/storepath/doc.go
+++ b/internal/storepath/doc.go
@@ -1,10 +1,10 @@
-// Package storepath provides access to the platform's store by two paths: directly, and through another
-// gateway when the store refuses this one or the network between the two is interrupted.
+// Package storepath lets a gateway call the platform's store by two paths: directly, and through the relay of
+// another gateway (a peer) while the store cannot be reached directly.
 //
-// The store or the network can fail for some hosts while the store serves all others. A gateway on such a
-// host would accept no jobs, lose its shards and its running items, and receive neither configuration nor
-// targets, although its peers reach the store.
+// The store or the network can fail for some hosts while the store serves all others. Without a second path a
+// gateway on such a host would accept no jobs, lose its shards and its running items, and receive neither
+// configuration nor targets, although its peers reach the store.
 //
-// A call through a peer has the same guarantees as a direct one: the peer forwards it to the store, and
-// nothing is stored on the way. A relayed call is never relayed again.
+// A call through a peer has the same guarantees as a direct one: the peer forwards it to the store and stores
+// nothing itself. A relayed call is never relayed again.
 package storepath
--- a/internal/storepath/message.go
+++ b/internal/storepath/message.go
@@ -7,7 +7,8 @@
 	"arbutusramp/core/platform"
 )
 
-// request is one call of the store. Exactly one field is set.
+// request is a call of the store, as a gateway sends it to the relay of a peer. The field of the called method
+// is set, and no other.
 type request struct {
 	Append *platform.Append     `cbor:"1,keyasint,omitempty"`
 	Read   *platform.Read       `cbor:"2,keyasint,omitempty"`
@@ -28,7 +29,8 @@
 	Member string `cbor:"2,keyasint"`
 }
 
-// response is the result of a request: the field of the call, or Failure.
+// response is the result of a request, as the relay returns it: the field of the called method is set, or
+// Failure if the call has failed. Leave has no field of its own.
 type response struct {
 	Appended   platform.Appended   `cbor:"1,keyasint,omitempty"`
 	Records    platform.Records    `cbor:"2,keyasint,omitempty"`
@@ -37,7 +39,8 @@
 	Failure    *storeError         `cbor:"5,keyasint,omitempty"`
 }
 
-// storeError carries an error of the store between processes. Exactly one field is set.
+// storeError is an error of a store call in encoded form, with the fields that a caller of the store evaluates.
+// Exactly one field is set.
 type storeError struct {
 	EndMoved      *platform.EndMoved      `cbor:"1,keyasint,omitempty"`
 	Fenced        *platform.Fenced        `cbor:"2,keyasint,omitempty"`
@@ -46,7 +49,7 @@
 	Other         *errs.Error             `cbor:"5,keyasint,omitempty"`
 }
 
-// encodeError returns the encoded form of err, nil for nil.
+// encodeError returns err in encoded form; nil for a nil err.
 func encodeError(err error) *storeError {
 	if err == nil {
 		return nil
@@ -60,7 +63,8 @@
 	return &e
 }
 
-// decode returns the error that e carries, nil for a nil e.
+// decode returns the error that encodeError has encoded; nil for a nil e. Error without a set field:
+// errs.BadFrame.
 func (e *storeError) decode() error {
 	switch {
 	case e == nil:
@@ -76,5 +80,5 @@
 	case e.Other != nil:
 		return e.Other
 	}
-	return errs.New(errs.BadFrame, "store error without content")
+	return errs.New(errs.BadFrame, "response of the relay contains an empty store error")
 }
--- a/internal/storepath/paths.go
+++ b/internal/storepath/paths.go
@@ -14,97 +14,98 @@
 )
 
 const (
-	// hedgeDelay is how long a small call may take on a path in good state before the same call is sent
-	// through a peer. A slow store takes up to 300 ms; with a store that does not answer, a peer must renew
-	// a member's lease of 1.5 s in time. Reads are not hedged: a page of 1 MB takes that long on a link of
-	// 30 Mbit/s, and a second copy of it slows down both.
+	// hedgeDelay is how long a direct call may take before a second copy of it is sent through a peer. A slow
+	// store takes up to 300 ms. If the store does not answer, the copy must renew a member's lease of 1.5 s
+	// in time. Reads are not hedged: a page of 1 MB takes nearly as long as hedgeDelay on a link of 30 Mbit/s,
+	// and a second copy of the page slows down both.
 	hedgeDelay = 400 * time.Millisecond
 	// maxUnansweredCalls is how many direct calls in a row must remain unanswered until the direct path
-	// counts as lost. The store breaks off reads that wait for news when it discards its history: with 1,
-	// all gateways counted that as a loss at the same moment, and none could relay for another.
+	// counts as lost. When the store discards its history, it breaks off all reads that wait for new records.
+	// With 1, all gateways would count the direct path as lost at that moment, and none could relay for
+	// another.
 	maxUnansweredCalls = 2
-	// directProbeInterval is how often the direct path is probed while it is lost.
+	// directProbeInterval is the time between two direct calls that probe the direct path while it is lost.
 	directProbeInterval = 500 * time.Millisecond
-	// maxPeerReadBytes bounds a read through a peer, since its records cross two links.
+	// maxPeerReadBytes bounds the records that one read returns through a peer, since they cross two links.
 	maxPeerReadBytes = 256 << 10
-	// maxPeerStores bounds the cached clients of peers. Gateways are added and removed; beyond the bound,
-	// all clients are created again.
+	// maxPeerStores bounds the clients in Paths.peerStores, since gateways are added and removed. When the
+	// bound is reached, all clients are discarded, and each is created again when it is next used.
 	maxPeerStores = 256
-	// maxPeersPerCall is how many peers one call tries.
+	// maxPeersPerCall is how many peers a call is sent to, one after another, until one returns an answer.
 	maxPeersPerCall = 2
 )
 
-// Peers finds other processes that can relay calls to the store.
+// Peers finds other gateways that can relay calls to the store.
 type Peers interface {
 	// PeersWithStore returns the relay addresses (IP:port) of peers that reach the store directly, as far
 	// as this process knows.
 	PeersWithStore() []string
 }
 
-// NoPeers finds no peers: a process that has lost the store waits until it is reachable again.
+// NoPeers is an implementation of Peers that finds none, for a process that has only the direct path.
 type NoPeers struct{}
 
 // PeersWithStore implements Peers.
 func (NoPeers) PeersWithStore() []string { return nil }
 
-// Paths is the store as reached directly or through peers. It implements platform.Store and is safe for
-// concurrent use.
+// Paths is a platform.Store that makes each call directly or through a peer. It is safe for concurrent use.
 type Paths struct {
-	direct platform.Store
-	peers  Peers
-	dial   func(addr string) platform.Store
-	log    hclog.Logger
-	reg    metrics.Registry
+	direct        platform.Store
+	peers         Peers
+	newPeerClient func(addr string) platform.Store // newPeerStore, or a fake in tests
+	log           hclog.Logger
+	reg           metrics.Registry
 
 	mu              sync.Mutex
-	unansweredCalls int                       // direct calls in a row without an answer
+	unansweredCalls int                       // the last direct calls in a row without an answer
 	lostSince       time.Time                 // when the direct path was lost; zero while it is good
-	nextProbeAt     time.Time                 // when the direct path is probed next
+	nextProbeAt     time.Time                 // when the lost direct path may be probed next
 	directLost      chan struct{}             // closed when the direct path is lost, replaced when it is restored
-	peerStores      map[string]platform.Store // by address
-	lastPeer        string                    // address of the peer that served the last relayed call; tried first
+	peerStores      map[string]platform.Store // clients of relays, by address
+	lastPeer        string                    // address of the peer that answered the last call through a peer; empty if it gave no answer
 }
 
-// New returns the paths to the store that direct reaches from this process.
+// New returns a Paths whose direct path is direct. It counts the calls through peers in reg.
 func New(direct platform.Store, peers Peers, log hclog.Logger, reg metrics.Registry) *Paths {
 	return &Paths{
 		direct: direct, peers: peers, log: log, reg: reg, peerStores: make(map[string]platform.Store), directLost: make(chan struct{}),
-		dial: func(addr string) platform.Store { return newPeerStore(addr) },
+		newPeerClient: func(addr string) platform.Store { return newPeerStore(addr) },
 	}
 }
 
-// Lost reports whether the direct path to the store is lost.
+// Lost reports whether the direct path is lost, that is, whether maxUnansweredCalls direct calls in a row were
+// not answered and no later one was.
 func (p *Paths) Lost() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.lostSince.IsZero()
 }
 
-// Append implements platform.Store. A write without a condition can safely be repeated: the sequence number
-// of its producer, or the meaning of its records, makes it idempotent. A write with a condition uses a
-// single path until its outcome is known.
-func (p *Paths) Append(ctx context.Context, a platform.Append) (platform.Appended, error) {
-	return execute(ctx, p, callKind{isRepeatable: a.At == nil, canProbe: a.At == nil}, func(ctx context.Context, s platform.Store) (platform.Appended, error) {
-		return s.Append(ctx, a)
+// Append implements platform.Store. A write without a condition may be sent twice: the sequence number of its
+// producer, or the meaning of its records, makes it idempotent. A write on condition that the partition ends at
+// a given position is sent on a second path only if the first copy was certainly not executed.
+func (p *Paths) Append(ctx context.Context, write platform.Append) (platform.Appended, error) {
+	return execute(ctx, p, callKind{isRepeatable: write.At == nil, canProbe: write.At == nil}, func(ctx context.Context, s platform.Store) (platform.Appended, error) {
+		return s.Append(ctx, write)
 	})
 }
 
-// Read implements platform.Store.
+// Read implements platform.Store. A read through a peer returns at most maxPeerReadBytes.
 func (p *Paths) Read(ctx context.Context, r platform.Read) (platform.Records, error) {
 	return execute(ctx, p, callKind{isRepeatable: true, isBulk: true}, func(ctx context.Context, s platform.Store) (platform.Records, error) {
 		if s == p.direct {
 			return s.Read(ctx, r)
 		}
-		short := r
-		short.MaxBytes = min(r.MaxBytes, maxPeerReadBytes)
-		return s.Read(ctx, short)
+		bounded := r
+		bounded.MaxBytes = min(r.MaxBytes, maxPeerReadBytes)
+		return s.Read(ctx, bounded)
 	})
 }
 
 // Newest implements platform.Store.
-func (p *Paths) Newest(ctx context.Context, part platform.Partition, after string) (platform.NewestPage, error) {
+func (p *Paths) Newest(ctx context.Context, partition platform.Partition, after string) (platform.NewestPage, error) {
 	return execute(ctx, p, callKind{isRepeatable: true, isBulk: true, isPage: true}, func(ctx context.Context, s platform.Store) (platform.NewestPage, error) {
-		return s.Newest(ctx, part, after)
+		return s.Newest(ctx, partition, after)
 	})
 }
 
@@ -123,117 +124,118 @@
 	return err
 }
 
-// callKind holds the properties that decide the path of a call.
+// callKind holds the properties of a call that decide on which paths it is made.
 type callKind struct {
-	isRepeatable bool // a second copy has no further effect
-	isBulk       bool // the answer may be large or wait for news: the call is not hedged
-	// isPage marks a read of 1 MB, which the store may refuse or delay while others read as much. That does
-	// not indicate a fault of the path: a peer would be refused as well, and the page would cross two more
-	// links.
+	isRepeatable bool // a second copy of the call has no further effect
+	isBulk       bool // the answer may be large or wait for new records: the call is not hedged
+	// isPage marks a read of 1 MB. The store may reject it as busy, or delay it, while others read as much.
+	// That does not show a fault of the direct path: the store would reject the same read from a peer, and the
+	// page would cross two more links.
 	isPage   bool
-	canProbe bool // may probe a lost direct path; only for small calls
+	canProbe bool // the call is small, and may be made directly to probe a lost direct path
 }
 
-// path is how a call reaches the store.
+// path is the way on which a call is made first.
 type path uint8
 
 const (
-	pathDirect path = iota // directly, as long as the direct path is good
-	pathProbe              // directly, to check whether the direct path is restored
-	pathPeers              // through peers first
+	pathDirect path = iota // directly, since the direct path is good
+	pathProbe              // directly, to check whether the lost direct path is restored
+	pathPeers              // through peers, and directly if no peer answers
 )
 
-// storeCall makes one call of a store.
+// storeCall calls one method of a store with fixed arguments.
 type storeCall[T any] func(context.Context, platform.Store) (T, error)
 
-// result is the outcome of a call.
+// result holds what a storeCall has returned.
 type result[T any] struct {
 	value T
 	err   error
 }
 
-// isAnswered reports whether err, the result of a call, means that the store has answered, possibly with a
-// rejection. Other errors mean that the store was not reached or that its answer did not arrive.
+// isAnswered reports whether err, as returned by a call, means that the store has answered, be it with an error.
+// The other errors mean that the store was not reached, was busy, or that its answer did not arrive.
 func isAnswered(err error) bool {
 	return err == nil || !(errs.Is(err, errs.LogDown) || errs.Is(err, errs.LogBusy) || errs.Is(err, errs.AppendUnknown))
 }
 
-// isFinal reports whether a result must be returned as it is, because the call may not be repeated on
-// another path.
+// isFinal reports whether a call that returned err must not be made on another path: the store has answered, or
+// may have executed a call that is not repeatable.
 func (k callKind) isFinal(err error) bool {
 	return isAnswered(err) || !k.isRepeatable && errs.Is(err, errs.AppendUnknown)
 }
 
-// execute makes one call on the path that is considered good, and on the other one if the first does not
+// execute makes a call on the path that choosePath returns, and on the other path if the first one gives no
 // answer.
-func execute[T any](ctx context.Context, p *Paths, k callKind, c storeCall[T]) (T, error) {
-	chosen := p.choosePath(k, time.Now())
-	if chosen == pathPeers {
-		if r, ok := executeThroughPeers(ctx, p, k, c); ok {
+func execute[T any](ctx context.Context, p *Paths, kind callKind, call storeCall[T]) (T, error) {
+	chosenPath := p.choosePath(kind, time.Now())
+	if chosenPath == pathPeers {
+		if r, ok := executeThroughPeers(ctx, p, kind, call); ok {
 			return r.value, r.err
 		}
 	}
-	r := executeHedged(ctx, p, k, chosen, c)
+	r := executeHedged(ctx, p, kind, chosenPath, call)
 	return r.value, r.err
 }
 
-// executeHedged makes a call directly. It also makes it through peers if the direct call takes long or
-// fails, or if a good direct path is lost meanwhile.
-func executeHedged[T any](ctx context.Context, p *Paths, k callKind, chosen path, c storeCall[T]) result[T] {
+// executeHedged makes a call directly. If the direct call takes longer than hedgeDelay, is not answered, or is
+// still running when the direct path is lost, executeHedged also makes the call through peers.
+func executeHedged[T any](ctx context.Context, p *Paths, kind callKind, chosenPath path, call storeCall[T]) result[T] {
 	directCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	direct := make(chan result[T], 1)
 	go func() {
-		v, err := c(directCtx, p.direct)
-		if directCtx.Err() == nil && (isAnswered(err) || !k.isPage) {
+		v, err := call(directCtx, p.direct)
+		if directCtx.Err() == nil && (isAnswered(err) || !kind.isPage) {
 			p.recordDirectResult(err)
 		}
 		direct <- result[T]{v, err}
 	}()
-	var hedge, lost <-chan struct{} // nil channels never trigger a second copy
-	if !k.isBulk {
+	var hedge, directLost <-chan struct{} // a nil channel never triggers a second copy of the call
+	if !kind.isBulk {
 		timer := sleep.NewTimer(hedgeDelay)
 		defer timer.Stop()
 		hedge = timer.C
 	}
-	if chosen == pathDirect {
-		lost = p.directLostSignal()
+	if chosenPath == pathDirect {
+		directLost = p.directLostSignal()
 	}
 	select {
 	case r := <-direct:
-		if k.isFinal(r.err) || ctx.Err() != nil || k.isPage && chosen == pathDirect {
+		if kind.isFinal(r.err) || ctx.Err() != nil || kind.isPage && chosenPath == pathDirect {
 			return r
 		}
-		if other, ok := executeThroughPeers(ctx, p, k, c); ok {
-			return other
+		if peerResult, ok := executeThroughPeers(ctx, p, kind, call); ok {
+			return peerResult
 		}
 		return r
 	case <-hedge:
-	case <-lost:
+	case <-directLost:
 	}
-	if !k.isRepeatable {
+	if !kind.isRepeatable {
 		return <-direct
 	}
-	if r, ok := executeThroughPeers(ctx, p, k, c); ok && isAnswered(r.err) {
-		p.recordDirectResult(errs.New(errs.LogDown, "no direct answer, but one through a peer"))
+	if r, ok := executeThroughPeers(ctx, p, kind, call); ok && isAnswered(r.err) {
+		p.recordDirectResult(errs.New(errs.LogDown, "the store answered a call through a peer, but not the direct one"))
 		return r
 	}
 	return <-direct
 }
 
-// directLostSignal returns a channel that is closed once the direct path is lost.
+// directLostSignal returns the channel that is closed when the direct path is next lost, or is closed already
+// if it is lost now.
 func (p *Paths) directLostSignal() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.directLost
 }
 
-// executeThroughPeers makes a call through peers that reach the store. ok is false if no peer could forward
-// it, so that the call has not been made.
-func executeThroughPeers[T any](ctx context.Context, p *Paths, k callKind, c storeCall[T]) (r result[T], ok bool) {
+// executeThroughPeers makes a call through up to maxPeersPerCall peers, one after another, until one returns a
+// final result (see isFinal) or ctx ends. Otherwise ok is false, and the call may be made on another path.
+func executeThroughPeers[T any](ctx context.Context, p *Paths, kind callKind, call storeCall[T]) (r result[T], ok bool) {
 	for _, addr := range p.selectPeers() {
-		r.value, r.err = c(ctx, p.peerStoreAt(addr))
-		if k.isFinal(r.err) {
+		r.value, r.err = call(ctx, p.peerStoreAt(addr))
+		if kind.isFinal(r.err) {
 			p.countPeerCall("answered")
 			p.recordServingPeer(addr)
 			return r, true
@@ -247,22 +249,23 @@
 	return r, false
 }
 
-// choosePath returns the path of a call that starts now.
-func (p *Paths) choosePath(k callKind, now time.Time) path {
+// choosePath returns the path on which a call that starts now is made first. For a probe of the direct path it
+// also sets the time of the next one.
+func (p *Paths) choosePath(kind callKind, now time.Time) path {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.lostSince.IsZero() {
 		return pathDirect
 	}
-	if !k.canProbe || now.Before(p.nextProbeAt) {
+	if !kind.canProbe || now.Before(p.nextProbeAt) {
 		return pathPeers
 	}
 	p.nextProbeAt = now.Add(directProbeInterval)
 	return pathProbe
 }
 
-// recordDirectResult updates the state of the direct path with the result of a direct call, and logs a
-// change.
+// recordDirectResult records the error of a direct call, nil for none. It logs when the direct path is lost or
+// restored by that.
 func (p *Paths) recordDirectResult(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -283,7 +286,8 @@
 	}
 }
 
-// selectPeers returns the peers that a call tries, the one that served last first.
+// selectPeers returns the addresses of the peers that a call is sent to, in this order. The peer that answered
+// the last call comes first.
 func (p *Paths) selectPeers() []string {
 	addrs := p.peers.PeersWithStore()
 	p.mu.Lock()
@@ -296,7 +300,7 @@
 	return addrs[:min(len(addrs), maxPeersPerCall)]
 }
 
-// recordServingPeer records which peer has served a call; an empty address means that a peer has failed.
+// recordServingPeer records the address of the peer that has answered a call; empty if a peer gave no answer.
 func (p *Paths) recordServingPeer(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -306,7 +310,7 @@
 	p.lastPeer = addr
 }
 
-// peerStoreAt returns the cached client for the relay of a peer, or creates it.
+// peerStoreAt returns the client for the relay of the peer at addr, and creates and caches it at first use.
 func (p *Paths) peerStoreAt(addr string) platform.Store {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -315,13 +319,13 @@
 		if len(p.peerStores) >= maxPeerStores {
 			clear(p.peerStores)
 		}
-		s = p.dial(addr)
+		s = p.newPeerClient(addr)
 		p.peerStores[addr] = s
 	}
 	return s
 }
 
-// countPeerCall counts a call through a peer by its outcome.
+// countPeerCall counts a call through a peer; outcome is "answered" or "unanswered".
 func (p *Paths) countPeerCall(outcome string) {
 	metrics.GetOrRegisterCounter("store.peer."+outcome, p.reg).Inc(1)
 }
--- a/internal/storepath/paths_test.go
+++ b/internal/storepath/paths_test.go
@@ -18,11 +18,11 @@
 
 var testPartition = platform.Partition{Topic: "keyed.t"}
 
-// host holds the paths of one process to a store, with one peer.
+// host holds the paths of one process to a store. The process has one peer. It implements Peers.
 type host struct {
 	store      *keyedlog.Store
-	direct     *keyedlog.View
-	peer       *keyedlog.View
+	direct     *keyedlog.View // the store as this process reaches it directly
+	peer       *keyedlog.View // the store as the peer reaches it
 	paths      *Paths
 	knownPeers []string // the addresses that PeersWithStore returns
 }
@@ -30,15 +30,16 @@
 // PeersWithStore implements Peers.
 func (h *host) PeersWithStore() []string { return append([]string(nil), h.knownPeers...) }
 
+// newHost returns a host whose process and peer both reach an empty store.
 func newHost() *host {
 	h := &host{store: keyedlog.New(2), knownPeers: []string{"peer"}}
 	h.direct, h.peer = h.store.View(), h.store.View()
 	h.paths = New(h.direct, h, hclog.NewNullLogger(), metrics.NewRegistry())
-	h.paths.dial = func(string) platform.Store { return h.peer }
+	h.paths.newPeerClient = func(string) platform.Store { return h.peer }
 	return h
 }
 
-// loseDirectPath makes the store refuse the host until the direct path counts as lost.
+// loseDirectPath makes the store fail all direct calls, and makes calls until the direct path counts as lost.
 func (h *host) loseDirectPath(t *testing.T) {
 	t.Helper()
 	h.direct.Set(keyedlog.Faults{Refuse: true})
@@ -48,28 +49,29 @@
 		}
 	}
 	if !h.paths.Lost() {
-		t.Error("the direct path counts as good")
+		t.Error("the direct path counts as good after maxUnansweredCalls failed calls, want lost")
 	}
 }
 
+// newWrite returns a write of one record, without a condition.
 func newWrite(key string) platform.Append {
 	return platform.Append{Partition: testPartition, Records: []platform.KeyedRecord{{Key: key, Value: []byte{1}}}}
 }
 
-// newConditionalWrite returns a write on condition that the partition is empty.
+// newConditionalWrite returns a write of one record on condition that the partition is empty.
 func newConditionalWrite(key string) platform.Append {
-	a := newWrite(key)
-	a.At = new(uint64)
-	return a
+	write := newWrite(key)
+	write.At = new(uint64)
+	return write
 }
 
-// If one host loses the store, its gateway continues through a peer.
+// Guards against failed calls while one host cannot reach the store: its gateway must use the relay of a peer.
 func TestStoreUnreachableDirectlyIsReachedThroughPeer(t *testing.T) {
 	const afterHedge = hedgeDelay + 10*time.Millisecond
 	cases := []struct {
 		name   string
 		faults keyedlog.Faults
-		within time.Duration // for the first calls; once the direct path counts as lost, calls take no time
+		within time.Duration // time limit of each of the first two calls; after them the direct path is lost
 	}{
 		{"refused", keyedlog.Faults{Refuse: true}, 0},
 		{"silent", keyedlog.Faults{Silent: true}, afterHedge},
@@ -83,17 +85,18 @@
 				for i, within := range []time.Duration{c.within, c.within, 0} {
 					start := time.Now()
 					if _, err := h.paths.Append(t.Context(), newWrite("k")); err != nil || time.Since(start) > within {
-						t.Errorf("write %d: %v after %v", i, err, time.Since(start))
+						t.Errorf("write %d: error %v after %v, want success in time", i, err, time.Since(start))
 					}
 				}
 				if !h.paths.Lost() {
-					t.Error("the direct path counts as good")
+					t.Error("the direct path counts as good after three writes, want lost")
 				}
 			})
 		})
 	}
 }
 
+// Guards against permanent use of peers after the direct path is restored.
 func TestDirectPathIsUsedAgainOnceRestored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost()
@@ -102,13 +105,13 @@
 		h.peer.Set(keyedlog.Faults{Refuse: true})
 		time.Sleep(directProbeInterval)
 		if _, err := h.paths.Append(t.Context(), newWrite("b")); err != nil || h.paths.Lost() {
-			t.Errorf("%v, lost %v", err, h.paths.Lost())
+			t.Errorf("write after the direct path is restored: error %v, direct path lost %v, want neither", err, h.paths.Lost())
 		}
 	})
 }
 
-// Guards against permanent use of peers: the call that probes the direct path is hedged at once and always
-// cancelled.
+// Guards against permanent use of peers: if the call that probes a slow direct path is hedged at once, the copy
+// through the peer is faster, and the probe is always cancelled.
 func TestSlowDirectPathIsUsedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost()
@@ -116,49 +119,50 @@
 		h.direct.Set(keyedlog.Faults{Delay: hedgeDelay / 2})
 		time.Sleep(directProbeInterval)
 		if _, err := h.paths.Append(t.Context(), newWrite("b")); err != nil || h.paths.Lost() || h.paths.unansweredCalls != 0 {
-			t.Errorf("%v, lost %v, %d unanswered calls", err, h.paths.Lost(), h.paths.unansweredCalls)
+			t.Errorf("write on a slow direct path: error %v, lost %v, %d unanswered calls, want success, lost false, 0", err, h.paths.Lost(), h.paths.unansweredCalls)
 		}
 	})
 }
 
-// A conditional write must not be sent on a second path while the first copy may still be executed: the
-// second would be rejected because the first has moved the end, and the caller would mistake its own write
-// for one of another writer.
+// A conditional write must not be sent on a second path while the first copy may still be executed. Otherwise
+// the first copy moves the end of the partition, the second is rejected for that, and the caller assumes that
+// another writer has written.
 func TestConditionalWriteUsesOnePathUntilOutcomeIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost()
 		h.direct.Set(keyedlog.Faults{LoseAnswers: true})
-		a := newConditionalWrite("k")
-		if _, err := h.paths.Append(t.Context(), a); !errs.Is(err, errs.AppendUnknown) {
-			t.Errorf("write with a lost answer: %v", err)
+		write := newConditionalWrite("k")
+		if _, err := h.paths.Append(t.Context(), write); !errs.Is(err, errs.AppendUnknown) {
+			t.Errorf("conditional write with a lost answer: error %v, want errs.AppendUnknown", err)
 		}
 		h.direct.Set(keyedlog.Faults{Silent: true})
 		if _, err := h.paths.Read(t.Context(), platform.Read{Partition: testPartition}); err != nil || !h.paths.Lost() {
-			t.Fatalf("%v, lost %v", err, h.paths.Lost())
+			t.Fatalf("read while the store is silent: error %v, direct path lost %v, want success and lost", err, h.paths.Lost())
 		}
 		var moved *platform.EndMoved
-		if _, err := h.paths.Append(t.Context(), a); !errors.As(err, &moved) || moved.End != 1 {
-			t.Errorf("same write through the peer: %v", err)
+		if _, err := h.paths.Append(t.Context(), write); !errors.As(err, &moved) || moved.End != 1 {
+			t.Errorf("same write through the peer: error %v, want platform.EndMoved with end 1", err)
 		}
 		if n := len(h.store.Records(testPartition)); n != 1 {
-			t.Errorf("%d records", n)
+			t.Errorf("%d records are stored, want 1", n)
 		}
 	})
 }
 
-// A refused write was not executed, so a conditional write may use another path at once.
-func TestRefusedConditionalWriteIsSentThroughPeer(t *testing.T) {
+// A write that failed with errs.LogDown was not executed, so even a conditional one may use the other path at
+// once.
+func TestUnexecutedConditionalWriteIsSentThroughPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost()
 		h.direct.Set(keyedlog.Faults{Refuse: true})
-		a := newConditionalWrite("k")
-		if done, err := h.paths.Append(t.Context(), a); err != nil || done.End != 1 {
-			t.Errorf("%+v, %v", done, err)
+		write := newConditionalWrite("k")
+		if appended, err := h.paths.Append(t.Context(), write); err != nil || appended.End != 1 {
+			t.Errorf("conditional write through the peer: %+v, error %v, want end 1", appended, err)
 		}
 	})
 }
 
-// When the store is down for all, there is no other path: calls fail as they would without peers.
+// While the store is down for all gateways, a call fails with the same error as without peers.
 func TestCallsFailWhenStoreIsDownForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost()
@@ -166,46 +170,47 @@
 		h.peer.Set(keyedlog.Faults{Refuse: true})
 		for range 3 {
 			if _, err := h.paths.Read(t.Context(), platform.Read{Partition: testPartition}); !errs.Is(err, errs.LogDown) {
-				t.Errorf("%v", err)
+				t.Errorf("read while the store is down for all: error %v, want errs.LogDown", err)
 			}
 		}
 		h.knownPeers = nil
 		h.direct.Set(keyedlog.Faults{Silent: true})
 		if _, err := h.paths.Join(t.Context(), platform.Membership{Group: "g", Member: "m", TTL: time.Second}); !errs.Is(err, errs.LogDown) {
-			t.Errorf("%v", err)
+			t.Errorf("join without a known peer while the store is silent: error %v, want errs.LogDown", err)
 		}
 	})
 }
 
-// Guards against a false loss: all gateways count one read that the store has broken off as the loss of the
-// store.
-func TestOneBrokenReadKeepsDirectPath(t *testing.T) {
+// Guards against a false loss: one read that the store breaks off must not make the direct path count as lost,
+// since the store breaks off the reads of all gateways at the same moment.
+func TestOneBrokenOffReadKeepsDirectPath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost()
 		h.direct.Set(keyedlog.Faults{Refuse: true})
 		if _, err := h.paths.Read(t.Context(), platform.Read{Partition: testPartition}); err != nil || h.paths.Lost() {
-			t.Errorf("%v, lost %v", err, h.paths.Lost())
+			t.Errorf("read that the store breaks off: error %v, direct path lost %v, want neither", err, h.paths.Lost())
 		}
 		h.direct.Set(keyedlog.Faults{})
 		if _, err := h.paths.Read(t.Context(), platform.Read{Partition: testPartition}); err != nil || h.paths.unansweredCalls != 0 {
-			t.Errorf("%v, %d unanswered calls still count", err, h.paths.unansweredCalls)
+			t.Errorf("next read: error %v, %d unanswered calls still count, want success and 0", err, h.paths.unansweredCalls)
 		}
 	})
 }
 
-// Guards against doubled traffic: a large page is requested a second time because it takes longer than a
-// small call.
+// Guards against doubled traffic: a large page is requested a second time, through a peer, because it takes
+// longer than a small call.
 func TestPageReadIsNotHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost()
 		h.direct.Set(keyedlog.Faults{Delay: time.Second})
 		if _, err := h.paths.Newest(t.Context(), testPartition, ""); err != nil || h.paths.unansweredCalls != 0 {
-			t.Errorf("%v, %d unanswered calls", err, h.paths.unansweredCalls)
+			t.Errorf("page that takes 1 s: error %v, %d unanswered calls, want success and 0", err, h.paths.unansweredCalls)
 		}
 	})
 }
 
-// Guards against stale configuration: a read that waits for news stays on a path that is known to be lost.
+// Guards against stale configuration: a read that waits for new records stays on the direct path although that
+// is known to be lost.
 func TestWaitingReadLeavesLostDirectPath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost()
@@ -224,22 +229,23 @@
 				t.Error(err)
 			}
 		}
-		if got := <-took; got > maxUnansweredCalls*hedgeDelay+10*time.Millisecond {
-			t.Errorf("the read took %v", got)
+		if readTime := <-took; readTime > maxUnansweredCalls*hedgeDelay+10*time.Millisecond {
+			t.Errorf("the read took %v, want at most maxUnansweredCalls*hedgeDelay plus 10 ms", readTime)
 		}
 	})
 }
 
+// A read that waits longer than hedgeDelay for new records must not count as unanswered.
 func TestWaitingReadIsNotHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost()
 		start := time.Now()
 		const wait = time.Second
-		if page, err := h.paths.Read(t.Context(), platform.Read{Partition: testPartition, Wait: wait}); err != nil || len(page.Records) > 0 {
-			t.Errorf("%+v %v", page, err)
+		if read, err := h.paths.Read(t.Context(), platform.Read{Partition: testPartition, Wait: wait}); err != nil || len(read.Records) > 0 {
+			t.Errorf("read of an empty partition: %+v, error %v, want no records", read, err)
 		}
 		if h.paths.Lost() || time.Since(start) != wait {
-			t.Errorf("lost %v after %v", h.paths.Lost(), time.Since(start))
+			t.Errorf("direct path lost %v after a read of %v, want lost false after 1s", h.paths.Lost(), time.Since(start))
 		}
 	})
 }
@@ -253,15 +259,16 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		if _, err := h.paths.Read(ctx, platform.Read{Partition: testPartition}); err == nil {
-			t.Error("no error")
+			t.Error("cancelled read returned no error")
 		}
 		if h.paths.Lost() {
-			t.Error("the direct path counts as lost")
+			t.Error("the direct path counts as lost after a cancelled read, want good")
 		}
 	})
 }
 
-// Guards against the loss of a lease: a join hangs on a lost path until the lease has expired.
+// Guards against the loss of a lease: the join that renews it hangs on a silent direct path until the lease has
+// expired. A lost lease shows as a new generation of the group.
 func TestLeaseIsRenewedThroughPeerInTime(t *testing.T) {
 	const ttl = 1500 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
@@ -275,18 +282,18 @@
 				h.direct.Set(keyedlog.Faults{Silent: true})
 			}
 			m.Generation = generation
-			a, err := h.paths.Join(t.Context(), m)
+			assignment, err := h.paths.Join(t.Context(), m)
 			if err != nil {
-				t.Fatalf("join %d: %v", i, err)
+				t.Fatalf("join %d failed: %v", i, err)
 			}
 			other.Generation = generation
 			if _, err := h.peer.Join(t.Context(), other); err != nil {
 				t.Fatal(err)
 			}
-			if i > 2 && a.Generation != generation {
-				t.Errorf("join %d: generation %d after %d", i, a.Generation, generation)
+			if i > 2 && assignment.Generation != generation {
+				t.Errorf("join %d returned generation %d, want %d as before", i, assignment.Generation, generation)
 			}
-			generation = a.Generation
+			generation = assignment.Generation
 			if i < 2 {
 				generation = 0
 			}
--- a/internal/storepath/peer.go
+++ b/internal/storepath/peer.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	// peerTimeout bounds a call through a peer. The store usually answers within 4 ms, and within 300 ms
-	// while it is slow; a peer whose own call hangs cannot help.
+	// peerTimeout bounds a small call through a peer. The store usually answers within 4 ms, and within 300 ms
+	// while it is slow. A peer that takes longer does not reach the store either.
 	peerTimeout = 600 * time.Millisecond
-	// peerReadTimeout is the same for reads, in addition to the wait that the store is asked for: a page of
-	// 1 MB takes 0.3 s on each of two links of 30 Mbit/s.
+	// peerReadTimeout bounds a read through a peer, not counting the time that the store may wait for new
+	// records. 1 MB takes 0.3 s on each of two links of 30 Mbit/s.
 	peerReadTimeout = 1500 * time.Millisecond
-	// peerPageTimeout is the upper bound for a page of the newest records; the context of the caller sets
-	// the actual one.
+	// peerPageTimeout bounds a read of the newest records through a peer. The context of the caller usually ends
+	// earlier.
 	peerPageTimeout = 10 * time.Second
 )
 
-// peerStore is the store as reached through the relay of one peer. It implements platform.Store.
+// peerStore is a platform.Store that makes each call through the relay of one peer.
 type peerStore struct{ client *httpclient.Client }
 
-// newPeerStore returns a client for the relay at addr (IP:port).
+// newPeerStore returns a store that makes its calls through the relay at addr (IP:port).
 func newPeerStore(addr string) *peerStore { return &peerStore{httpclient.New("http://" + addr)} }
 
-// call sends one request. isWrite means that a call without an answer may have been executed.
+// call sends a request to the relay and returns its response. isWrite says that the request changes the store:
+// without an answer, the outcome is then unknown. Errors: those of the store; those of unansweredError.
 func (p *peerStore) call(ctx context.Context, r request, timeout time.Duration, isWrite bool) (response, error) {
 	data, err := cbor.Marshal(r)
 	if err != nil {
-		return response{}, errs.Newf(errs.Internal, "encode call of the store: %v", err)
+		return response{}, errs.Newf(errs.Internal, "encode a store call for the relay: %v", err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -49,7 +50,7 @@
 		return response{}, unansweredError(err, isWrite)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return response{}, unansweredError(errors.Errorf("peer answered with status %d", resp.StatusCode()), isWrite)
+		return response{}, unansweredError(errors.Errorf("the peer answered with status %d", resp.StatusCode()), isWrite)
 	}
 	var decoded response
 	if err := cbor.Unmarshal(resp.Body(), &decoded); err != nil {
@@ -58,19 +59,19 @@
 	return decoded, decoded.Failure.decode()
 }
 
-// unansweredError returns the error of a call without an answer: errs.AppendUnknown for a write that may
-// have been sent, else errs.LogDown.
+// unansweredError returns the error for a call that got no valid answer because of err: errs.AppendUnknown for a
+// write that may have reached the peer, else errs.LogDown.
 func unansweredError(err error, isWrite bool) error {
-	var e *httpclient.Error
-	if isWrite && !(errors.As(err, &e) && !e.Sent) {
-		return errs.Newf(errs.AppendUnknown, "through a peer: %v", err)
+	var clientErr *httpclient.Error
+	if isWrite && !(errors.As(err, &clientErr) && !clientErr.Sent) {
+		return errs.Newf(errs.AppendUnknown, "no answer to a store call through a peer: %v", err)
 	}
-	return errs.Newf(errs.LogDown, "through a peer: %v", err)
+	return errs.Newf(errs.LogDown, "no answer to a store call through a peer: %v", err)
 }
 
 // Append implements platform.Store.
-func (p *peerStore) Append(ctx context.Context, a platform.Append) (platform.Appended, error) {
-	resp, err := p.call(ctx, request{Append: &a}, peerTimeout, true)
+func (p *peerStore) Append(ctx context.Context, write platform.Append) (platform.Appended, error) {
+	resp, err := p.call(ctx, request{Append: &write}, peerTimeout, true)
 	return resp.Appended, err
 }
 
@@ -81,8 +82,8 @@
 }
 
 // Newest implements platform.Store.
-func (p *peerStore) Newest(ctx context.Context, part platform.Partition, after string) (platform.NewestPage, error) {
-	resp, err := p.call(ctx, request{Newest: &newestRequest{Partition: part, After: after}}, peerPageTimeout, false)
+func (p *peerStore) Newest(ctx context.Context, partition platform.Partition, after string) (platform.NewestPage, error) {
+	resp, err := p.call(ctx, request{Newest: &newestRequest{Partition: partition, After: after}}, peerPageTimeout, false)
 	return resp.Page, err
 }
 
--- a/internal/storepath/relay.go
+++ b/internal/storepath/relay.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	// relayPath is the URL path at which a relay accepts calls.
+	// relayPath is the URL path to which a peer posts its store calls.
 	relayPath = "/store"
-	// mediaType is the content type of calls and responses.
+	// mediaType is the content type of an encoded request or response.
 	mediaType = "application/cbor"
-	// maxRequestBytes bounds an encoded call: the largest append that the store accepts is 2 MB.
+	// maxRequestBytes bounds an encoded request. The largest append that the store accepts is 2 MB.
 	maxRequestBytes = 4 << 20
 )
 
-// Relay forwards calls of peers that cannot reach the store directly.
+// Relay is an HTTP handler that makes the store calls of peers which cannot reach the store directly.
 type Relay struct {
 	store platform.Store
 	log   hclog.Logger
 }
 
-// NewRelay returns a relay to store, which must be the direct path of this process: a call that is
-// forwarded to another peer could loop.
+// NewRelay returns a relay to store. store must be the direct path of this process, not a Paths: a call that a
+// relay forwards to another relay could loop.
 func NewRelay(store platform.Store, log hclog.Logger) *Relay { return &Relay{store: store, log: log} }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. It reads a request in CBOR and writes the response, which also carries an
+// error of the store.
 func (r *Relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path != relayPath || req.Method != http.MethodPost {
 		http.NotFound(w, req)
@@ -39,40 +40,41 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxRequestBytes))
 	if err != nil {
-		return // the caller has closed the connection
+		return // the caller disconnected
 	}
 	var call request
 	if err := cbor.Unmarshal(body, &call); err != nil {
-		r.log.Warn("relayed call unreadable", "from", req.RemoteAddr, "error", err)
-		http.Error(w, "not a valid store call", http.StatusBadRequest)
+		r.log.Warn("store call of a peer not decoded", "from", req.RemoteAddr, "error", err)
+		http.Error(w, "the body is not a valid store call", http.StatusBadRequest)
 		return
 	}
 	data, err := cbor.Marshal(r.forward(req.Context(), call))
 	if err != nil {
-		r.log.Error("response to a relayed call not encoded", "error", err)
+		r.log.Error("response to the store call of a peer not encoded", "error", err)
 		http.Error(w, "internal", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", mediaType)
-	_, _ = w.Write(data) // a caller that has closed the connection retries through another peer
+	_, _ = w.Write(data) // a caller that has disconnected repeats the call through another peer
 }
 
-// forward makes one call of the store.
-func (r *Relay) forward(ctx context.Context, c request) (resp response) {
+// forward makes the store call that is set in call, and returns its result. A request without a call results in
+// errs.BadFrame.
+func (r *Relay) forward(ctx context.Context, call request) (resp response) {
 	var err error
 	switch {
-	case c.Append != nil:
-		resp.Appended, err = r.store.Append(ctx, *c.Append)
-	case c.Read != nil:
-		resp.Records, err = r.store.Read(ctx, *c.Read)
-	case c.Newest != nil:
-		resp.Page, err = r.store.Newest(ctx, c.Newest.Partition, c.Newest.After)
-	case c.Join != nil:
-		resp.Assignment, err = r.store.Join(ctx, *c.Join)
-	case c.Leave != nil:
-		err = r.store.Leave(ctx, c.Leave.Group, c.Leave.Member)
+	case call.Append != nil:
+		resp.Appended, err = r.store.Append(ctx, *call.Append)
+	case call.Read != nil:
+		resp.Records, err = r.store.Read(ctx, *call.Read)
+	case call.Newest != nil:
+		resp.Page, err = r.store.Newest(ctx, call.Newest.Partition, call.Newest.After)
+	case call.Join != nil:
+		resp.Assignment, err = r.store.Join(ctx, *call.Join)
+	case call.Leave != nil:
+		err = r.store.Leave(ctx, call.Leave.Group, call.Leave.Member)
 	default:
-		err = errs.New(errs.BadFrame, "request contains no store call")
+		err = errs.New(errs.BadFrame, "the request contains no store call")
 	}
 	resp.Failure = encodeError(err)
 	return resp
--- a/internal/storepath/relay_test.go
+++ b/internal/storepath/relay_test.go
@@ -15,7 +15,8 @@
 	"arbutusramp/standin/keyedlog"
 )
 
-// newRelayedStore returns s as seen through a relay over a real connection, and the server of the relay.
+// newRelayedStore starts an HTTP server with a relay to s. It returns a store that makes its calls through this
+// relay, and the server.
 func newRelayedStore(t *testing.T, s platform.Store) (platform.Store, *httptest.Server) {
 	t.Helper()
 	server := httptest.NewServer(NewRelay(s, hclog.NewNullLogger()))
@@ -27,21 +28,21 @@
 	view := keyedlog.New(2).View()
 	s, _ := newRelayedStore(t, view)
 	ctx := t.Context()
-	if done, err := s.Append(ctx, newWrite("a")); err != nil || done.First != 0 || done.End != 1 {
-		t.Errorf("append: %+v, %v", done, err)
+	if appended, err := s.Append(ctx, newWrite("a")); err != nil || appended.First != 0 || appended.End != 1 {
+		t.Errorf("Append of one record: %+v, error %v, want first 0, end 1", appended, err)
 	}
-	if page, err := s.Read(ctx, platform.Read{Partition: testPartition, Wait: time.Millisecond}); err != nil || len(page.Records) != 1 || page.Records[0].Key != "a" {
-		t.Errorf("read: %+v, %v", page, err)
+	if read, err := s.Read(ctx, platform.Read{Partition: testPartition, Wait: time.Millisecond}); err != nil || len(read.Records) != 1 || read.Records[0].Key != "a" {
+		t.Errorf("Read: %+v, error %v, want one record with key a", read, err)
 	}
 	if page, err := s.Newest(ctx, testPartition, ""); err != nil || len(page.Records) != 1 || page.End != 1 {
-		t.Errorf("newest: %+v, %v", page, err)
+		t.Errorf("Newest: %+v, error %v, want one record, end 1", page, err)
 	}
 	m := platform.Membership{Group: "g", Member: "m", Topics: []string{"s"}, TTL: time.Second}
-	if a, err := s.Join(ctx, m); err != nil || len(a.Held) != 2 {
-		t.Errorf("join: %+v, %v", a, err)
+	if assignment, err := s.Join(ctx, m); err != nil || len(assignment.Held) != 2 {
+		t.Errorf("Join: %+v, error %v, want 2 partitions held", assignment, err)
 	}
 	if err := s.Leave(ctx, "g", "m"); err != nil {
-		t.Errorf("leave: %v", err)
+		t.Errorf("Leave: error %v, want none", err)
 	}
 }
 
@@ -51,56 +52,56 @@
 	s, _ := newRelayedStore(t, view)
 	ctx := t.Context()
 	newFencedWrite := func(epoch, seq uint64) platform.Append {
-		a := newWrite("a")
-		a.Producer = &platform.Producer{Name: "p", Epoch: epoch, Seq: seq}
-		return a
+		write := newWrite("a")
+		write.Producer = &platform.Producer{Name: "p", Epoch: epoch, Seq: seq}
+		return write
 	}
 	at := uint64(7)
 	conditional := newWrite("a")
 	conditional.At = &at
 	var moved *platform.EndMoved
 	if _, err := s.Append(ctx, conditional); !errors.As(err, &moved) || moved.End != 0 {
-		t.Errorf("condition: %v", err)
+		t.Errorf("write on condition of end 7 to an empty partition: error %v, want platform.EndMoved with end 0", err)
 	}
 	if _, err := s.Append(ctx, newFencedWrite(2, 1)); err != nil {
 		t.Fatal(err)
 	}
-	var old *platform.Fenced
-	if _, err := s.Append(ctx, newFencedWrite(1, 1)); !errors.As(err, &old) {
-		t.Errorf("old epoch: %v", err)
+	var fenced *platform.Fenced
+	if _, err := s.Append(ctx, newFencedWrite(1, 1)); !errors.As(err, &fenced) {
+		t.Errorf("write with epoch 1 after epoch 2: error %v, want platform.Fenced", err)
 	}
-	var gap *platform.OutOfSequence
-	if _, err := s.Append(ctx, newFencedWrite(2, 9)); !errors.As(err, &gap) || gap.Expected != 2 {
-		t.Errorf("gap: %v", err)
+	var outOfSequence *platform.OutOfSequence
+	if _, err := s.Append(ctx, newFencedWrite(2, 9)); !errors.As(err, &outOfSequence) || outOfSequence.Expected != 2 {
+		t.Errorf("write with sequence number 9 after 1: error %v, want platform.OutOfSequence with 2 expected", err)
 	}
 	store.Forget()
 	var expired *platform.Expired
 	if _, err := s.Read(ctx, platform.Read{Partition: testPartition}); !errors.As(err, &expired) || expired.First != 1 {
-		t.Errorf("discarded history: %v", err)
+		t.Errorf("read of discarded records: error %v, want platform.Expired with first 1", err)
 	}
 	view.Set(keyedlog.Faults{Refuse: true})
 	if _, err := s.Append(ctx, newWrite("a")); !errs.Is(err, errs.LogDown) {
-		t.Errorf("refused: %v", err)
+		t.Errorf("write while the store is down: error %v, want errs.LogDown", err)
 	}
 }
 
-// A peer that dies during a write leaves the outcome unknown; one that cannot be reached has not received
-// the write.
+// If a peer crashes during a write, the outcome of the write is unknown. If the peer cannot be reached, the
+// write was certainly not executed.
 func TestUnansweredWriteIsUnknownOnlyIfSent(t *testing.T) {
-	dying := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
-	defer dying.Close()
-	s := newPeerStore(strings.TrimPrefix(dying.URL, "http://"))
+	crashingServer := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
+	defer crashingServer.Close()
+	s := newPeerStore(strings.TrimPrefix(crashingServer.URL, "http://"))
 	if _, err := s.Append(t.Context(), newWrite("a")); !errs.Is(err, errs.AppendUnknown) {
-		t.Errorf("aborted write: %v", err)
+		t.Errorf("write whose connection is aborted: error %v, want errs.AppendUnknown", err)
 	}
 	if _, err := s.Read(t.Context(), platform.Read{Partition: testPartition}); !errs.Is(err, errs.LogDown) {
-		t.Errorf("aborted read: %v", err)
+		t.Errorf("read whose connection is aborted: error %v, want errs.LogDown", err)
 	}
 	_, stoppedServer := newRelayedStore(t, keyedlog.New(1).View())
 	addr := strings.TrimPrefix(stoppedServer.URL, "http://")
 	stoppedServer.Close()
 	if _, err := newPeerStore(addr).Append(t.Context(), newWrite("a")); !errs.Is(err, errs.LogDown) {
-		t.Errorf("unreachable peer: %v", err)
+		t.Errorf("write through an unreachable peer: error %v, want errs.LogDown", err)
 	}
 }
 
@@ -125,12 +126,12 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode != c.want {
-			t.Errorf("%s %s %q: %d, want %d", c.method, c.path, c.body, resp.StatusCode, c.want)
+			t.Errorf("%s %s with body %q: status %d, want %d", c.method, c.path, c.body, resp.StatusCode, c.want)
 		}
 	}
 	// An empty request can be decoded but contains no store call.
 	s := newPeerStore(strings.TrimPrefix(server.URL, "http://"))
 	if _, err := s.call(t.Context(), request{}, time.Second, false); !errs.Is(err, errs.BadFrame) {
-		t.Errorf("empty request: %v", err)
+		t.Errorf("request without a store call: error %v, want errs.BadFrame", err)
 	}
 }
