--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -1,5 +1,5 @@
-// Package quotas keeps the quotas of workspaces under one lock. The request path, the reports of peers and
-// the configuration share them.
+// Package quotas limits how many requests of each workspace the gateways admit together. A gateway uses it to
+// admit or reject each request, and exchanges reports of its admissions with its peers, the other gateways.
 package quotas
 
 import (
@@ -12,24 +12,26 @@
 	"arbutusramp/core/workspace"
 )
 
-// Quotas is a quota.Ledger with a lock. It is safe for concurrent use.
+// Quotas holds the quotas of all workspaces and the admissions of all gateways. It puts a lock around a
+// quota.Ledger and counts decisions. It is safe for concurrent use.
 type Quotas struct {
 	startID  string // identifies this start of the process
 	admitted metrics.Counter
 	rejected metrics.Counter
-	refunded metrics.Counter
+	refunded metrics.Counter // admitted requests whose charge was returned
 
 	mu     sync.Mutex
 	ledger *quota.Ledger
-	// reportsMade is the number of reports that Report has returned.
+	// reportsMade is how often Report was called.
 	reportsMade int
 }
 
-// maxFirstReports is how many reports of a start count as its first ones: a peer that receives one of them
-// has missed only few admissions.
+// maxFirstReports is how many reports after a start of the process are marked as first ones. A peer that
+// receives a first report concludes that it has missed only few admissions of this process.
 const maxFirstReports = 20
 
-// New returns quotas without workspaces. startID identifies the start of the process.
+// New returns quotas without workspaces. startID identifies this start of the process in its reports. The
+// metrics of the quotas are registered in reg.
 func New(startID string, o quota.Options, reg metrics.Registry) *Quotas {
 	q := &Quotas{
 		startID: startID, ledger: quota.New(time.Now(), o),
@@ -41,56 +43,59 @@
 	return q
 }
 
-// SetWorkspaces puts the quotas of a configuration in force.
-func (q *Quotas) SetWorkspaces(list []workspace.Workspace) {
+// SetWorkspaces replaces the quotas with those of the given workspaces.
+func (q *Quotas) SetWorkspaces(workspaces []workspace.Workspace) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.SetQuotas(time.Now(), list)
+	q.ledger.SetQuotas(time.Now(), workspaces)
 }
 
-// Admit decides whether a request of a workspace is admitted, and charges its quota if so.
-func (q *Quotas) Admit(name string) quota.Decision {
+// Admit decides whether a request of a workspace is admitted. If so, it charges the quota of the workspace with
+// one request.
+func (q *Quotas) Admit(workspaceName string) quota.Decision {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	d := q.ledger.Admit(time.Now(), name)
-	if d.IsAdmitted {
+	decision := q.ledger.Admit(time.Now(), workspaceName)
+	if decision.IsAdmitted {
 		q.admitted.Inc(1)
 	} else {
 		q.rejected.Inc(1)
 	}
-	return d
+	return decision
 }
 
-// Refund returns the charge of a request that no target has run.
-func (q *Quotas) Refund(name string) {
+// Refund gives a workspace the charge of one admitted request back. It is called for a request that no target
+// has run.
+func (q *Quotas) Refund(workspaceName string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.Refund(time.Now(), name)
+	q.ledger.Refund(time.Now(), workspaceName)
 	q.refunded.Inc(1)
 }
 
-// AddPeer adds a peer, by address, that has not reported yet.
+// AddPeer adds the peer at addr, which may not have sent a report yet.
 func (q *Quotas) AddPeer(addr string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.AddPeer(time.Now(), quota.Peer(addr))
 }
 
-// Forget removes a peer that is known to have stopped.
+// Forget removes the peer at addr, which is known to have stopped. Its share of the quotas goes to the other
+// gateways.
 func (q *Quotas) Forget(addr string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.Forget(time.Now(), quota.Peer(addr))
 }
 
-// Apply applies the report of the peer at addr.
+// Apply charges the quotas with the admissions in a report from the peer at addr.
 func (q *Quotas) Apply(addr string, r quota.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.Apply(time.Now(), quota.Peer(addr), r)
 }
 
-// Report returns the next report of this gateway to its peers.
+// Report returns the next report for the peers, with the admissions of this gateway that have changed recently.
 func (q *Quotas) Report() quota.Report {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -98,16 +103,17 @@
 	return quota.Report{Start: q.startID, IsFirst: q.reportsMade <= maxFirstReports, Counts: q.ledger.Counts()}
 }
 
-// Share returns the fraction of the quotas that this gateway may use, from 0 to 1.
+// Share returns the fraction of each quota that this gateway may use, from 0 to 1. It is below 1 while peers
+// that may admit requests send no reports.
 func (q *Quotas) Share() float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.ledger.Share(time.Now())
 }
 
-// Usage returns the state of the quota of a workspace; ok is false if it has no limit.
-func (q *Quotas) Usage(name string) (u quota.Usage, ok bool) {
+// Usage returns the limit of a workspace and how much of it is used; ok is false if the workspace has no limit.
+func (q *Quotas) Usage(workspaceName string) (usage quota.Usage, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.ledger.Usage(time.Now(), name)
+	return q.ledger.Usage(time.Now(), workspaceName)
 }
