--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -1,6 +1,7 @@
-// Package keyring holds the keys and certificates that are in force in a running process, and replaces all
-// of them at once without a restart. Open connections stay open: a key is checked when a session opens, a
-// call arrives or a TLS handshake starts.
+// Package keyring holds the keys of peers and operators and the TLS certificates that a running process uses.
+// The process replaces all of them at once, without a restart, when an operator has changed the settings. Open
+// connections stay open: a key is checked only when a session opens or a call arrives, and a certificate is
+// used when a TLS handshake starts.
 package keyring
 
 import (
@@ -16,23 +17,25 @@
 	"arbutusramp/internal/settings"
 )
 
-// Values are the keys and certificates from the settings.
+// Values are the keys and certificates as the settings of a process specify them.
 type Values struct {
-	// PeerKeys are the keys between processes of this system; the first is used for new sessions.
+	// PeerKeys are the keys by which the processes of this system authenticate each other; the first is used
+	// for new sessions.
 	PeerKeys []settings.PeerKey
-	// RetiredPeerKeys are the IDs of peer keys that are no longer valid.
+	// RetiredPeerKeys are the IDs of peer keys that were valid once and no longer are.
 	RetiredPeerKeys []string
-	// Operators maps the name of an operator to the SHA-256 sum of the operator's key (hex).
+	// Operators maps the name of an operator to the SHA-256 sum, in hex, of the operator's valid key.
 	Operators map[string]string
-	// RevokedOperators maps the name of an operator to the SHA-256 sum of a key that is no longer valid
-	// (hex).
+	// RevokedOperators maps the name of an operator to the SHA-256 sum, in hex, of a key of the operator that
+	// was valid once and no longer is.
 	RevokedOperators map[string]string
-	// Callers and Admin are the certificates of the two listeners; nil means plain HTTP.
+	// Callers and Admin are the certificates of the listener for callers and of the administration listener;
+	// nil means plain HTTP.
 	Callers, Admin *tls.Certificate
 }
 
-// EntryValues returns the values of an entry from its settings, and reads the certificate files. Error:
-// errs.BadSettings, which lists every fault on a line of its own.
+// EntryValues returns the values that the settings of an entry process specify. It reads the certificate files.
+// Error: errs.BadSettings, whose text names each certificate that cannot be read on a line of its own.
 func EntryValues(s settings.Entry) (Values, error) {
 	callers, callersErr := readCertificate(s.CallerCert, s.CallerKey)
 	admin, adminErr := readCertificate(s.AdminCert, s.AdminKey)
@@ -47,24 +50,25 @@
 	return v, joinErrors(callersErr, adminErr)
 }
 
-// SideValues returns the values of a side from its settings.
+// SideValues returns the values that the settings of a side process specify: it has only peer keys.
 func SideValues(s settings.Side) Values {
 	return Values{PeerKeys: s.PeerKeys, RetiredPeerKeys: s.RetiredPeerKeys}
 }
 
-// Keyring holds the values that are in force. It is safe for concurrent use.
+// Keyring holds the keys and certificates in force. It is safe for concurrent use.
 type Keyring struct {
 	mu      sync.Mutex // serializes Replace
 	current atomic.Pointer[snapshot]
 }
 
-// snapshot is the immutable state of a Keyring.
+// snapshot holds the values in force and the keys that are no longer valid. It is immutable once stored.
 type snapshot struct {
 	Values
-	// retired holds the IDs of peer keys that are no longer valid, by the settings or by an earlier
-	// Replace.
+	// retired holds the IDs of peer keys that are no longer valid: those that the settings list, and those
+	// that Replace has removed since the start of the process.
 	retired map[string]struct{}
-	// revoked maps the sums of operators' keys that are no longer valid to the names of the operators.
+	// revoked maps the SHA-256 sum, in hex, of each operator's key that is no longer valid to the name of the
+	// operator.
 	revoked map[string]string
 }
 
@@ -75,8 +79,8 @@
 	return k
 }
 
-// newSnapshot returns a snapshot of v that keeps the keys of the previous one as retired or revoked, so
-// that the error for an old key differs from that for an unknown key.
+// newSnapshot returns a snapshot of v. Keys of the previous snapshot that are not in v become retired or
+// revoked, so that the error for an old key differs from the error for an unknown key.
 func newSnapshot(v Values, previous *snapshot) *snapshot {
 	s := &snapshot{Values: v, retired: maps.Clone(previous.retired), revoked: maps.Clone(previous.revoked)}
 	if s.retired == nil {
@@ -92,8 +96,8 @@
 	for _, key := range v.PeerKeys {
 		delete(s.retired, key.ID)
 	}
-	for _, m := range []map[string]string{previous.Operators, v.RevokedOperators} {
-		for name, sum := range m {
+	for _, keySums := range []map[string]string{previous.Operators, v.RevokedOperators} {
+		for name, sum := range keySums {
 			s.revoked[sum] = name
 		}
 	}
@@ -103,8 +107,8 @@
 	return s
 }
 
-// Replace puts v in force and returns a description of each change. Error: errs.BadSettings, which lists
-// every fault on a line of its own; nothing has changed in that case.
+// Replace puts v in force and returns a text without secrets for each change. Error: errs.BadSettings, whose
+// text describes each fault of v on a line of its own; in that case no value is replaced.
 func (k *Keyring) Replace(v Values) ([]string, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -116,16 +120,17 @@
 	return describeChanges(&previous.Values, &v), nil
 }
 
-// checkReplacement returns an error for values that cannot be put in force in a running process.
+// checkReplacement returns an error of type errs.BadSettings if v cannot replace the values in force without a
+// restart or without disconnecting peers; nil if it can.
 func checkReplacement(previous *snapshot, v Values) error {
 	var problems []error
 	if len(v.PeerKeys) == 0 {
-		problems = append(problems, errs.New(errs.BadSettings, "[peer_keys]: no key is left, and no peer could connect; allowed: at least one"))
+		problems = append(problems, errs.New(errs.BadSettings, "[peer_keys]: no key is left, so no peer could connect; allowed: at least one key"))
 	}
 	for _, key := range v.PeerKeys {
 		i := slices.IndexFunc(previous.PeerKeys, func(old settings.PeerKey) bool { return old.ID == key.ID })
-		// With one ID for two secrets, no overlap is possible: until all processes have the new secret,
-		// those with and those without it reject each other.
+		// Processes with different secrets under one ID reject each other. With a new ID for the new secret,
+		// both keys can be valid until all processes have the new one.
 		if i >= 0 && string(previous.PeerKeys[i].Secret) != string(key.Secret) {
 			problems = append(problems, errs.Newf(errs.BadSettings, "[peer_keys] %s: another secret than before; allowed: a new ID for a new secret", key.ID))
 		}
@@ -139,39 +144,39 @@
 	return joinErrors(problems...)
 }
 
-// describeChanges returns a description of each difference, without any secret.
+// describeChanges returns a text for each difference between two sets of values. The texts contain no secrets.
 func describeChanges(previous, next *Values) []string {
-	var list []string
+	var changes []string
 	oldIDs, newIDs := peerIDs(previous.PeerKeys), peerIDs(next.PeerKeys)
 	if !slices.Equal(oldIDs, newIDs) {
-		list = append(list, fmt.Sprintf("peer keys %s in place of %s", strings.Join(newIDs, ","), strings.Join(oldIDs, ",")))
+		changes = append(changes, fmt.Sprintf("peer keys %s in place of %s", strings.Join(newIDs, ","), strings.Join(oldIDs, ",")))
 	}
 	if !slices.Equal(previous.RetiredPeerKeys, next.RetiredPeerKeys) {
-		list = append(list, "retired peer keys")
+		changes = append(changes, "retired peer keys")
 	}
 	for _, name := range slices.Sorted(maps.Keys(next.Operators)) {
 		if previous.Operators[name] != next.Operators[name] {
-			list = append(list, "key of operator "+name)
+			changes = append(changes, "key of operator "+name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(previous.Operators)) {
 		if _, ok := next.Operators[name]; !ok {
-			list = append(list, "operator "+name+" removed")
+			changes = append(changes, "operator "+name+" removed")
 		}
 	}
 	if !maps.Equal(previous.RevokedOperators, next.RevokedOperators) {
-		list = append(list, "revoked operators")
+		changes = append(changes, "revoked operators")
 	}
 	if !equalCertificates(previous.Callers, next.Callers) {
-		list = append(list, "certificate of the callers' listener")
+		changes = append(changes, "certificate of the callers' listener")
 	}
 	if !equalCertificates(previous.Admin, next.Admin) {
-		list = append(list, "certificate of the administration listener")
+		changes = append(changes, "certificate of the administration listener")
 	}
-	return list
+	return changes
 }
 
-// peerIDs returns the IDs of keys, in order.
+// peerIDs returns the IDs of peer keys, in the order of the keys.
 func peerIDs(keys []settings.PeerKey) []string {
 	ids := make([]string, len(keys))
 	for i, key := range keys {
@@ -180,10 +185,11 @@
 	return ids
 }
 
-// joinErrors joins errors of type errs.BadSettings into one, one line each; nil if there are none.
-func joinErrors(list ...error) error {
+// joinErrors returns one error of type errs.BadSettings with the detail of each error on a line of its own; nil
+// if all errors are nil.
+func joinErrors(problems ...error) error {
 	var lines []string
-	for _, err := range list {
+	for _, err := range problems {
 		if err != nil {
 			lines = append(lines, errs.As(err).Detail)
 		}
--- a/internal/keyring/operators.go
+++ b/internal/keyring/operators.go
@@ -8,8 +8,8 @@
 	"arbutusramp/core/errs"
 )
 
-// Operator returns the name of the operator who holds key. Error: errs.Unauthenticated, which says whether
-// the key is an old one or unknown.
+// Operator returns the name of the operator whose valid key is key. Error: errs.Unauthenticated, whose text says
+// whether the key was valid once or is unknown.
 func (k *Keyring) Operator(key string) (string, error) {
 	current := k.current.Load()
 	sum := sha256.Sum256([]byte(key))
@@ -26,8 +26,8 @@
 	return "", errs.New(errs.Unauthenticated, "the operator's key is not known")
 }
 
-// equalSums reports whether two sums are equal, in constant time. hexSum is in hex; one that cannot be
-// decoded equals none.
+// equalSums reports whether hexSum is the hex form of sum. It compares in constant time. A hexSum that is not
+// valid hex equals no sum.
 func equalSums(hexSum string, sum []byte) bool {
 	raw, err := hex.DecodeString(hexSum)
 	return err == nil && subtle.ConstantTimeCompare(raw, sum) == 1
