--- a/core/events/events.go
+++ b/core/events/events.go
@@ -1,4 +1,5 @@
-// Package events reads server-sent events, the format of streamed answers.
+// Package events reads server-sent events, the format in which targets stream answers. It keeps the raw bytes of
+// each event, so that a process can forward them unchanged.
 package events
 
 import (
@@ -9,29 +10,30 @@
 	"github.com/pkg/errors"
 )
 
-// maxEventBytes bounds the raw size of one event.
+// maxEventBytes bounds the size of one event, including line ends.
 const maxEventBytes = 1 << 20
 
-// Event is one event of a stream.
+// Event is one server-sent event.
 type Event struct {
 	Raw  []byte // all bytes of the event, including the blank line that ends it
-	ID   string // empty if the event has none
+	ID   string // value of the id line; empty if the event has none
 	Data []byte // the values of the data lines, joined by line feeds
 }
 
-// Reader reads the events of a stream. It is not safe for concurrent use.
-type Reader struct{ r *bufio.Reader }
+// Reader reads events one by one from a stream. It is not safe for concurrent use.
+type Reader struct{ buffered *bufio.Reader }
 
-// NewReader returns a reader of the events in r.
+// NewReader returns a Reader that reads its stream from r.
 func NewReader(r io.Reader) *Reader { return &Reader{bufio.NewReader(r)} }
 
-// Next returns the next event. Errors: io.EOF if the stream ends between two events, io.ErrUnexpectedEOF if
-// it ends inside an event, an error for an event that is too large, else the error of the stream.
+// Next returns the next event. Errors: io.EOF if the stream ends between two events; io.ErrUnexpectedEOF if it
+// ends inside an event; an untyped error if the event exceeds maxEventBytes; any other error of the stream as it
+// is.
 func (r *Reader) Next() (Event, error) {
 	var e Event
 	hasData := false
 	for {
-		line, err := r.r.ReadSlice('\n')
+		line, err := r.buffered.ReadSlice('\n')
 		if err != nil && err != bufio.ErrBufferFull {
 			return Event{}, endError(err, len(e.Raw)+len(line))
 		}
@@ -40,7 +42,7 @@
 			return Event{}, errors.Errorf("event exceeds %d bytes", maxEventBytes)
 		}
 		if err == bufio.ErrBufferFull {
-			rest, err := r.r.ReadBytes('\n')
+			rest, err := r.buffered.ReadBytes('\n')
 			if err != nil {
 				return Event{}, endError(err, len(e.Raw)+len(rest))
 			}
@@ -55,8 +57,8 @@
 	}
 }
 
-// endError returns io.ErrUnexpectedEOF for an end inside an event, of which bytesRead bytes have been read,
-// else err.
+// endError returns the error of Next when reading the stream has failed with err after bytesRead bytes of an
+// event: io.ErrUnexpectedEOF for an end inside the event, else err.
 func endError(err error, bytesRead int) error {
 	if err == io.EOF && bytesRead > 0 {
 		return io.ErrUnexpectedEOF
@@ -64,8 +66,8 @@
 	return err
 }
 
-// addLine adds one line of the event. hasData says whether an earlier line carried data; addLine returns
-// whether any line has by now.
+// addLine adds the ID or data in a line to the event; other lines are ignored. hasData says whether the event
+// has a data line already, and the result whether it has one now.
 func (e *Event) addLine(line []byte, hasData bool) bool {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
