--- a/core/sleep/sleep.go
+++ b/core/sleep/sleep.go
@@ -1,4 +1,5 @@
-// Package sleep waits for a duration or until a context ends.
+// Package sleep provides waits that end early with a context, and timers that are safe in synctest bubbles under
+// the race detector.
 package sleep
 
 import (
@@ -6,12 +7,13 @@
 	"time"
 )
 
-// For waits for d. It reports whether ctx is still active, and returns early if ctx ends.
+// For waits for d and returns true, or returns false as soon as ctx ends. If d is zero or negative, it returns
+// at once, and reports whether ctx has not ended.
 func For(ctx context.Context, d time.Duration) bool { return Or(ctx, d, nil) }
 
-// Or waits as For does, and also returns early, with true, when interrupt receives a value or is closed. A
-// nil interrupt never ends the wait.
-func Or(ctx context.Context, d time.Duration, interrupt <-chan struct{}) bool {
+// Or waits like For, and also returns true as soon as a value arrives on signal or signal is closed. A nil
+// signal never ends the wait.
+func Or(ctx context.Context, d time.Duration, signal <-chan struct{}) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -20,7 +22,7 @@
 	select {
 	case <-t.C:
 		return true
-	case <-interrupt:
+	case <-signal:
 		return true
 	case <-ctx.Done():
 		return false
--- a/core/sleep/timer_test.go
+++ b/core/sleep/timer_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// A value must be pending on C although nothing received from C when the timer fired.
 func TestTimerFiresWithoutReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timer := NewTimer(time.Second)
@@ -14,11 +15,12 @@
 		select {
 		case <-timer.C:
 		default:
-			t.Fatal("the timer has not fired")
+			t.Fatal("no value on C 1 min after setting a timer of 1 s")
 		}
 	})
 }
 
+// Reset must discard the pending value of the previous wait.
 func TestResetDiscardsPreviousFiring(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timer := NewTimer(time.Second)
@@ -28,7 +30,7 @@
 		timer.Reset(time.Hour)
 		<-timer.C
 		if waited := time.Since(start); waited != time.Hour {
-			t.Fatalf("fired after %v", waited)
+			t.Fatalf("a value arrived %v after Reset, want 1h", waited)
 		}
 	})
 }
@@ -39,17 +41,17 @@
 		timer.Stop()
 		select {
 		case <-timer.C:
-			t.Fatal("the timer has fired")
+			t.Fatal("a stopped timer has fired")
 		case <-time.After(time.Minute):
 		}
 	})
 }
 
-// Guards against a test process that dies of a segmentation fault inside the race detector. Several loops
-// in one bubble set timers that are due at once, or are busy while their timers expire, and the clock of
-// the bubble starts functions at the same moment. Such timers fire on the thread of the loop, with the same
-// detector context as the clock. With time.NewTicker in place of NewTimer this test died in 4 of 4 runs
-// under the race detector, and with time.AfterFunc in place of AfterFunc as well.
+// Guards against a test process that crashes with a segmentation fault inside the race detector; AfterFunc
+// describes the fault. Several loops in one bubble set timers that are due at once, or are busy while their
+// timers expire, and the clock of the bubble calls functions at the same moment. With time.NewTicker in place of
+// NewTimer this test crashed in 4 of 4 runs under the race detector, and likewise with time.AfterFunc in place
+// of AfterFunc.
 func TestTimersOfBusyLoopsDoNotCrashRaceDetector(t *testing.T) {
 	const (
 		loops     = 16
@@ -64,8 +66,8 @@
 				timer := NewTimer(busyTime / 2)
 				defer timer.Stop()
 				for For(ctx, busyTime) {
-					now := AfterFunc(0, func() {})
-					now.Stop()
+					immediate := AfterFunc(0, func() {})
+					immediate.Stop()
 					select {
 					case <-timer.C:
 						timer.Reset(busyTime / 2)
