--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -95,7 +95,8 @@
 	return r, true
 }
 
-// Prospect returns the expected wait and hold time of an online request of a service that arrives now.
+// Prospect returns how long an online request of a service that arrives now can expect to wait for a slot and to
+// hold it, and how many such requests per second this gateway may start.
 func (v *View) Prospect(service string) fleet.Prospect {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/storepath/paths.go
+++ b/internal/storepath/paths.go
@@ -15,9 +15,9 @@
 
 const (
 	// hedgeDelay is how long a direct call may take before a second copy of it is sent through a peer. A slow
-	// store takes up to 300 ms. If the store does not answer, the copy must renew a member's lease of 1.5 s
-	// in time. Reads are not hedged: a page of 1 MB takes nearly as long as hedgeDelay on a link of 30 Mbit/s,
-	// and a second copy of the page slows down both.
+	// store takes up to 300 ms. If the store does not answer a Join, the copy of it must renew the lease of
+	// 1.5 s in time. Reads are not hedged: a page of 1 MB takes nearly as long as hedgeDelay on a link of
+	// 30 Mbit/s, and a second copy of the page slows down both.
 	hedgeDelay = 400 * time.Millisecond
 	// maxUnansweredCalls is how many direct calls in a row must remain unanswered until the direct path
 	// counts as lost. When the store discards its history, it breaks off all reads that wait for new records.
@@ -38,7 +38,7 @@
 // Peers finds other gateways that can relay calls to the store.
 type Peers interface {
 	// PeersWithStore returns the relay addresses (IP:port) of peers that reach the store directly, as far
-	// as this process knows.
+	// as this process knows. The caller may reorder the slice.
 	PeersWithStore() []string
 }
 
@@ -62,7 +62,7 @@
 	nextProbeAt     time.Time                 // when the lost direct path may be probed next
 	directLost      chan struct{}             // closed when the direct path is lost, replaced when it is restored
 	peerStores      map[string]platform.Store // clients of relays, by address
-	lastPeer        string                    // address of the peer that answered the last call through a peer; empty if it gave no answer
+	lastPeer        string                    // address of the peer that answered the last relayed call; empty if none did
 }
 
 // New returns a Paths whose direct path is direct. It counts the calls through peers in reg.
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -177,7 +177,7 @@
 		d.update(func(d *fakeDirectory) { d.isDown = true })
 		time.Sleep(2 * time.Second)
 		if w.Ready() {
-			t.Error("Ready is true without a configuration and targets")
+			t.Error("the process reports that it is ready without a configuration and targets")
 		}
 		d.update(func(d *fakeDirectory) {
 			d.isDown = false
@@ -194,7 +194,7 @@
 		})
 		time.Sleep(time.Second)
 		if !w.Ready() {
-			t.Error("Ready is false with a configuration and targets")
+			t.Error("the process reports that it is not ready with a configuration and targets")
 		}
 	})
 }
@@ -376,7 +376,7 @@
 		}
 		publish(platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{newStart("a", 1), newStart("b", 1)}})
 		var mu sync.Mutex
-		endCalls := make(map[string]int) // calls of the WhenEnded function, by target id
+		endCalls := make(map[string]int) // calls of the function for the end of the target, by target id
 		for range 2 {
 			r, ok := v.StartOnline("s", nil)
 			if !ok {
@@ -395,7 +395,7 @@
 		}
 		mu.Lock()
 		if endCalls["a/1"] != 1 || endCalls["b/1"] != 0 {
-			t.Errorf("calls of the WhenEnded functions by target: %v, want 1 for a/1 and none for b/1", endCalls)
+			t.Errorf("calls of the functions for the end of a target, by target: %v, want 1 for a/1 and none for b/1", endCalls)
 		}
 		mu.Unlock()
 		if _, ok := v.Report().Loads["a/2"]; ok {
