--- a/core/fleet/batch.go
+++ b/core/fleet/batch.go
@@ -64,7 +64,7 @@
 // staggered starts are disabled.
 func (f *Fleet) gatewaysAhead() int {
 	ahead := 0
-	if !f.opts.Off.Allows(policy.Turns) {
+	if !f.opts.Off.IsEnabled(policy.StaggeredStarts) {
 		return ahead
 	}
 	for name, p := range f.peers {
@@ -86,7 +86,7 @@
 			preempted[id] = ts.ownLoad.Batch
 			continue
 		}
-		if !f.opts.Off.Allows(policy.GiveWay) {
+		if !f.opts.Off.IsEnabled(policy.Preemption) {
 			continue
 		}
 		excess := f.opts.KeepSpare - ts.freeSlots()
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -40,7 +40,7 @@
 	// PeerTTL is how long the last report of a peer counts if no other report or sign of life of it follows.
 	PeerTTL time.Duration
 	// Off is the set of disabled mechanisms.
-	Off policy.Off
+	Off policy.Disabled
 }
 
 // Fleet is one gateway's view of the targets and of the other gateways. It is not safe for concurrent use.
@@ -202,7 +202,7 @@
 // ApplyReport applies a peer's report, which replaces the previous one.
 func (f *Fleet) ApplyReport(now time.Time, from Peer, r Report) {
 	f.expirePeers(now)
-	if !f.opts.Off.Allows(policy.PeerLoads) {
+	if !f.opts.Off.IsEnabled(policy.PeerLoads) {
 		r.Loads = nil
 	}
 	old := f.peers[from]
--- a/core/fleet/health.go
+++ b/core/fleet/health.go
@@ -115,7 +115,7 @@
 // needs a failed request of its own to detect the failure.
 func (f *Fleet) applyPeerSuspicion(now time.Time, id string) {
 	ts, ok := f.targets[id]
-	if !f.opts.Off.Allows(policy.PeerWord) || !ok {
+	if !f.opts.Off.IsEnabled(policy.PeerSuspicion) || !ok {
 		return
 	}
 	if ts.health.state(now) != healthy || now.Sub(ts.health.lastReceived) < minSilenceForPeerReport {
@@ -174,7 +174,7 @@
 	if ts.health.lastReceived.After(lastActivity) {
 		lastActivity = ts.health.lastReceived
 	}
-	if !f.opts.Off.Allows(policy.Silence) {
+	if !f.opts.Off.IsEnabled(policy.SilenceDetection) {
 		return false
 	}
 	limit := f.IdleLimit(ts.Service)
--- a/core/fleet/pick.go
+++ b/core/fleet/pick.go
@@ -29,7 +29,7 @@
 		if ts.Service != service || ts.Draining || slices.Contains(tried, ts.ID) || !isUsable(ts) {
 			continue
 		}
-		list = append(list, candidate{target: ts, load: ts.totalLoad(), isSameDomain: ts.Domain == f.opts.Domain && f.opts.Off.Allows(policy.OwnDomain)})
+		list = append(list, candidate{target: ts, load: ts.totalLoad(), isSameDomain: ts.Domain == f.opts.Domain && f.opts.Off.IsEnabled(policy.OwnDomain)})
 	}
 	return list
 }
--- a/core/fleet/timing.go
+++ b/core/fleet/timing.go
@@ -60,7 +60,7 @@
 // longer than necessary.
 func (f *Fleet) IdleLimit(service string) time.Duration {
 	timing := f.timings[service]
-	if timing.firstEvent == 0 || timing.eventGap == 0 || !f.opts.Off.Allows(policy.LearnedSilence) {
+	if timing.firstEvent == 0 || timing.eventGap == 0 || !f.opts.Off.IsEnabled(policy.AdaptiveSilenceLimit) {
 		return defaultSilenceLimit
 	}
 	return min(maxSilenceLimit, max(minSilenceLimit, silenceGapFactor*timing.eventGap, silenceFirstEventFactor*timing.firstEvent))
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -10,83 +10,83 @@
 	"arbutusramp/core/errs"
 )
 
-// Name identifies a mechanism in the settings.
-type Name string
+// Mechanism identifies a mechanism in the settings.
+type Mechanism string
 
 // The mechanisms. Each comment says what the mechanism does and, after "off", what happens while it is
 // disabled.
 const (
-	// ComeBack rejects the first attempt of a request that would miss its latency goal, with a time to retry
+	// RetryLater rejects the first attempt of a request that would miss its latency goal, with a time to retry
 	// after; off, the request is sent to a target.
-	ComeBack Name = "come-back"
-	// Hold queues the second attempt of a request that would miss its latency goal at the gateway until a
+	RetryLater Mechanism = "come-back"
+	// QueueRetries queues the second attempt of a request that would miss its latency goal at the gateway until a
 	// target has capacity; off, the request is sent to a target.
-	Hold Name = "hold"
-	// GiveWay preempts batch items whose slots at a target online requests need; off, online requests wait
+	QueueRetries Mechanism = "hold"
+	// Preemption preempts batch items whose slots at a target online requests need; off, online requests wait
 	// until the items have finished.
-	GiveWay Name = "give-way"
-	// Turns makes gateways start batch items one after the other in a free slot of a target; off, several
+	Preemption Mechanism = "give-way"
+	// StaggeredStarts makes gateways start batch items one after the other in a free slot of a target; off, several
 	// gateways may start one in the same slot.
-	Turns Name = "turns"
-	// InTimeFirst starts batch items that can meet their due time before those that cannot; off, they are
+	StaggeredStarts Mechanism = "turns"
+	// FeasibleFirst starts batch items that can meet their due time before those that cannot; off, they are
 	// started in the order of rank and due time.
-	InTimeFirst Name = "in-time-first"
+	FeasibleFirst Mechanism = "in-time-first"
 	// OwnDomain prefers targets in the gateway's own failure domain; off, the domain of a target has no
 	// influence.
-	OwnDomain Name = "own-domain"
+	OwnDomain Mechanism = "own-domain"
 	// PeerLoads counts the requests that other gateways report to have at a target; off, each gateway counts
 	// only its own requests.
-	PeerLoads Name = "peer-loads"
-	// PeerWord suspects targets that other gateways report as suspect; off, each gateway suspects a target
+	PeerLoads Mechanism = "peer-loads"
+	// PeerSuspicion suspects targets that other gateways report as suspect; off, each gateway suspects a target
 	// only after a failure of its own request.
-	PeerWord Name = "peer-word"
-	// Silence suspects targets that send nothing for too long while requests wait for them; off, targets are
+	PeerSuspicion Mechanism = "peer-word"
+	// SilenceDetection suspects targets that send nothing for too long while requests wait for them; off, targets are
 	// suspected only after other failures, for instance of a connection.
-	Silence Name = "silence"
-	// LearnedSilence derives how long a target may send nothing from the times between events of its service;
+	SilenceDetection Mechanism = "silence"
+	// AdaptiveSilenceLimit derives how long a target may send nothing from the times between events of its service;
 	// off, the same limit applies to all services.
-	LearnedSilence Name = "learned-silence"
+	AdaptiveSilenceLimit Mechanism = "learned-silence"
 	// Checkpoints stores the progress of running batch items regularly; off, a gateway stores it only when a
 	// run fails or when it hands its items over to another gateway.
-	Checkpoints Name = "checkpoints"
-	// StorePeers sends requests to the platform's store through other gateways while a gateway cannot reach
+	Checkpoints Mechanism = "checkpoints"
+	// StoreThroughPeers sends requests to the platform's store through other gateways while a gateway cannot reach
 	// it; off, the gateway waits until it reaches the store itself.
-	StorePeers Name = "store-peers"
-	// Relays makes one gateway of each failure domain forward the load reports of others; off, each gateway
+	StoreThroughPeers Mechanism = "store-peers"
+	// ReportRelays makes one gateway of each failure domain forward the load reports of others; off, each gateway
 	// sends its reports to every other gateway.
-	Relays Name = "relays"
+	ReportRelays Mechanism = "relays"
 	// Quarantine rejects requests whose content has crashed targets; off, they are sent to further targets.
-	Quarantine Name = "quarantine"
+	Quarantine Mechanism = "quarantine"
 	// QuarantineScopes also quarantines the resource, job or route of requests that crash targets; off, only
 	// requests with identical content are quarantined.
-	QuarantineScopes Name = "quarantine-scopes"
+	QuarantineScopes Mechanism = "quarantine-scopes"
 )
 
 // All returns all mechanisms, in the order of their constants.
-func All() []Name {
-	return []Name{
-		ComeBack, Hold, GiveWay, Turns, InTimeFirst, OwnDomain, PeerLoads, PeerWord, Silence, LearnedSilence,
-		Checkpoints, StorePeers, Relays, Quarantine, QuarantineScopes,
+func All() []Mechanism {
+	return []Mechanism{
+		RetryLater, QueueRetries, Preemption, StaggeredStarts, FeasibleFirst, OwnDomain, PeerLoads, PeerSuspicion, SilenceDetection, AdaptiveSilenceLimit,
+		Checkpoints, StoreThroughPeers, ReportRelays, Quarantine, QuarantineScopes,
 	}
 }
 
-// Off is the set of disabled mechanisms. In the zero value all are enabled.
-type Off map[Name]bool
+// Disabled is the set of disabled mechanisms. In the zero value all are enabled.
+type Disabled map[Mechanism]bool
 
 // Parse returns the set of the mechanisms with the given names. Error: errs.BadSettings for an unknown name.
-func Parse(names []string) (Off, error) {
-	disabled := make(Off, len(names))
+func Parse(names []string) (Disabled, error) {
+	disabled := make(Disabled, len(names))
 	for _, name := range names {
-		if !slices.Contains(All(), Name(name)) {
-			return nil, errs.Newf(errs.BadSettings, "%q is not a mechanism; the mechanisms are %s", name, Names())
+		if !slices.Contains(All(), Mechanism(name)) {
+			return nil, errs.Newf(errs.BadSettings, "%q is not a mechanism; the mechanisms are %s", name, JoinedNames())
 		}
-		disabled[Name(name)] = true
+		disabled[Mechanism(name)] = true
 	}
 	return disabled, nil
 }
 
-// Names returns the names of all mechanisms, separated by commas.
-func Names() string {
+// JoinedNames returns the names of all mechanisms, separated by commas.
+func JoinedNames() string {
 	var names []string
 	for _, m := range All() {
 		names = append(names, string(m))
@@ -94,5 +94,5 @@
 	return strings.Join(names, ", ")
 }
 
-// Allows reports whether a mechanism is enabled: it is not in the set.
-func (d Off) Allows(m Name) bool { return !d[m] }
+// IsEnabled reports whether a mechanism is enabled: it is not in the set.
+func (d Disabled) IsEnabled(m Mechanism) bool { return !d[m] }
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -113,7 +113,7 @@
 // is not safe for concurrent use.
 type Controller struct {
 	// Off is the set of disabled mechanisms.
-	Off policy.Off
+	Off policy.Disabled
 
 	queue       []*QueuedRequest // in order of arrival
 	dequeueGap  time.Duration    // moving average of the time between two dequeued requests; 0 if unknown
@@ -126,9 +126,9 @@
 	switch {
 	case r.Goal == 0 || r.Wait <= r.maxWait():
 		return Decision{Verdict: Send}
-	case r.isFirstAttempt() && c.Off.Allows(policy.ComeBack):
+	case r.isFirstAttempt() && c.Off.IsEnabled(policy.RetryLater):
 		return Decision{Verdict: RetryLater, After: r.retryAfter()}
-	case r.isFirstAttempt() || !c.Off.Allows(policy.Hold):
+	case r.isFirstAttempt() || !c.Off.IsEnabled(policy.QueueRetries):
 		return Decision{Verdict: Send}
 	case len(c.queue) >= c.maxQueued(now, r):
 		return Decision{Verdict: Reject}
--- a/internal/backlog/manager.go
+++ b/internal/backlog/manager.go
@@ -66,7 +66,7 @@
 	// Keep is the minimum time for which a job stays readable after its submission.
 	Keep time.Duration
 	// Off holds the mechanisms that are switched off.
-	Off policy.Off
+	Off policy.Disabled
 	// Quarantine decides before each run of an item whether it may be sent.
 	Quarantine Quarantine
 	// Rank returns how many other processes precede this one as members of the group; isKnown is false while
--- a/internal/backlog/scheduler.go
+++ b/internal/backlog/scheduler.go
@@ -95,7 +95,7 @@
 	records := sc.tombstones
 	sc.tombstones = nil
 	for _, t := range sc.tasks {
-		if !sc.m.opts.Off.Allows(policy.Checkpoints) || !t.isCheckpointDue() {
+		if !sc.m.opts.Off.IsEnabled(policy.Checkpoints) || !t.isCheckpointDue() {
 			continue
 		}
 		saved := sc.m.progressRecords(t)
--- a/internal/command/lab_ablate.go
+++ b/internal/command/lab_ablate.go
@@ -44,7 +44,7 @@
 	if c.drawn > 0 {
 		shapes = fleet.DrawShapes(c.seed, c.drawn)
 	}
-	rows, err := fleet.Ablate(shapes, fleet.Simulated(), c.seeds, runtime.GOMAXPROCS(0)/2+1, func(shape string, off policy.Name) {
+	rows, err := fleet.Ablate(shapes, fleet.Simulated(), c.seeds, runtime.GOMAXPROCS(0)/2+1, func(shape string, off policy.Mechanism) {
 		fmt.Fprintf(os.Stderr, "%s, off: %s\n", shape, off)
 	})
 	if err != nil {
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -29,12 +29,12 @@
 
 // controllers holds the controller of each service. It is safe for concurrent use.
 type controllers struct {
-	off       policy.Off
+	off       policy.Disabled
 	mu        sync.Mutex
 	byService map[string]*controller
 }
 
-func newControllers(off policy.Off) *controllers {
+func newControllers(off policy.Disabled) *controllers {
 	return &controllers{off: off, byService: make(map[string]*controller)}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -99,7 +99,7 @@
 	// Quarantine is checked when a request arrives and before each send.
 	Quarantine Quarantine
 
-	Off     policy.Off // policies that are disabled
+	Off     policy.Disabled // policies that are disabled
 	Log     hclog.Logger
 	Metrics metrics.Registry
 }
--- a/internal/lab/fleet/ablate.go
+++ b/internal/lab/fleet/ablate.go
@@ -20,9 +20,9 @@
 }
 
 // Simulated returns the mechanisms that make a difference in the model: it has no failures, no store and no domains.
-func Simulated() []policy.Name {
-	return []policy.Name{
-		policy.ComeBack, policy.Hold, policy.GiveWay, policy.Turns, policy.InTimeFirst, policy.PeerLoads,
+func Simulated() []policy.Mechanism {
+	return []policy.Mechanism{
+		policy.RetryLater, policy.QueueRetries, policy.Preemption, policy.StaggeredStarts, policy.FeasibleFirst, policy.PeerLoads,
 	}
 }
 
@@ -75,12 +75,12 @@
 
 // Ablation is what became of one shape with a mechanism switched off, or with all on.
 type Ablation struct {
-	Shape   string      `json:"shape"`
-	Off     policy.Name `json:"off"` // empty: all are on
-	Streams Spread      `json:"streams_in_time"`
-	Items   Spread      `json:"items_in_time"`
-	Refused Spread      `json:"streams_refused"`
-	Cut     Spread      `json:"runs_cut"`
+	Shape   string           `json:"shape"`
+	Off     policy.Mechanism `json:"off"` // empty: all are on
+	Streams Spread           `json:"streams_in_time"`
+	Items   Spread           `json:"items_in_time"`
+	Refused Spread           `json:"streams_refused"`
+	Cut     Spread           `json:"runs_cut"`
 }
 
 // Spread is the mean of several seeds with the standard deviation.
@@ -99,10 +99,10 @@
 
 // Ablate plays each shape with all mechanisms on, and with each of them switched off. progress is called before each play.
 // Errors: errs.BadSettings, that of progress.
-func Ablate(shapes []Shape, off []policy.Name, seeds int, workers int, progress func(shape string, off policy.Name)) ([]Ablation, error) {
+func Ablate(shapes []Shape, off []policy.Mechanism, seeds int, workers int, progress func(shape string, off policy.Mechanism)) ([]Ablation, error) {
 	rows := make([]Ablation, 0, len(shapes)*(len(off)+1))
 	for _, s := range shapes {
-		for _, n := range append([]policy.Name{""}, off...) {
+		for _, n := range append([]policy.Mechanism{""}, off...) {
 			rows = append(rows, Ablation{Shape: s.Name, Off: n})
 		}
 	}
@@ -122,7 +122,7 @@
 func (a *Ablation) play(o Options, seeds int) error {
 	p := Policy{Name: string(a.Off)}
 	if a.Off != "" {
-		p.Off = policy.Off{a.Off: true}
+		p.Off = policy.Disabled{a.Off: true}
 	}
 	var streams, items, refused, cut []float64
 	for range seeds {
--- a/internal/lab/fleet/ablate_test.go
+++ b/internal/lab/fleet/ablate_test.go
@@ -8,23 +8,23 @@
 	"arbutusramp/core/policy"
 )
 
-func quiet(string, policy.Name) {}
+func quiet(string, policy.Mechanism) {}
 
 // What the mechanisms are for must show where they are for it: in overloads of very different fleets.
 func TestMechanismsAreWorthSomething(t *testing.T) {
 	shapes := Shapes()[1:2]
-	rows, err := Ablate(shapes, []policy.Name{policy.GiveWay, policy.PeerLoads, policy.Turns}, 1, 2, quiet)
+	rows, err := Ablate(shapes, []policy.Mechanism{policy.Preemption, policy.PeerLoads, policy.StaggeredStarts}, 1, 2, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	on := rows[0]
 	for _, r := range rows[1:] {
 		switch r.Off {
-		case policy.GiveWay, policy.PeerLoads:
+		case policy.Preemption, policy.PeerLoads:
 			if r.Streams.Mean > on.Streams.Mean-0.03 {
 				t.Errorf("%s: %.3f of the streams in time without it, %.3f with it", r.Off, r.Streams.Mean, on.Streams.Mean)
 			}
-		case policy.Turns:
+		case policy.StaggeredStarts:
 			if r.Cut.Mean < 1.2*on.Cut.Mean {
 				t.Errorf("%s: %.0f runs cut without it, %.0f with it", r.Off, r.Cut.Mean, on.Cut.Mean)
 			}
@@ -36,7 +36,7 @@
 func TestDrawnFleetsAreServed(t *testing.T) {
 	const harm = 0.03
 	shapes := DrawShapes(7, 4)
-	off := []policy.Name{policy.ComeBack, policy.Hold}
+	off := []policy.Mechanism{policy.RetryLater, policy.QueueRetries}
 	rows, err := Ablate(shapes, off, 1, 4, quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 	for i := range texts {
 		shapes := DrawShapes(3, 1)
 		shapes[0].Options.Seconds = 5
-		rows, err := Ablate(shapes, []policy.Name{policy.Turns}, 2, 2, quiet)
+		rows, err := Ablate(shapes, []policy.Mechanism{policy.StaggeredStarts}, 2, 2, quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/fleet/gateway.go
+++ b/internal/lab/fleet/gateway.go
@@ -176,7 +176,7 @@
 // key is an item's place in the order of starts.
 func (g *gateway) key(it *item) int64 {
 	due := it.due.UnixMilli()
-	if !g.sim.policy.Off.Allows(policy.InTimeFirst) {
+	if !g.sim.policy.Off.IsEnabled(policy.FeasibleFirst) {
 		return due
 	}
 	left := g.sim.options.Prompt + time.Duration(it.left)*g.sim.options.Event
--- a/internal/lab/fleet/options.go
+++ b/internal/lab/fleet/options.go
@@ -13,17 +13,17 @@
 	// Spare slots stay free at each engine after an item has started there.
 	Spare int
 	// Off are the product's mechanisms that are switched off.
-	Off policy.Off
+	Off policy.Disabled
 }
 
 // Policies returns those that are compared: the product's and what was tried before it.
 func Policies() []Policy {
-	admitAll := policy.Off{policy.ComeBack: true, policy.Hold: true, policy.InTimeFirst: true}
+	admitAll := policy.Disabled{policy.RetryLater: true, policy.QueueRetries: true, policy.FeasibleFirst: true}
 	return []Policy{
 		{Name: "two spare slots", Spare: 2, Off: admitAll},
-		{Name: "no turns", Off: policy.Off{policy.ComeBack: true, policy.Hold: true, policy.InTimeFirst: true, policy.Turns: true}},
+		{Name: "no turns", Off: policy.Disabled{policy.RetryLater: true, policy.QueueRetries: true, policy.FeasibleFirst: true, policy.StaggeredStarts: true}},
 		{Name: "all admitted", Off: admitAll},
-		{Name: "due first", Off: policy.Off{policy.InTimeFirst: true}},
+		{Name: "due first", Off: policy.Disabled{policy.FeasibleFirst: true}},
 		{Name: "product"},
 	}
 }
--- a/internal/lab/fleet/sim_test.go
+++ b/internal/lab/fleet/sim_test.go
@@ -57,7 +57,7 @@
 		if got.InTime+got.Late+got.Refused != got.Streams {
 			t.Errorf("%s: %d of %d streams", p.Name, got.InTime+got.Late+got.Refused, got.Streams)
 		}
-		if !p.Off.Allows(policy.Hold) && got.Refused > 0 || 20*got.Refused > got.Streams {
+		if !p.Off.IsEnabled(policy.QueueRetries) && got.Refused > 0 || 20*got.Refused > got.Streams {
 			t.Errorf("%s: %d of %d streams were refused", p.Name, got.Refused, got.Streams)
 		}
 		for _, g := range r.gateways {
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -100,7 +100,7 @@
 	self      fleet.Peer
 	domain    digest // digest of the name of this process's failure domain
 	capacity  fanout.Capacity
-	hasRelays bool // policy.Relays is enabled: gateways forward reports of others; see selectReceivers
+	hasRelays bool // policy.ReportRelays is enabled: gateways forward reports of others; see selectReceivers
 	view      *fleetview.View
 	// hasLostStore reports whether this process has lost its own connection to the store.
 	hasLostStore func() bool
@@ -158,7 +158,7 @@
 	Domain string     // failure domain of this process
 	// Capacity is the processor time of this process.
 	Capacity fanout.Capacity
-	Off      policy.Off      // mechanisms that the settings disable; only policy.Relays matters here
+	Off      policy.Disabled // mechanisms that the settings disable; only policy.ReportRelays matters here
 	View     *fleetview.View // provides this process's loads and receives those of the peers
 	Quotas   Quotas
 	// Quarantine provides the records that are sent with the loads, and receives those of the peers.
@@ -180,7 +180,7 @@
 		return nil, errors.Wrap(err, "listen for datagrams of peers")
 	}
 	return &Share{
-		self: o.Self, domain: newDigest(o.Domain), capacity: o.Capacity, hasRelays: o.Off.Allows(policy.Relays), view: o.View, hasLostStore: o.Detours, quotas: o.Quotas, quarantine: o.Quarantine,
+		self: o.Self, domain: newDigest(o.Domain), capacity: o.Capacity, hasRelays: o.Off.IsEnabled(policy.ReportRelays), view: o.View, hasLostStore: o.Detours, quotas: o.Quotas, quarantine: o.Quarantine,
 		log: o.Log, routineLog: logging.NewRoutine(o.Log), conn: conn, hub: newHub(), peers: make(map[netip.AddrPort]*peer), byID: make(map[fanout.ID]*peer), unknownIDs: make(map[fanout.ID]struct{}), startTime: time.Now(),
 	}, nil
 }
--- a/internal/node/gateway_listen.go
+++ b/internal/node/gateway_listen.go
@@ -32,7 +32,7 @@
 		return err
 	}
 	var storePeers storepath.Peers = g.loadShare
-	if !g.settings.Off.Allows(policy.StorePeers) {
+	if !g.settings.Off.IsEnabled(policy.StoreThroughPeers) {
 		storePeers = storepath.NoPeers{}
 	}
 	g.storePaths = storepath.New(client, storePeers, g.log.Named("store"), g.reg)
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -72,7 +72,7 @@
 type Options struct {
 	Threshold int                   // crashes of targets after which a content is quarantined
 	Hold      time.Duration         // how long a content stays quarantined after its last crash or rejected request
-	Off       policy.Off            // policies that are disabled
+	Off       policy.Disabled       // policies that are disabled
 	Prober    platform.TargetProber // probes targets that have broken off requests
 	Fleet     Fleet
 	Log       hclog.Logger
@@ -120,7 +120,7 @@
 // New returns a Quarantine without records, and registers its metrics. Run loads the records from the store.
 func New(o Options) *Quarantine {
 	q := &Quarantine{
-		isOn: o.Off.Allows(policy.Quarantine), hasScopes: o.Off.Allows(policy.QuarantineScopes), prober: o.Prober, fleet: o.Fleet, log: o.Log, routineLog: logging.NewRoutine(o.Log),
+		isOn: o.Off.IsEnabled(policy.Quarantine), hasScopes: o.Off.IsEnabled(policy.QuarantineScopes), prober: o.Prober, fleet: o.Fleet, log: o.Log, routineLog: logging.NewRoutine(o.Log),
 		brokenOff:   metrics.GetOrRegisterCounter(brokenOffMetric, o.Metrics),
 		fellSilent:  metrics.GetOrRegisterCounter(fellSilentMetric, o.Metrics),
 		crashes:     metrics.GetOrRegisterCounter(crashesMetric, o.Metrics),
--- a/internal/settings/gateway_table.go
+++ b/internal/settings/gateway_table.go
@@ -22,11 +22,11 @@
 	CPUShare float64 // of each of Cores that the process may use, 0 to 1
 	Cores    int
 
-	StoreAddr string        // IP:port of the platform's store
-	Shards    int           // partitions of a topic of the store, which are the shards of the backlog
-	MinTTL    time.Duration // shortest lease that the store grants a member of a group
-	Keep      time.Duration // how long a job stays readable after it was handed in
-	Off       policy.Off    // mechanisms of deciding that are switched off
+	StoreAddr string          // IP:port of the platform's store
+	Shards    int             // partitions of a topic of the store, which are the shards of the backlog
+	MinTTL    time.Duration   // shortest lease that the store grants a member of a group
+	Keep      time.Duration   // how long a job stays readable after it was handed in
+	Off       policy.Disabled // mechanisms of deciding that are switched off
 	// RevokeWithin bounds how long after its revocation a key may still be used, 0 not at all.
 	RevokeWithin time.Duration
 	QuotaWindow  time.Duration // over which an excess of a quota is tolerated
@@ -109,7 +109,7 @@
 			field: duration(time.Second, 30*day, func(g *Gateway) *time.Duration { return &g.Keep }),
 			doc:   "how long a batch job stays readable after it was handed in, at the least; while it has unfinished items it stays longer"},
 		{section: "policies", key: "off", unit: "names", def: "",
-			field: policies(func(g *Gateway) *policy.Off { return &g.Off }),
+			field: policies(func(g *Gateway) *policy.Disabled { return &g.Off }),
 			doc:   "mechanisms of deciding that are switched off, to measure what they are worth; none in production"},
 		{section: "stop", key: "grace", unit: "duration", def: "8s",
 			field: duration(time.Second, time.Hour, func(g *Gateway) *time.Duration { return &g.Grace }),
@@ -146,10 +146,10 @@
 }
 
 // policies reads names of mechanisms separated by commas.
-func policies[T any](get func(*T) *policy.Off) field[T] {
+func policies[T any](get func(*T) *policy.Disabled) field[T] {
 	return field[T]{
 		value:   func(t *T) any { return *get(t) },
-		allowed: policy.Names(),
+		allowed: policy.JoinedNames(),
 		set: func(t *T, value string) error {
 			var names []string
 			for part := range strings.SplitSeq(value, ",") {
