--- a/core/fleet/batch.go
+++ b/core/fleet/batch.go
@@ -82,7 +82,7 @@
 	f.expirePeers(now)
 	preempted := make(map[string]int)
 	for id, ts := range f.ownBatchTargets {
-		if ts.Draining || ts.health.state(now) == suspect {
+		if ts.IsDraining || ts.health.state(now) == suspect {
 			preempted[id] = ts.ownLoad.Batch
 			continue
 		}
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -59,7 +59,7 @@
 		}, want: "t0"},
 		{name: "not a draining target", setup: func(f *Fleet) {
 			draining := target(0)
-			draining.Draining = true
+			draining.IsDraining = true
 			f.Put(draining)
 			begin(f, "t1", structs.ClassOnline, 1)
 		}, want: "t2"},
@@ -147,7 +147,7 @@
 		t.Errorf("preempted %v at targets that are neither draining nor suspect, want none", preempted)
 	}
 	draining := target(0)
-	draining.Draining = true
+	draining.IsDraining = true
 	f.Put(draining)
 	f.Failed(start, "t1")
 	preempted := f.Preempt(start)
--- a/core/fleet/health.go
+++ b/core/fleet/health.go
@@ -97,7 +97,7 @@
 // IsInService reports whether a target is listed and not draining.
 func (f *Fleet) IsInService(id string) bool {
 	ts, ok := f.targets[id]
-	return ok && !ts.Draining
+	return ok && !ts.IsDraining
 }
 
 // HeardSince reports whether a target has sent something to this gateway after t.
--- a/core/fleet/pick.go
+++ b/core/fleet/pick.go
@@ -26,7 +26,7 @@
 	f.expirePeers(now)
 	var list []candidate
 	for _, ts := range f.targets {
-		if ts.Service != service || ts.Draining || slices.Contains(tried, ts.ID) || !isUsable(ts) {
+		if ts.Service != service || ts.IsDraining || slices.Contains(tried, ts.ID) || !isUsable(ts) {
 			continue
 		}
 		list = append(list, candidate{target: ts, load: ts.totalLoad(), isSameDomain: ts.Domain == f.opts.Domain && f.opts.Off.IsEnabled(policy.OwnDomain)})
--- a/core/fleet/wait.go
+++ b/core/fleet/wait.go
@@ -44,7 +44,7 @@
 func (f *Fleet) totalSlots(now time.Time, service string) int {
 	sum := 0
 	for _, ts := range f.targets {
-		if ts.Service == service && !ts.Draining && ts.health.state(now) != suspect {
+		if ts.Service == service && !ts.IsDraining && ts.health.state(now) != suspect {
 			sum += ts.Slots
 		}
 	}
--- a/core/fleet/wait_test.go
+++ b/core/fleet/wait_test.go
@@ -68,7 +68,7 @@
 	f.ApplyReport(start, "peer", Report{})
 	f.Failed(start, "t0")
 	draining := target(1)
-	draining.Draining = true
+	draining.IsDraining = true
 	f.Put(draining)
 	if got, want := startRate(), testSlots/holdTime.Seconds()/2; got != want {
 		t.Errorf("with a peer and one remaining target the start rate is %v per second, want %v", got, want)
--- a/core/serving/config.go
+++ b/core/serving/config.go
@@ -32,9 +32,9 @@
 	return [...]string{"unsafe", "safe", "stream", "batch"}[k]
 }
 
-// Share is the weight of one of the services between which the requests of a route are divided. A service
+// ServiceWeight is the weight of one of the services between which the requests of a route are divided. A service
 // gets its weight divided by the sum of all weights.
-type Share struct {
+type ServiceWeight struct {
 	Service string
 	Weight  int
 }
@@ -44,33 +44,33 @@
 
 // Route describes how requests with one host name and path prefix are served.
 type Route struct {
-	Name    string
-	Host    string // host name in the request, without regard to port and case
-	Prefix  string // of the path; begins and ends with a slash
-	Kind    Kind
-	Timeout time.Duration // longest time that a request may take from its arrival
-	Goal    time.Duration // latency goal: an answer that takes longer is late; 0 for none
+	Name        string
+	Host        string // host name in the request, without regard to port and case
+	Prefix      string // of the path; begins and ends with a slash
+	Kind        Kind
+	Timeout     time.Duration // longest time that a request may take from its arrival
+	LatencyGoal time.Duration // latency goal: an answer that takes longer is late; 0 for none
 	// Rank is the urgency of the route's requests among those of the same kind; 0 is the most urgent.
 	Rank int
 	// Ranks are the different ranks that online requests to the route's services can have, most urgent first.
 	// NewRouter sets them.
 	Ranks []int
-	// Stay is how long a caller waits for the first event of a stream, or for the next one, before it gives
+	// EventTimeout is how long a caller waits for the first event of a stream, or for the next one, before it gives
 	// up; 0 if it waits until its deadline.
-	Stay     time.Duration
-	Attempts int // largest number of targets that one request may be sent to
-	// Resumable reports that a stream may continue at another target after the last event that was received.
-	Resumable bool
-	Shares    []Share       // services between which requests are divided
-	Due       time.Duration // from the acceptance of a job until its items should be done; for KindBatch
-	Retain    time.Duration // from the acceptance of a job until its unfinished items may be given up; for KindBatch
-	MaxQueued int64         // limit of the tokens of unfinished items of each workspace on the route; 0 for none
-	IsPublic  bool          // requests need no API key
+	EventTimeout time.Duration
+	MaxAttempts  int // largest number of targets that one request may be sent to
+	// IsResumable reports that a stream may continue at another target after the last event that was received.
+	IsResumable     bool
+	ServiceWeights  []ServiceWeight // services between which requests are divided
+	DueWithin       time.Duration   // from the acceptance of a job until its items should be done; for KindBatch
+	RetainFor       time.Duration   // from the acceptance of a job until its unfinished items may be given up; for KindBatch
+	MaxQueuedTokens int64           // limit of the tokens of unfinished items of each workspace on the route; 0 for none
+	IsPublic        bool            // requests need no API key
 }
 
-// Idempotent reports whether a request of the route may be sent again although it may already have run.
-func (r *Route) Idempotent() bool {
-	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
+// IsIdempotent reports whether a request of the route may be sent again although it may already have run.
+func (r *Route) IsIdempotent() bool {
+	return r.Kind == KindSafe || r.Kind == KindStream && r.IsResumable
 }
 
 // maxHigherRanks bounds the result of HigherRanks, because an operator may give each workspace a rank of its
@@ -86,24 +86,24 @@
 // Service picks one of the route's services by weight, and the same one for the same key. It is empty if the
 // route has none.
 func (r *Route) Service(key string) string {
-	if len(r.Shares) == 0 {
+	if len(r.ServiceWeights) == 0 {
 		return ""
 	}
 	total := 0
-	for _, s := range r.Shares {
+	for _, s := range r.ServiceWeights {
 		total += s.Weight
 	}
 	if total <= 0 {
-		return r.Shares[0].Service
+		return r.ServiceWeights[0].Service
 	}
 	n := int(hashKey(key) % uint64(total))
-	for _, s := range r.Shares {
+	for _, s := range r.ServiceWeights {
 		if n < s.Weight {
 			return s.Service
 		}
 		n -= s.Weight
 	}
-	return r.Shares[0].Service
+	return r.ServiceWeights[0].Service
 }
 
 // hashKey returns a hash of the key by which a service is picked.
@@ -160,7 +160,7 @@
 		if route.Kind == KindBatch {
 			continue
 		}
-		for _, s := range route.Shares {
+		for _, s := range route.ServiceWeights {
 			ranks := append(byService[s.Service], ranksOfWorkspaces...)
 			if !isEachRanked || route.IsPublic {
 				ranks = append(ranks, route.Rank)
@@ -171,7 +171,7 @@
 	}
 	for i := range c.Routes {
 		var ranks []int
-		for _, s := range c.Routes[i].Shares {
+		for _, s := range c.Routes[i].ServiceWeights {
 			ranks = append(ranks, byService[s.Service]...)
 		}
 		slices.Sort(ranks)
--- a/core/serving/ranks_test.go
+++ b/core/serving/ranks_test.go
@@ -18,7 +18,7 @@
 
 // routeTo returns a route with a single service.
 func routeTo(name, service string, kind Kind, rank int) Route {
-	return Route{Name: name, Kind: kind, Rank: rank, Shares: []Share{{Service: service, Weight: 1}}}
+	return Route{Name: name, Kind: kind, Rank: rank, ServiceWeights: []ServiceWeight{{Service: service, Weight: 1}}}
 }
 
 // The rank of a workspace takes precedence over that of a route, and the ranks of batch routes are left out.
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -74,8 +74,8 @@
 	cl := &cluster{
 		t: t, store: keyedlog.New(testShards), targets: newFakeTargets(), reportFailure: t.Errorf, keepFor: testKeepFor,
 		route: &serving.Route{
-			Name: "batch", Host: "h", Prefix: "/b/", Kind: serving.KindBatch, Attempts: 3,
-			Shares: []serving.Share{{Service: "llm", Weight: 1}}, Due: 18 * time.Second, Retain: time.Minute,
+			Name: "batch", Host: "h", Prefix: "/b/", Kind: serving.KindBatch, MaxAttempts: 3,
+			ServiceWeights: []serving.ServiceWeight{{Service: "llm", Weight: 1}}, DueWithin: 18 * time.Second, RetainFor: time.Minute,
 		},
 	}
 	cl.targets.replace = cl.replaceTarget
@@ -193,7 +193,7 @@
 // job returns a job with an item of each of the kinds, with which the item ids begin; see fakeTargets.
 func (cl *cluster) job(id string, kinds ...string) *backlog.Job {
 	j := &backlog.Job{ID: id, Route: cl.route.Name, Host: "h", Submitted: time.Now().UnixMilli(),
-		Due: cl.route.Due, Retain: cl.route.Retain, Attempts: cl.route.Attempts}
+		Due: cl.route.DueWithin, Retain: cl.route.RetainFor, Attempts: cl.route.MaxAttempts}
 	for i, kind := range kinds {
 		j.Items = append(j.Items, backlog.Item{ID: fmt.Sprintf("%s-%s-%d", kind, id, i), URI: "/b/1", Body: []byte(id), Tokens: 100})
 	}
--- a/internal/backlog/manager_test.go
+++ b/internal/backlog/manager_test.go
@@ -65,7 +65,7 @@
 func TestRouteLimitHoldsAcrossProcesses(t *testing.T) {
 	withCluster(t, 3, func(t *testing.T, cl *cluster) {
 		route := *cl.route
-		route.MaxQueued = 1000
+		route.MaxQueuedTokens = 1000
 		accepted := make(chan int64, 30)
 		for i := range 30 {
 			go func() {
--- a/internal/backlog/quarantine_test.go
+++ b/internal/backlog/quarantine_test.go
@@ -20,7 +20,7 @@
 		j := cl.job("j", "crash", "ok")
 		j.Items[0].Body = []byte("another content")
 		n.submit(j)
-		time.Sleep(cl.route.Retain)
+		time.Sleep(cl.route.RetainFor)
 		if runs := cl.targets.runCount(j.Items[0].ID); runs < 3 || runs > 6 {
 			t.Errorf("the item under which targets crash was run %d times, want 3 to 6", runs)
 		}
@@ -58,11 +58,11 @@
 		time.Sleep(500 * time.Millisecond)
 		j := w.job("j", "mute")
 		n.submit(j)
-		time.Sleep(w.route.Retain)
+		time.Sleep(w.route.RetainFor)
 		if lost := w.targets.crashCount(); lost < 3 || lost > 6 {
 			t.Errorf("%d targets lost, want 3 to 6", lost)
 		}
-		w.checkResults(others, n.results(others, w.route.Retain))
+		w.checkResults(others, n.results(others, w.route.RetainFor))
 	})
 }
 
--- a/internal/backlog/submit.go
+++ b/internal/backlog/submit.go
@@ -56,7 +56,7 @@
 	s := &submission{m: m, route: route, job: job, records: records}
 	err = s.run(ctx)
 	m.log.Log(logLevel(err), "job", "request", job.ID, "workspace", job.Workspace, "route", route.Name, "items", len(job.Items), "tokens", job.Tokens(),
-		"queued", s.queuedTokens, "limit", route.MaxQueued, "end", s.expectedEnd, "tries", s.tries, "outcome", logOutcome(err))
+		"queued", s.queuedTokens, "limit", route.MaxQueuedTokens, "end", s.expectedEnd, "tries", s.tries, "outcome", logOutcome(err))
 	m.countOutcome("job.submit", err)
 	m.logItems(job)
 	return err
@@ -188,14 +188,14 @@
 			return false, nil
 		}
 	}
-	return true, errs.Newf(errs.RateLimited, "the workspace has %d queued tokens on the route, where its limit is %d; the job would exceed the limit", s.queuedTokens, s.route.MaxQueued).WithRetry(limitRetryDelay)
+	return true, errs.Newf(errs.RateLimited, "the workspace has %d queued tokens on the route, where its limit is %d; the job would exceed the limit", s.queuedTokens, s.route.MaxQueuedTokens).WithRetry(limitRetryDelay)
 }
 
 // fitsLimit updates queuedTokens from the state and reports whether these and the job's tokens are within the
 // route's limit.
 func (s *submission) fitsLimit(st *backlog.State) bool {
 	s.queuedTokens = st.Queued(s.job.Workspace, s.route.Name)
-	return s.route.MaxQueued == 0 || s.queuedTokens+s.job.Tokens() <= s.route.MaxQueued
+	return s.route.MaxQueuedTokens == 0 || s.queuedTokens+s.job.Tokens() <= s.route.MaxQueuedTokens
 }
 
 // handleAppendResult evaluates the error of an append. Its results are those of tryAppend.
--- a/internal/backlog/workspace_test.go
+++ b/internal/backlog/workspace_test.go
@@ -56,7 +56,7 @@
 // The token limit of a route must hold for each workspace separately, across all processes.
 func TestTokenLimitsPerWorkspace(t *testing.T) {
 	withCluster(t, 2, func(t *testing.T, cl *cluster) {
-		cl.route.MaxQueued = 500
+		cl.route.MaxQueuedTokens = 500
 		submit := func(n *node, workspace, id string, items int) error {
 			j := cl.job(id, repeat("slow", items)...)
 			j.Workspace = workspace
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -81,8 +81,8 @@
 func (ex *exchange) newShedRequest(initialTimeout time.Duration) shed.Request {
 	prospect := ex.gw.view.Prospect(ex.service)
 	return shed.Request{
-		Wait: prospect.Wait, Hold: prospect.Hold, Pace: prospect.Pace, Goal: ex.route.Goal,
-		Remaining: ex.callerTimeLeft(), InitialTimeout: initialTimeout, IdleTimeout: ex.route.Stay, HigherRanks: ex.higherRanks(),
+		Wait: prospect.Wait, Hold: prospect.Hold, Pace: prospect.Pace, Goal: ex.route.LatencyGoal,
+		Remaining: ex.callerTimeLeft(), InitialTimeout: initialTimeout, IdleTimeout: ex.route.EventTimeout, HigherRanks: ex.higherRanks(),
 	}
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -69,13 +69,13 @@
 	a.resumedAfter = a.lastEventID
 	a.stages.noteSent(sentAt)
 	a.logSent(sentAt)
-	canRetryElsewhere := a.route.Idempotent() && a.possibleRuns < a.route.Attempts
+	canRetryElsewhere := a.route.IsIdempotent() && a.possibleRuns < a.route.MaxAttempts
 	stop := a.watchIdle(ctx, sentAt, canRetryElsewhere)
 	defer stop()
 	a.run.WhenEnded(a.cancel)
 	ans, err := a.gw.targets.Send(ctx, platform.TargetCall{
 		Target: a.run.Target, Request: a.req, TimeLeft: a.deadline.Sub(sentAt),
-		ResumeAfter: a.resumedAfter, Once: !a.route.Idempotent(),
+		ResumeAfter: a.resumedAfter, Once: !a.route.IsIdempotent(),
 	})
 	if err != nil {
 		return a.sendError(ctx, err)
@@ -125,7 +125,7 @@
 func (a *attempt) isOverdue() bool {
 	answerTimeout := max(minStreamAnswerTimeout, 2*a.run.IdleLimit())
 	if a.route.Kind == serving.KindSafe {
-		answerTimeout = max(minCallAnswerTimeout, a.route.Goal*3/2)
+		answerTimeout = max(minCallAnswerTimeout, a.route.LatencyGoal*3/2)
 	}
 	return time.Since(a.req.Arrived)-time.Duration(a.lastActivity.Load()) > answerTimeout+a.run.QueueWait()
 }
@@ -302,7 +302,7 @@
 // canRetryStatus reports whether the request is retried after an answer with a 5xx status. The caller gets the
 // answer of the last attempt unchanged.
 func (a *attempt) canRetryStatus() bool {
-	return a.route.Kind == serving.KindSafe && a.possibleRuns < a.route.Attempts
+	return a.route.Kind == serving.KindSafe && a.possibleRuns < a.route.MaxAttempts
 }
 
 // write sends p to the caller. It blocks until the caller has taken it, and measures whether the caller is slow.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -201,7 +201,7 @@
 	if e.Ran == errs.RanNo {
 		return true
 	}
-	return ex.route.Idempotent() && ex.possibleRuns < ex.route.Attempts
+	return ex.route.IsIdempotent() && ex.possibleRuns < ex.route.MaxAttempts
 }
 
 // tryNextTarget sends the request to one target and relays its answer.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -162,8 +162,8 @@
 
 // newRoute returns a route to the service "s", on which all targets of a harness are.
 func newRoute(kind serving.Kind, attempts int, isResumable bool) *serving.Route {
-	return &serving.Route{Name: "r", Kind: kind, Attempts: attempts, Resumable: isResumable, Timeout: 5 * time.Second,
-		Goal: 300 * time.Millisecond, Shares: []serving.Share{{Service: "s", Weight: 1}}}
+	return &serving.Route{Name: "r", Kind: kind, MaxAttempts: attempts, IsResumable: isResumable, Timeout: 5 * time.Second,
+		LatencyGoal: 300 * time.Millisecond, ServiceWeights: []serving.ServiceWeight{{Service: "s", Weight: 1}}}
 }
 
 // serve lets the gateway serve one request to r and returns when it has been answered.
--- a/internal/watch/targets.go
+++ b/internal/watch/targets.go
@@ -16,7 +16,7 @@
 // expired while the store was unreachable.
 type targetList struct {
 	targets map[string]serving.Target // by name
-	// lastStart holds, by name, serving.Target.Started of the last known start of a target, including targets
+	// lastStart holds, by name, serving.Target.StartedMs of the last known start of a target, including targets
 	// that were removed. A target that restarts keeps its name and gets a later start.
 	lastStart map[string]int64
 	// unusableReason holds, by name, the reason why the entry does not describe a valid target.
@@ -83,7 +83,7 @@
 // read may be answered from an earlier state of the store, and a target that has restarted no longer answers
 // as its previous start.
 func (l *targetList) applyEntry(t serving.Target, changes *targetChanges) {
-	if t.Started < l.lastStart[t.Name] {
+	if t.StartedMs < l.lastStart[t.Name] {
 		changes.olderStarts = append(changes.olderStarts, t)
 		return
 	}
@@ -98,7 +98,7 @@
 		changes.endedIDs = append(changes.endedIDs, old.ID)
 	}
 	l.targets[t.Name] = t
-	l.lastStart[t.Name] = t.Started
+	l.lastStart[t.Name] = t.StartedMs
 	changes.put = append(changes.put, t)
 }
 
@@ -125,7 +125,7 @@
 		return
 	}
 	until := l.storeBackAt.Add(entryGrace)
-	if !t.Draining && !l.storeBackAt.IsZero() && now.Before(until) {
+	if !t.IsDraining && !l.storeBackAt.IsZero() && now.Before(until) {
 		if _, isInGrace := l.graceUntil[name]; !isInGrace {
 			l.graceUntil[name] = until
 		}
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -276,7 +276,7 @@
 	w.view.Ended(changes.endedIDs)
 	w.observer.TargetsGone(changes.goneIDs)
 	for _, t := range changes.put {
-		w.targetLog.Info(time.Now(), "target", "target", t.ID, "addr", t.Addr, "service", t.Service, "slots", t.Slots, "domain", t.Domain, "draining", t.Draining)
+		w.targetLog.Info(time.Now(), "target", "target", t.ID, "addr", t.Addr, "service", t.Service, "slots", t.Slots, "domain", t.Domain, "draining", t.IsDraining)
 	}
 	for _, id := range changes.goneIDs {
 		w.log.Info("target gone", "target", id, "restarted", slices.Contains(changes.endedIDs, id))
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -334,13 +334,13 @@
 		})
 		time.Sleep(time.Second)
 		draining := newTarget("b")
-		draining.Draining = true
+		draining.IsDraining = true
 		d.update(func(d *fakeDirectory) {
 			d.targets = append(d.targets, platform.TargetNews{Known: 2, Present: []serving.Target{draining}, Gone: []string{"a"}})
 		})
 		time.Sleep(time.Second)
 		left := v.Targets()
-		if len(left) != 1 || !left[0].Draining {
+		if len(left) != 1 || !left[0].IsDraining {
 			t.Errorf("targets %v after a left and b started to drain, want only b, draining", left)
 		}
 		if _, ok := v.StartOnline("s", nil); ok {
@@ -352,7 +352,7 @@
 // newStart returns the target with this name as of its n-th start. Each start has an id of its own.
 func newStart(name string, n int64) serving.Target {
 	t := newTarget(name)
-	t.ID, t.Started = fmt.Sprintf("%s/%d", name, n), n
+	t.ID, t.StartedMs = fmt.Sprintf("%s/%d", name, n), n
 	return t
 }
 
