--- a/core/shed/fairness_test.go
+++ b/core/shed/fairness_test.go
@@ -79,7 +79,7 @@
 // request returns the input of the controller for a call.
 func (s *fairnessSim) request(c call) Request {
 	r := Request{
-		Wait: s.expectedWait(), Hold: holdTime, Pace: slotCount / holdTime.Seconds(), Goal: latencyGoal,
+		ExpectedWait: s.expectedWait(), HoldTime: holdTime, StartRate: slotCount / holdTime.Seconds(), LatencyGoal: latencyGoal,
 		Remaining: callerTimeout - s.now.Sub(c.firstAttempt), InitialTimeout: callerTimeout, IdleTimeout: 2 * time.Second,
 	}
 	if c.isNearLimit && s.isNearLimitLast {
@@ -106,7 +106,7 @@
 		if s.limiter != nil {
 			s.limiter.Refund(s.now, workspaceName(c.workspace))
 		}
-		c.attemptTime = s.now.Add(d.After)
+		c.attemptTime = s.now.Add(d.RetryAfter)
 		s.pendingRetries = append(s.pendingRetries, c)
 	}
 }
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -20,8 +20,8 @@
 	// maxWaitShare is the share of its goal that a request may wait for a slot. The rest is for prefilling
 	// the prompt, which takes 50 to 70 ms of a goal of 300 ms.
 	maxWaitShare = 0.75
-	// LeftShare limits the retry time: callers honour one of up to their remaining time divided by LeftShare.
-	LeftShare = 3
+	// MaxRetryDivisor limits the retry time: callers honour one of up to their remaining time divided by MaxRetryDivisor.
+	MaxRetryDivisor = 3
 	// minRetryHoldTimes is the shortest retry time, as a multiple of the time for which a request holds a
 	// slot. Earlier than that the targets are as full as before.
 	minRetryHoldTimes = 1.5
@@ -43,10 +43,10 @@
 
 // Request holds what the controller needs to decide on one request.
 type Request struct {
-	Wait           time.Duration // expected time until a slot is free for the request
-	Hold           time.Duration // how long requests hold a slot; 0 if unknown
-	Pace           float64       // requests per second that this gateway may start; 0 if unknown
-	Goal           time.Duration // latency goal: an answer that takes longer is late; 0 for none
+	ExpectedWait   time.Duration // expected time until a slot is free for the request
+	HoldTime       time.Duration // how long requests hold a slot; 0 if unknown
+	StartRate      float64       // requests per second that this gateway may start; 0 if unknown
+	LatencyGoal    time.Duration // latency goal: an answer that takes longer is late; 0 for none
 	Remaining      time.Duration // time until the caller gives up; 0 if unknown
 	InitialTimeout time.Duration // how long callers of the route wait on their first attempt; 0 if unknown
 	IdleTimeout    time.Duration // how long the caller waits without receiving an event; 0 for as long as Remaining
@@ -56,7 +56,7 @@
 // maxWait is how long the request may wait for a slot and still meet its goal. Less urgent requests may wait
 // less, which leaves the engines' queues to more urgent requests.
 func (r Request) maxWait() time.Duration {
-	return time.Duration(maxWaitShare * float64(r.Goal) / float64(1+r.HigherRanks))
+	return time.Duration(maxWaitShare * float64(r.LatencyGoal) / float64(1+r.HigherRanks))
 }
 
 // isFirstAttempt reports whether the caller has not sent the request before: on a second attempt less than
@@ -78,7 +78,7 @@
 // before engines have had time to free slots, and no later than callers honour. Callers that arrive one after
 // the other get retry times as far apart as their arrivals.
 func (r Request) retryAfter() time.Duration {
-	return min(r.Remaining/LeftShare, max(r.Wait, time.Duration(minRetryHoldTimes*float64(r.Hold))))
+	return min(r.Remaining/MaxRetryDivisor, max(r.ExpectedWait, time.Duration(minRetryHoldTimes*float64(r.HoldTime))))
 }
 
 // Verdict is the decision on a request.
@@ -100,9 +100,9 @@
 
 // Decision is the verdict on a request that has just arrived, with its details.
 type Decision struct {
-	Verdict Verdict
-	After   time.Duration  // how long the caller should wait before it retries; set with RetryLater
-	Queued  *QueuedRequest // the request's place in the queue; set with Queue
+	Verdict    Verdict
+	RetryAfter time.Duration  // how long the caller should wait before it retries; set with RetryLater
+	Queued     *QueuedRequest // the request's place in the queue; set with Queue
 }
 
 // QueuedRequest is a request that waits at the gateway for capacity. At expiresAt it is sent regardless of
@@ -112,8 +112,8 @@
 // Controller decides on the online requests of one service at one gateway. It does no I/O, uses no clock and
 // is not safe for concurrent use.
 type Controller struct {
-	// Off is the set of disabled mechanisms.
-	Off policy.Disabled
+	// Disabled is the set of disabled mechanisms.
+	Disabled policy.Disabled
 
 	queue       []*QueuedRequest // in order of arrival
 	dequeueGap  time.Duration    // moving average of the time between two dequeued requests; 0 if unknown
@@ -124,11 +124,11 @@
 // Dequeue is called for it.
 func (c *Controller) Arrive(now time.Time, r Request) Decision {
 	switch {
-	case r.Goal == 0 || r.Wait <= r.maxWait():
+	case r.LatencyGoal == 0 || r.ExpectedWait <= r.maxWait():
 		return Decision{Verdict: Send}
-	case r.isFirstAttempt() && c.Off.IsEnabled(policy.RetryLater):
-		return Decision{Verdict: RetryLater, After: r.retryAfter()}
-	case r.isFirstAttempt() || !c.Off.IsEnabled(policy.QueueRetries):
+	case r.isFirstAttempt() && c.Disabled.IsEnabled(policy.RetryLater):
+		return Decision{Verdict: RetryLater, RetryAfter: r.retryAfter()}
+	case r.isFirstAttempt() || !c.Disabled.IsEnabled(policy.QueueRetries):
 		return Decision{Verdict: Send}
 	case len(c.queue) >= c.maxQueued(now, r):
 		return Decision{Verdict: Reject}
@@ -144,7 +144,7 @@
 // maxQueued is how many requests may be queued: as many as are expected to be sent within the maximum queue
 // time of r, but at least one.
 func (c *Controller) maxQueued(now time.Time, r Request) int {
-	return max(1, int(c.dequeueRate(now, r.Pace)*r.maxQueueTime().Seconds()))
+	return max(1, int(c.dequeueRate(now, r.StartRate)*r.maxQueueTime().Seconds()))
 }
 
 // dequeueRate is how many queued requests per second are expected to be sent: the start rate until a request
@@ -169,7 +169,7 @@
 	if !c.IsFirst(q) {
 		return Queue
 	}
-	if float64(r.Wait) <= queuedWaitShare*float64(r.maxWait()) {
+	if float64(r.ExpectedWait) <= queuedWaitShare*float64(r.maxWait()) {
 		return Send
 	}
 	return Queue
--- a/core/shed/shed_test.go
+++ b/core/shed/shed_test.go
@@ -11,7 +11,7 @@
 
 // typicalRequest returns a first attempt at a service whose requests hold a slot for 800 ms.
 func typicalRequest() Request {
-	return Request{Hold: 800 * ms, Pace: 10, Goal: 300 * ms, Remaining: 5000 * ms, InitialTimeout: 5000 * ms, IdleTimeout: 2000 * ms}
+	return Request{HoldTime: 800 * ms, StartRate: 10, LatencyGoal: 300 * ms, Remaining: 5000 * ms, InitialTimeout: 5000 * ms, IdleTimeout: 2000 * ms}
 }
 
 func TestArrive(t *testing.T) {
@@ -22,23 +22,23 @@
 		wantRetryAfter time.Duration
 	}{
 		{"a free slot", func(*Request) {}, Send, 0},
-		{"a wait within the goal", func(r *Request) { r.Wait = 225 * ms }, Send, 0},
-		{"a wait just beyond the goal", func(r *Request) { r.Wait = 226 * ms }, RetryLater, 1200 * ms},
-		{"a wait allowed only to more urgent requests", func(r *Request) { r.Wait, r.HigherRanks = 120*ms, 1 }, RetryLater, 1200 * ms},
-		{"a long wait", func(r *Request) { r.Wait = 1500 * ms }, RetryLater, 1500 * ms},
-		{"a wait longer than the longest retry time callers honour", func(r *Request) { r.Wait = 1700 * ms }, RetryLater, 5000 * ms / 3},
-		{"no goal", func(r *Request) { r.Wait, r.Goal = time.Second, 0 }, Send, 0},
-		{"a second attempt", func(r *Request) { r.Wait, r.Remaining = time.Second, 4400*ms }, Queue, 0},
-		{"an unknown initial timeout", func(r *Request) { r.Wait, r.InitialTimeout = time.Second, 0 }, Queue, 0},
-		{"a caller without a timeout", func(r *Request) { r.Wait, r.Remaining = time.Second, 0 }, Queue, 0},
-		{"a caller with a short timeout", func(r *Request) { r.Wait, r.Remaining, r.InitialTimeout = time.Second, 1500*ms, 1500*ms }, RetryLater, 500 * ms},
+		{"a wait within the goal", func(r *Request) { r.ExpectedWait = 225 * ms }, Send, 0},
+		{"a wait just beyond the goal", func(r *Request) { r.ExpectedWait = 226 * ms }, RetryLater, 1200 * ms},
+		{"a wait allowed only to more urgent requests", func(r *Request) { r.ExpectedWait, r.HigherRanks = 120*ms, 1 }, RetryLater, 1200 * ms},
+		{"a long wait", func(r *Request) { r.ExpectedWait = 1500 * ms }, RetryLater, 1500 * ms},
+		{"a wait longer than the longest retry time callers honour", func(r *Request) { r.ExpectedWait = 1700 * ms }, RetryLater, 5000 * ms / 3},
+		{"no goal", func(r *Request) { r.ExpectedWait, r.LatencyGoal = time.Second, 0 }, Send, 0},
+		{"a second attempt", func(r *Request) { r.ExpectedWait, r.Remaining = time.Second, 4400*ms }, Queue, 0},
+		{"an unknown initial timeout", func(r *Request) { r.ExpectedWait, r.InitialTimeout = time.Second, 0 }, Queue, 0},
+		{"a caller without a timeout", func(r *Request) { r.ExpectedWait, r.Remaining = time.Second, 0 }, Queue, 0},
+		{"a caller with a short timeout", func(r *Request) { r.ExpectedWait, r.Remaining, r.InitialTimeout = time.Second, 1500*ms, 1500*ms }, RetryLater, 500 * ms},
 	}
 	for _, c := range cases {
 		r := typicalRequest()
 		c.change(&r)
 		got := new(Controller).Arrive(start, r)
-		if got.Verdict != c.want || got.After != c.wantRetryAfter {
-			t.Errorf("%s: verdict %v with a retry time of %v, want %v with %v", c.name, got.Verdict, got.After, c.want, c.wantRetryAfter)
+		if got.Verdict != c.want || got.RetryAfter != c.wantRetryAfter {
+			t.Errorf("%s: verdict %v with a retry time of %v, want %v with %v", c.name, got.Verdict, got.RetryAfter, c.want, c.wantRetryAfter)
 		}
 	}
 }
@@ -49,16 +49,16 @@
 func TestRetryTimesAreSpreadOut(t *testing.T) {
 	var c Controller
 	r := typicalRequest()
-	r.Wait = 400 * ms
+	r.ExpectedWait = 400 * ms
 	retriesPer100ms := make(map[time.Duration]int)
 	const callers = 200
 	for i := range callers {
 		now := start.Add(time.Duration(i) * 2 * ms)
 		got := c.Arrive(now, r)
-		if got.Verdict != RetryLater || got.After < 1200*ms || got.After > r.Remaining/LeftShare {
-			t.Fatalf("caller %d: verdict %v with a retry time of %v, want come back with at least 1.2s and at most 5s/3", i, got.Verdict, got.After)
+		if got.Verdict != RetryLater || got.RetryAfter < 1200*ms || got.RetryAfter > r.Remaining/MaxRetryDivisor {
+			t.Fatalf("caller %d: verdict %v with a retry time of %v, want come back with at least 1.2s and at most 5s/3", i, got.Verdict, got.RetryAfter)
 		}
-		retriesPer100ms[now.Add(got.After).Sub(start).Truncate(100*ms)]++
+		retriesPer100ms[now.Add(got.RetryAfter).Sub(start).Truncate(100*ms)]++
 	}
 	for retryTime, n := range retriesPer100ms {
 		if n > callers/4 {
@@ -73,17 +73,17 @@
 func TestQueuedRequestsYieldToFirstAttempts(t *testing.T) {
 	var c Controller
 	retry := typicalRequest()
-	retry.Wait, retry.Remaining = 300*ms, 3800*ms
+	retry.ExpectedWait, retry.Remaining = 300*ms, 3800*ms
 	first := c.Arrive(start, retry)
 	second := c.Arrive(start, retry)
 	if first.Verdict != Queue || second.Verdict != Queue {
 		t.Fatalf("verdicts %v and %v on two second attempts, want hold for both", first.Verdict, second.Verdict)
 	}
-	retry.Wait = 200 * ms // a first attempt would still be sent with this wait
+	retry.ExpectedWait = 200 * ms // a first attempt would still be sent with this wait
 	if v := c.Recheck(start.Add(10*ms), first.Queued, retry); v != Queue {
 		t.Errorf("verdict %v on the first queued request with an expected wait of 200 ms, want hold", v)
 	}
-	retry.Wait = 50 * ms
+	retry.ExpectedWait = 50 * ms
 	if v := c.Recheck(start.Add(20*ms), second.Queued, retry); v != Queue {
 		t.Errorf("verdict %v on the second queued request while the first is queued, want hold", v)
 	}
@@ -103,7 +103,7 @@
 func TestQueuedRequestsAreSentWithinMaxQueueTime(t *testing.T) {
 	var c Controller
 	retry := typicalRequest()
-	retry.Wait, retry.Remaining = 300*ms, 3800*ms
+	retry.ExpectedWait, retry.Remaining = 300*ms, 3800*ms
 	queuedSince := make(map[*QueuedRequest]time.Time)
 	sent, rejected := 0, 0
 	for i := range 500 { // five seconds with a caller every 20 ms, five times the start rate of this gateway
@@ -139,7 +139,7 @@
 func TestDequeueRemovesCancelledRequest(t *testing.T) {
 	var c Controller
 	retry := typicalRequest()
-	retry.Wait, retry.Remaining = 300*ms, 3800*ms
+	retry.ExpectedWait, retry.Remaining = 300*ms, 3800*ms
 	first := c.Arrive(start, retry)
 	second := c.Arrive(start, retry)
 	c.Dequeue(start.Add(ms), first.Queued, false)
--- a/core/shed/timeouts.go
+++ b/core/shed/timeouts.go
@@ -41,9 +41,9 @@
 	return &CallerTimeouts{routes: make(map[string]*routeTimeouts)}
 }
 
-// Note records the remaining time of a caller of a route; a time of 0 or less is not recorded. It returns how
+// Observe records the remaining time of a caller of a route; a time of 0 or less is not recorded. It returns how
 // long callers of that route wait for an answer to their first attempt; 0 while that is unknown.
-func (c *CallerTimeouts) Note(route string, remaining time.Duration) time.Duration {
+func (c *CallerTimeouts) Observe(route string, remaining time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r, ok := c.routes[route]
--- a/core/shed/timeouts_test.go
+++ b/core/shed/timeouts_test.go
@@ -12,17 +12,17 @@
 func TestCallerTimeoutRequiresMinSamples(t *testing.T) {
 	timeouts := NewCallerTimeouts()
 	for i := range minSamples - 1 {
-		if got := timeouts.Note("r", 4*time.Second); got != 0 {
+		if got := timeouts.Observe("r", 4*time.Second); got != 0 {
 			t.Fatalf("after %d callers the estimated timeout is %v, want 0", i+1, got)
 		}
 	}
 	for range minSamples {
-		timeouts.Note("r", 5*time.Second)
+		timeouts.Observe("r", 5*time.Second)
 	}
-	if got := timeouts.Note("r", time.Second); got != 5*time.Second {
+	if got := timeouts.Observe("r", time.Second); got != 5*time.Second {
 		t.Errorf("after a caller with 1s left the estimated timeout is %v, want 5s", got)
 	}
-	if got := timeouts.Note("other", 5*time.Second); got != 0 {
+	if got := timeouts.Observe("other", 5*time.Second); got != 0 {
 		t.Errorf("the estimated timeout for a route with a single request is %v, want 0", got)
 	}
 }
@@ -30,7 +30,7 @@
 func TestRouteCountIsBounded(t *testing.T) {
 	timeouts := NewCallerTimeouts()
 	for i := range 2*maxRoutes + 1 {
-		timeouts.Note(fmt.Sprint(i), time.Second)
+		timeouts.Observe(fmt.Sprint(i), time.Second)
 	}
 	if len(timeouts.routes) > maxRoutes {
 		t.Errorf("%d routes have samples, want at most 4096", len(timeouts.routes))
@@ -43,16 +43,16 @@
 func TestOneLongTimeoutIsIgnored(t *testing.T) {
 	timeouts := NewCallerTimeouts()
 	for range 3 * minSamples {
-		timeouts.Note("r", 5*time.Second)
+		timeouts.Observe("r", 5*time.Second)
 	}
-	timeouts.Note("r", time.Minute)
-	if got := timeouts.Note("r", 5*time.Second); got != 5*time.Second {
+	timeouts.Observe("r", time.Minute)
+	if got := timeouts.Observe("r", 5*time.Second); got != 5*time.Second {
 		t.Errorf("after one caller with a timeout of 1m the estimated timeout is %v, want 5s", got)
 	}
 	for range 2 * maxSamples {
-		timeouts.Note("r", 8*time.Second)
+		timeouts.Observe("r", 8*time.Second)
 	}
-	if got := timeouts.Note("r", 5*time.Second); got != 8*time.Second {
+	if got := timeouts.Observe("r", 5*time.Second); got != 8*time.Second {
 		t.Errorf("after the callers' timeout has grown to 8s the estimated timeout is %v, want 8s", got)
 	}
 }
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -47,7 +47,7 @@
 		if len(cs.byService) >= maxControllers {
 			clear(cs.byService)
 		}
-		c = &controller{Controller: shed.Controller{Off: cs.off}}
+		c = &controller{Controller: shed.Controller{Disabled: cs.off}}
 		cs.byService[service] = c
 	}
 	return c
@@ -57,7 +57,7 @@
 // if the request is rejected because of an overload, or the error of ctx if ctx ends first.
 func (ex *exchange) admit(ctx context.Context) error {
 	timeLeft := ex.callerTimeLeft()
-	initialTimeout := ex.gw.timeouts.Note(ex.route.Name, timeLeft)
+	initialTimeout := ex.gw.timeouts.Observe(ex.route.Name, timeLeft)
 	request := ex.newShedRequest(initialTimeout)
 	ctrl := ex.gw.controllers.get(ex.service)
 	ctrl.mu.Lock()
@@ -71,8 +71,8 @@
 		return ex.queue(ctx, ctrl, decision.Queued, initialTimeout)
 	}
 	err := errs.Newf(errs.Overloaded, "%s: a slot is expected to be free after %d ms, the route's goal for an answer is %d ms",
-		decision.Verdict, request.Wait.Milliseconds(), request.Goal.Milliseconds())
-	return err.WithRetry(decision.After)
+		decision.Verdict, request.ExpectedWait.Milliseconds(), request.LatencyGoal.Milliseconds())
+	return err.WithRetry(decision.RetryAfter)
 }
 
 // newShedRequest returns the input of an admission decision: the expected wait for a slot of the service, and
@@ -81,7 +81,7 @@
 func (ex *exchange) newShedRequest(initialTimeout time.Duration) shed.Request {
 	prospect := ex.gw.view.Prospect(ex.service)
 	return shed.Request{
-		Wait: prospect.Wait, Hold: prospect.Hold, Pace: prospect.Pace, Goal: ex.route.LatencyGoal,
+		ExpectedWait: prospect.Wait, HoldTime: prospect.Hold, StartRate: prospect.Pace, LatencyGoal: ex.route.LatencyGoal,
 		Remaining: ex.callerTimeLeft(), InitialTimeout: initialTimeout, IdleTimeout: ex.route.EventTimeout, HigherRanks: ex.higherRanks(),
 	}
 }
@@ -151,6 +151,6 @@
 	if verdict == shed.Send {
 		return
 	}
-	ex.gw.shedLog.Info(time.Now(), "overload", "request", ex.req.ID, "route", ex.route.Name, "verdict", verdict.String(), "wait_ms", request.Wait.Milliseconds(),
-		"hold_ms", request.Hold.Milliseconds(), "pace", request.Pace, "left_ms", request.Remaining.Milliseconds(), "full_ms", request.InitialTimeout.Milliseconds())
+	ex.gw.shedLog.Info(time.Now(), "overload", "request", ex.req.ID, "route", ex.route.Name, "verdict", verdict.String(), "wait_ms", request.ExpectedWait.Milliseconds(),
+		"hold_ms", request.HoldTime.Milliseconds(), "pace", request.StartRate, "left_ms", request.Remaining.Milliseconds(), "full_ms", request.InitialTimeout.Milliseconds())
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -266,7 +266,7 @@
 }
 
 // retryAfter returns the time after which the caller should retry: suggested, or defaultRetryAfter if suggested
-// is 0, but at most the time left until the caller's deadline divided by shed.LeftShare.
+// is 0, but at most the time left until the caller's deadline divided by shed.MaxRetryDivisor.
 func (ex *exchange) retryAfter(suggested time.Duration) time.Duration {
 	if suggested == 0 {
 		suggested = defaultRetryAfter
@@ -274,7 +274,7 @@
 	if ex.req.Deadline.IsZero() {
 		return suggested
 	}
-	return max(time.Millisecond, min(suggested, time.Until(ex.req.Deadline)/shed.LeftShare))
+	return max(time.Millisecond, min(suggested, time.Until(ex.req.Deadline)/shed.MaxRetryDivisor))
 }
 
 // record logs the outcome of the request and counts it in the metrics.
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -43,7 +43,7 @@
 				continue
 			}
 			rejected++
-			if caller.err.Type != errs.Overloaded || caller.err.Ran != errs.RanNo || caller.err.RetryAfterMs < 1000 || caller.err.RetryAfterMs > callerTimeout.Milliseconds()/shed.LeftShare {
+			if caller.err.Type != errs.Overloaded || caller.err.Ran != errs.RanNo || caller.err.RetryAfterMs < 1000 || caller.err.RetryAfterMs > callerTimeout.Milliseconds()/shed.MaxRetryDivisor {
 				t.Errorf("rejected with %+v, want type overloaded, not run, and RetryAfterMs from 1000 to the caller timeout / shed.LeftShare", caller.err)
 			}
 		}
--- a/internal/lab/fleet/gateway.go
+++ b/internal/lab/fleet/gateway.go
@@ -59,7 +59,7 @@
 		g.send(s)
 	case shed.RetryLater:
 		g.sim.report.SentAway++
-		g.sim.clock.after(d.After, func() { g.sim.anyGateway().serve(s) })
+		g.sim.clock.after(d.RetryAfter, func() { g.sim.anyGateway().serve(s) })
 	case shed.Queue:
 		g.enqueue(s, d.Queued)
 	case shed.Reject:
@@ -72,7 +72,7 @@
 	now, o := g.sim.clock.now, &g.sim.options
 	p := g.view.Prospect(now, service)
 	return shed.Request{
-		Wait: p.Wait, Hold: p.Hold, Pace: p.Pace, Goal: o.Goal, Remaining: o.Patience - now.Sub(s.came), InitialTimeout: o.Patience, IdleTimeout: o.Stay,
+		ExpectedWait: p.Wait, HoldTime: p.Hold, StartRate: p.Pace, LatencyGoal: o.Goal, Remaining: o.Patience - now.Sub(s.came), InitialTimeout: o.Patience, IdleTimeout: o.Stay,
 	}
 }
 
