--- a/core/fleet/batch.go
+++ b/core/fleet/batch.go
@@ -14,9 +14,9 @@
 // has received a report of what that gateway has started.
 const staggerInterval = 12 * time.Millisecond
 
-// PickBatch chooses the target for a batch item: one with free slots beyond Options.StartSpare, and none of
+// PickBatch chooses the target for a batch item: one with free slots beyond Options.MinFreeAfterStart, and none of
 // those in tried. ok is false if there is none. Gateways stagger their starts in the order of their
-// Demand.Due: the n-th gateway may take the n-th free slot of a target immediately, and an earlier slot only
+// Demand.StartKey: the n-th gateway may take the n-th free slot of a target immediately, and an earlier slot only
 // after it has stayed free for a multiple of staggerInterval. Otherwise all gateways would start an item in
 // the same slot, and all but one would preempt it again.
 func (f *Fleet) PickBatch(now time.Time, service string, tried []string) (c Choice, ok bool) {
@@ -52,7 +52,7 @@
 // canStart reports whether this gateway may start a batch item at a target now. ahead is the number of
 // gateways that start theirs before it.
 func (f *Fleet) canStart(now time.Time, c candidate, ahead int) bool {
-	batchSlots := c.freeSlots() - f.opts.StartSpare
+	batchSlots := c.freeSlots() - f.opts.MinFreeAfterStart
 	if batchSlots <= 0 {
 		return false
 	}
@@ -60,15 +60,15 @@
 	return gatewaysWithoutSlot <= 0 || now.Sub(c.target.freeSince) >= time.Duration(gatewaysWithoutSlot)*staggerInterval
 }
 
-// gatewaysAhead is how many gateways start batch items before this one, by their Demand.Due. It is 0 while
+// gatewaysAhead is how many gateways start batch items before this one, by their Demand.StartKey. It is 0 while
 // staggered starts are disabled.
 func (f *Fleet) gatewaysAhead() int {
 	ahead := 0
-	if !f.opts.Off.IsEnabled(policy.StaggeredStarts) {
+	if !f.opts.Disabled.IsEnabled(policy.StaggeredStarts) {
 		return ahead
 	}
 	for name, p := range f.peers {
-		if p.Demand.Items > 0 && cmp.Or(cmp.Compare(p.Demand.Due, f.demand.Due), cmp.Compare(name, f.opts.Self)) < 0 {
+		if p.Demand.Items > 0 && cmp.Or(cmp.Compare(p.Demand.StartKey, f.demand.StartKey), cmp.Compare(name, f.opts.Self)) < 0 {
 			ahead++
 		}
 	}
@@ -86,10 +86,10 @@
 			preempted[id] = ts.ownLoad.Batch
 			continue
 		}
-		if !f.opts.Off.IsEnabled(policy.Preemption) {
+		if !f.opts.Disabled.IsEnabled(policy.Preemption) {
 			continue
 		}
-		excess := f.opts.KeepSpare - ts.freeSlots()
+		excess := f.opts.MinFreeSlots - ts.freeSlots()
 		if n := f.ownPreemptions(ts, excess); n > 0 {
 			preempted[id] = n
 		}
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -33,14 +33,14 @@
 	Domain string
 	// Self is this gateway's name among its peers.
 	Self Peer
-	// StartSpare is how many slots must stay free at a target after a batch item has started there.
-	StartSpare int
-	// KeepSpare is how many slots of each target are kept free by preempting batch items.
-	KeepSpare int
+	// MinFreeAfterStart is how many slots must stay free at a target after a batch item has started there.
+	MinFreeAfterStart int
+	// MinFreeSlots is how many slots of each target are kept free by preempting batch items.
+	MinFreeSlots int
 	// PeerTTL is how long the last report of a peer counts if no other report or sign of life of it follows.
 	PeerTTL time.Duration
-	// Off is the set of disabled mechanisms.
-	Off policy.Disabled
+	// Disabled is the set of disabled mechanisms.
+	Disabled policy.Disabled
 }
 
 // Fleet is one gateway's view of the targets and of the other gateways. It is not safe for concurrent use.
@@ -54,8 +54,8 @@
 	// nextExpiry is a time before which no peer expires; zero until it is computed.
 	nextExpiry time.Time
 	demand     Demand
-	holdTimes  map[string]time.Duration // mean time for which online requests hold a slot, by service; see Held
-	timings    map[string]eventTiming   // mean times between events, by service; see IdleLimit
+	holdTimes  map[string]time.Duration // mean time for which online requests hold a slot, by service; see RecordHoldTime
+	timings    map[string]eventTiming   // mean times between events, by service; see SilenceLimit
 	// storeContact is when the platform's store last answered this gateway.
 	storeContact time.Time
 }
@@ -87,18 +87,18 @@
 // Demand describes the batch items that a gateway has ready to start.
 type Demand struct {
 	Items int // batch items that wait for a slot
-	// Due is the start key of the first of them; the gateway with the lowest one starts first. It is when the
+	// StartKey is the start key of the first of them; the gateway with the lowest one starts first. It is when the
 	// item is due, in milliseconds since 1970, plus a fixed time for each rank and for items that would be
 	// late.
-	Due int64
+	StartKey int64
 }
 
 // Report is the message in which a gateway describes its state to its peers.
 type Report struct {
 	Loads  map[string]Load // by target id
 	Demand Demand
-	// Contact is when the platform's store last answered the gateway.
-	Contact time.Time
+	// StoreContact is when the platform's store last answered the gateway.
+	StoreContact time.Time
 	// Suspects are the ids of the targets that are suspect because they have failed requests of the gateway.
 	Suspects []string
 }
@@ -202,7 +202,7 @@
 // ApplyReport applies a peer's report, which replaces the previous one.
 func (f *Fleet) ApplyReport(now time.Time, from Peer, r Report) {
 	f.expirePeers(now)
-	if !f.opts.Off.IsEnabled(policy.PeerLoads) {
+	if !f.opts.Disabled.IsEnabled(policy.PeerLoads) {
 		r.Loads = nil
 	}
 	old := f.peers[from]
@@ -215,19 +215,19 @@
 	f.peers[from] = &peer{lastSeen: now, Report: r}
 }
 
-// Sign is a sign of life of a peer, which another gateway forwards in place of the peer's report.
-type Sign struct {
-	Heard   time.Time // when the forwarding gateway last received a message of the peer
-	Contact time.Time // when the platform's store last answered the peer
+// Heartbeat is a sign of life of a peer, which another gateway forwards in place of the peer's report.
+type Heartbeat struct {
+	LastSeen     time.Time // when the forwarding gateway last received a message of the peer
+	StoreContact time.Time // when the platform's store last answered the peer
 	// IsIdle is set if the peer has no requests at targets and no demand.
 	IsIdle bool
 }
 
-// NoteSign applies a forwarded sign of life of the peer from. The peer's last report stays valid, unless the
+// ApplyHeartbeat applies a forwarded sign of life of the peer from. The peer's last report stays valid, unless the
 // peer is idle. A sign of life older than Options.PeerTTL is ignored.
-func (f *Fleet) NoteSign(now time.Time, from Peer, s Sign) {
+func (f *Fleet) ApplyHeartbeat(now time.Time, from Peer, s Heartbeat) {
 	f.expirePeers(now)
-	if now.Sub(s.Heard) > f.opts.PeerTTL {
+	if now.Sub(s.LastSeen) > f.opts.PeerTTL {
 		return
 	}
 	p, ok := f.peers[from]
@@ -239,8 +239,8 @@
 		f.replaceReport(now, from, p, &Report{})
 		p.Report = Report{}
 	}
-	if s.Heard.After(p.lastSeen) {
-		p.lastSeen, p.Contact = s.Heard, s.Contact
+	if s.LastSeen.After(p.lastSeen) {
+		p.lastSeen, p.StoreContact = s.LastSeen, s.StoreContact
 	}
 	if expiry := p.lastSeen.Add(f.opts.PeerTTL); expiry.Before(f.nextExpiry) {
 		f.nextExpiry = expiry
@@ -311,39 +311,39 @@
 // SetDemand records the batch items that this gateway has ready to start.
 func (f *Fleet) SetDemand(d Demand) { f.demand = d }
 
-// SetContact records that the platform's store has just answered this gateway.
-func (f *Fleet) SetContact(now time.Time) { f.storeContact = now }
+// RecordStoreContact records that the platform's store has just answered this gateway.
+func (f *Fleet) RecordStoreContact(now time.Time) { f.storeContact = now }
 
 // storeContactTolerance is how much later than this gateway's last contact with the store a peer's must be to
 // count as later. Reports are delayed, and each process polls the store at its own times.
 const storeContactTolerance = 1200 * time.Millisecond
 
-// StoreDownForAll reports whether no live peer has reached the store since this gateway last did. In that
+// IsStoreDownForPeers reports whether no live peer has reached the store since this gateway last did. In that
 // case no live peer can have written a change there that this gateway has not read. Without a live peer the
 // result is false, because this gateway may be the one that is cut off from the store.
-func (f *Fleet) StoreDownForAll(now time.Time) bool {
+func (f *Fleet) IsStoreDownForPeers(now time.Time) bool {
 	f.expirePeers(now)
 	for _, p := range f.peers {
-		if p.Contact.After(f.storeContact.Add(storeContactTolerance)) {
+		if p.StoreContact.After(f.storeContact.Add(storeContactTolerance)) {
 			return false
 		}
 	}
 	return len(f.peers) > 0
 }
 
-// Peers is the number of live peers: those whose last report or sign of life has not expired.
-func (f *Fleet) Peers(now time.Time) int {
+// LivePeerCount is the number of live peers: those whose last report or sign of life has not expired.
+func (f *Fleet) LivePeerCount(now time.Time) int {
 	f.expirePeers(now)
 	return len(f.peers)
 }
 
 // Report returns this gateway's report to its peers.
 func (f *Fleet) Report(now time.Time) Report {
-	return Report{Loads: f.Own(), Demand: f.demand, Contact: f.storeContact, Suspects: f.ownSuspects(now)}
+	return Report{Loads: f.OwnLoads(), Demand: f.demand, StoreContact: f.storeContact, Suspects: f.ownSuspects(now)}
 }
 
-// Own returns this gateway's own loads by target id, without targets at which it has no requests.
-func (f *Fleet) Own() map[string]Load {
+// OwnLoads returns this gateway's own loads by target id, without targets at which it has no requests.
+func (f *Fleet) OwnLoads() map[string]Load {
 	loads := make(map[string]Load)
 	for id, ts := range f.targets {
 		if ts.ownLoad.total() > 0 {
@@ -353,8 +353,8 @@
 	return loads
 }
 
-// OwnAt returns this gateway's own load at one target; zero if the target is not listed.
-func (f *Fleet) OwnAt(id string) Load {
+// OwnLoadAt returns this gateway's own load at one target; zero if the target is not listed.
+func (f *Fleet) OwnLoadAt(id string) Load {
 	if ts, ok := f.targets[id]; ok {
 		return ts.ownLoad
 	}
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -64,8 +64,8 @@
 			begin(f, "t1", structs.ClassOnline, 1)
 		}, want: "t2"},
 		{name: "not a target already tried", tried: []string{"t0", "t1"}, want: "t2"},
-		{name: "not a suspect target", setup: func(f *Fleet) { f.Failed(start, "t0"); f.Failed(start, "t1") }, want: "t2"},
-		{name: "a suspect target when no other is left", setup: func(f *Fleet) { f.Failed(start, "t2") },
+		{name: "not a suspect target", setup: func(f *Fleet) { f.RecordFailure(start, "t0"); f.RecordFailure(start, "t1") }, want: "t2"},
+		{name: "a suspect target when no other is left", setup: func(f *Fleet) { f.RecordFailure(start, "t2") },
 			tried: []string{"t0", "t1"}, want: "t2"},
 		{name: "no target when all were tried", tried: []string{"t0", "t1", "t2"}},
 	}
@@ -98,7 +98,7 @@
 	if got, ok := f.PickBatch(start, "llm", nil); ok {
 		t.Errorf("picked %s though all slots are taken, want no target", got)
 	}
-	if n := f.OwnAt("t0").Batch; n != testSlots {
+	if n := f.OwnLoadAt("t0").Batch; n != testSlots {
 		t.Errorf("%d batch items were started at t0, want %d", n, testSlots)
 	}
 }
@@ -149,7 +149,7 @@
 	draining := target(0)
 	draining.IsDraining = true
 	f.Put(draining)
-	f.Failed(start, "t1")
+	f.RecordFailure(start, "t1")
 	preempted := f.Preempt(start)
 	if preempted["t0"] != 2 || preempted["t1"] != 1 {
 		t.Errorf("preempted %v, want 2 at draining target t0 and 1 at suspect target t1", preempted)
@@ -158,7 +158,7 @@
 
 func TestActivityEndsSuspicion(t *testing.T) {
 	f := testFleet("self", 1)
-	if !f.Failed(start, "t0") || f.Failed(start, "t0") {
+	if !f.RecordFailure(start, "t0") || f.RecordFailure(start, "t0") {
 		t.Error("two failures in a row: want the first one to make the target suspect and the second one not to count; at least one of these is not the case")
 	}
 	if _, ok := f.PickBatch(start, "llm", nil); ok {
@@ -172,13 +172,13 @@
 	if _, ok := f.PickBatch(later, "llm", nil); ok {
 		t.Error("a second batch item was sent to a target on probation within the probation interval, want none")
 	}
-	if !f.Failed(later, "t0") {
+	if !f.RecordFailure(later, "t0") {
 		t.Error("a failure on probation does not make the target suspect, want suspect")
 	}
 	if _, ok := f.PickBatch(later.Add(minSuspectTime), "llm", nil); ok {
 		t.Error("a batch item was sent 500 ms after the second of two failures, want none: the target must be suspect for longer than after the first")
 	}
-	f.NoteActivity(later, "t0")
+	f.RecordActivity(later, "t0")
 	if _, ok := f.PickBatch(later, "llm", nil); !ok {
 		t.Error("no batch item was sent to a target that has just sent something, want one")
 	}
@@ -186,15 +186,15 @@
 
 func TestTargetIsSilentAfterLimit(t *testing.T) {
 	f := testFleet("self", 1)
-	if f.IsIdleSince(start.Add(defaultSilenceLimit), start, "t0") {
+	if f.IsSilentSince(start.Add(defaultSilenceLimit), start, "t0") {
 		t.Error("the target counts as silent when the limit has just been reached, want not silent")
 	}
 	late := start.Add(defaultSilenceLimit + time.Millisecond)
-	if !f.IsIdleSince(late, start, "t0") {
+	if !f.IsSilentSince(late, start, "t0") {
 		t.Error("the target does not count as silent 1 ms after the limit, want silent")
 	}
-	f.NoteActivity(late, "t0")
-	if f.IsIdleSince(late.Add(defaultSilenceLimit), start, "t0") {
+	f.RecordActivity(late, "t0")
+	if f.IsSilentSince(late.Add(defaultSilenceLimit), start, "t0") {
 		t.Error("the target counts as silent though it has sent something within the limit, want not silent")
 	}
 }
@@ -205,12 +205,12 @@
 	f := testFleet("self", 1)
 	f.End(start, "t0", structs.ClassOnline)
 	f.Begin(start, "t0", structs.ClassOnline)
-	if got := f.OwnAt("t0"); got != (Load{Online: 1}) {
+	if got := f.OwnLoadAt("t0"); got != (Load{Online: 1}) {
 		t.Errorf("after the end of an uncounted request and the start of another the load is %+v, want 1 online request and no batch item", got)
 	}
 	f.Remove("t0")
 	f.End(start, "t0", structs.ClassOnline)
-	if got := f.Own(); len(got) != 0 {
+	if got := f.OwnLoads(); len(got) != 0 {
 		t.Errorf("loads %v after the only target was removed, want none", got)
 	}
 }
@@ -218,7 +218,7 @@
 // Guards against wasted starts. They happen when all gateways start an item in the same free slot, and all
 // but one preempt it again.
 func TestGatewaysStaggerStartsAtAFreeSlot(t *testing.T) {
-	demands := map[Peer]Demand{"a": {Items: 3, Due: 200}, "b": {Items: 1, Due: 100}, "c": {}}
+	demands := map[Peer]Demand{"a": {Items: 3, StartKey: 200}, "b": {Items: 1, StartKey: 100}, "c": {}}
 	pick := func(self Peer, freeSlots int, freeFor time.Duration) bool {
 		f := testFleet(self, 1)
 		f.SetDemand(demands[self])
@@ -278,17 +278,17 @@
 // that this gateway has not read, and batch items must not start.
 func TestIsStoreDownForPeers(t *testing.T) {
 	f := testFleet("self", 1)
-	f.SetContact(start)
+	f.RecordStoreContact(start)
 	now := start.Add(5 * time.Second)
-	if f.StoreDownForAll(now) {
+	if f.IsStoreDownForPeers(now) {
 		t.Error("without a live peer the store counts as down for the peers, want not down: this gateway may be the one that is cut off")
 	}
-	f.ApplyReport(now, "a", Report{Contact: start.Add(100 * time.Millisecond)})
-	if !f.StoreDownForAll(now) {
+	f.ApplyReport(now, "a", Report{StoreContact: start.Add(100 * time.Millisecond)})
+	if !f.IsStoreDownForPeers(now) {
 		t.Error("the store does not count as down though the only peer reached it no more than 1.2s after this gateway did, want down")
 	}
-	f.ApplyReport(now, "b", Report{Contact: now.Add(-time.Second)})
-	if f.StoreDownForAll(now) {
+	f.ApplyReport(now, "b", Report{StoreContact: now.Add(-time.Second)})
+	if f.IsStoreDownForPeers(now) {
 		t.Error("the store counts as down though a peer reached it a second ago, want not down")
 	}
 }
@@ -300,10 +300,10 @@
 	f.ApplyReport(start, "peer", Report{Loads: map[string]Load{"t0": {Online: 2*testSlots - 1}}})
 	f.Begin(start, "t0", structs.ClassOnline)
 	late := start.Add(defaultSilenceLimit + defaultHoldTime/2)
-	if f.IsIdleSince(late, start, "t0") {
+	if f.IsSilentSince(late, start, "t0") {
 		t.Error("a target with a full queue counts as silent before its queue can have been served, want not silent")
 	}
-	if !f.IsIdleSince(start.Add(defaultSilenceLimit+defaultHoldTime+time.Millisecond), start, "t0") {
+	if !f.IsSilentSince(start.Add(defaultSilenceLimit+defaultHoldTime+time.Millisecond), start, "t0") {
 		t.Error("a target that sends nothing does not count as silent after its queue should have been served, want silent")
 	}
 }
@@ -336,7 +336,7 @@
 		return c.Target.ID
 	}
 	f := testFleet("self", 2)
-	f.NoteActivity(start.Add(-minSilenceForPeerReport), "t0")
+	f.RecordActivity(start.Add(-minSilenceForPeerReport), "t0")
 	f.ApplyReport(start, "peer", report)
 	if got := pick(f, start); got != "t1" {
 		t.Errorf("after a peer's suspicion of t0 the next request goes to %s, want t1", got)
@@ -344,22 +344,22 @@
 	if got := f.Report(start).Suspects; len(got) != 0 {
 		t.Errorf("this gateway reports suspects %v after a peer's suspicion, want none", got)
 	}
-	if !f.IsIdleSince(start.Add(defaultSilenceLimit/2+time.Millisecond), start, "t0") {
+	if !f.IsSilentSince(start.Add(defaultSilenceLimit/2+time.Millisecond), start, "t0") {
 		t.Error("after a peer's suspicion t0 does not count as silent 1 ms after half of the silence limit, want silent")
 	}
 	later := start.Add(minSuspectTime)
 	f.ApplyReport(later, "peer", report)
-	f.NoteActivity(later, "t0")
+	f.RecordActivity(later, "t0")
 	if got := pick(f, later); got != "t0" {
 		t.Errorf("after activity of t0 the next request goes to %s, want t0", got)
 	}
 	f = testFleet("self", 2)
-	f.NoteActivity(start.Add(-minSilenceForPeerReport/2), "t0")
+	f.RecordActivity(start.Add(-minSilenceForPeerReport/2), "t0")
 	f.ApplyReport(start, "peer", report)
 	if got := pick(f, start); got != "t0" {
 		t.Errorf("after a peer's suspicion of t0, which has just sent something, the next request goes to %s, want t0", got)
 	}
-	f.Failed(start, "t0")
+	f.RecordFailure(start, "t0")
 	if got := f.Report(start).Suspects; len(got) != 1 || got[0] != "t0" {
 		t.Errorf("after a failure of t0 this gateway reports suspects %v, want t0", got)
 	}
--- a/core/fleet/health.go
+++ b/core/fleet/health.go
@@ -21,7 +21,7 @@
 // Time limits by which the health of targets is judged.
 const (
 	// defaultSilenceLimit is how long a target with requests may send nothing before it counts as silent,
-	// until the event times of its service are known; see IdleLimit.
+	// until the event times of its service are known; see SilenceLimit.
 	defaultSilenceLimit = 450 * time.Millisecond
 	// minSuspectTime and maxSuspectTime bound how long a target is suspect after a failure. The time doubles
 	// with each consecutive failure.
@@ -70,8 +70,8 @@
 // recordStart records that a request is about to be sent to the target.
 func (h *health) recordStart(now time.Time) { h.lastStart = now }
 
-// NoteActivity records that a target has sent something to this gateway, which makes it healthy.
-func (f *Fleet) NoteActivity(now time.Time, id string) {
+// RecordActivity records that a target has sent something to this gateway, which makes it healthy.
+func (f *Fleet) RecordActivity(now time.Time, id string) {
 	if ts, ok := f.targets[id]; ok {
 		ts.health.lastReceived = now
 		ts.health.failures = 0
@@ -79,10 +79,10 @@
 	}
 }
 
-// Failed records that a target has failed a request of this gateway, for instance by a refused or closed
+// RecordFailure records that a target has failed a request of this gateway, for instance by a refused or closed
 // connection or by silence. It reports whether that makes the target suspect. Failures of a target that is
 // already suspect do not count, because requests that were sent together fail together.
-func (f *Fleet) Failed(now time.Time, id string) bool {
+func (f *Fleet) RecordFailure(now time.Time, id string) bool {
 	ts, ok := f.targets[id]
 	if !ok || ts.health.state(now) == suspect {
 		return false
@@ -115,7 +115,7 @@
 // needs a failed request of its own to detect the failure.
 func (f *Fleet) applyPeerSuspicion(now time.Time, id string) {
 	ts, ok := f.targets[id]
-	if !f.opts.Off.IsEnabled(policy.PeerSuspicion) || !ok {
+	if !f.opts.Disabled.IsEnabled(policy.PeerSuspicion) || !ok {
 		return
 	}
 	if ts.health.state(now) != healthy || now.Sub(ts.health.lastReceived) < minSilenceForPeerReport {
@@ -160,12 +160,12 @@
 	return slotTime * time.Duration(queued) / time.Duration(ts.Slots)
 }
 
-// IsIdleSince reports whether a target has been silent for longer than a working target ever is: it has sent
+// IsSilentSince reports whether a target has been silent for longer than a working target ever is: it has sent
 // nothing to this gateway within the silence limit and QueueWait, counted from its last activity or from the
 // time sent of a request, whichever is later. QueueWait is added because with many gateways each has few
 // requests at a target, and one that waits in the queue there receives nothing. It is false while silence
 // detection is disabled.
-func (f *Fleet) IsIdleSince(now, sent time.Time, id string) bool {
+func (f *Fleet) IsSilentSince(now, sent time.Time, id string) bool {
 	ts, ok := f.targets[id]
 	if !ok {
 		return false
@@ -174,10 +174,10 @@
 	if ts.health.lastReceived.After(lastActivity) {
 		lastActivity = ts.health.lastReceived
 	}
-	if !f.opts.Off.IsEnabled(policy.SilenceDetection) {
+	if !f.opts.Disabled.IsEnabled(policy.SilenceDetection) {
 		return false
 	}
-	limit := f.IdleLimit(ts.Service)
+	limit := f.SilenceLimit(ts.Service)
 	if ts.health.isPeerReported {
 		limit /= 2 // two gateways have observed the failure
 	}
--- a/core/fleet/peers_test.go
+++ b/core/fleet/peers_test.go
@@ -90,30 +90,30 @@
 	}
 	f.ApplyReport(now, "peer", Report{Loads: map[string]Load{"t": {Online: 1}}})
 	now = now.Add(800 * time.Millisecond)
-	f.NoteSign(now, "peer", Sign{Heard: now.Add(-100 * time.Millisecond)})
+	f.ApplyHeartbeat(now, "peer", Heartbeat{LastSeen: now.Add(-100 * time.Millisecond)})
 	now = now.Add(800 * time.Millisecond)
-	if hasFreeSlot() || f.Peers(now) != 1 {
+	if hasFreeSlot() || f.LivePeerCount(now) != 1 {
 		t.Error("within the time to live after a forwarded sign of life: want 1 live peer and its load in the only slot, but the peer has expired or the slot is free")
 	}
 	now = now.Add(200 * time.Millisecond)
-	if !hasFreeSlot() || f.Peers(now) != 0 {
+	if !hasFreeSlot() || f.LivePeerCount(now) != 0 {
 		t.Error("after the time to live since the last sign of life: want no live peer and a free slot, but the peer or its load still counts")
 	}
 	f.ApplyReport(now, "peer", Report{Loads: map[string]Load{"t": {Online: 1}}})
-	f.NoteSign(now, "peer", Sign{Heard: now, IsIdle: true})
-	if !hasFreeSlot() || f.Peers(now) != 1 {
+	f.ApplyHeartbeat(now, "peer", Heartbeat{LastSeen: now, IsIdle: true})
+	if !hasFreeSlot() || f.LivePeerCount(now) != 1 {
 		t.Error("after a sign of life of an idle peer: want 1 live peer and a free slot, but the peer has been dropped or its load still counts")
 	}
-	f.NoteSign(now, "new", Sign{Heard: now.Add(-ttl / 2), Contact: now})
-	f.NoteSign(now, "old", Sign{Heard: now.Add(-2 * ttl)})
-	if n := f.Peers(now); n != 2 {
+	f.ApplyHeartbeat(now, "new", Heartbeat{LastSeen: now.Add(-ttl / 2), StoreContact: now})
+	f.ApplyHeartbeat(now, "old", Heartbeat{LastSeen: now.Add(-2 * ttl)})
+	if n := f.LivePeerCount(now); n != 2 {
 		t.Errorf("%d live peers, want 2: the known one and the new one", n)
 	}
 	now = now.Add(ttl/2 + time.Millisecond)
-	if n := f.Peers(now); n != 1 {
+	if n := f.LivePeerCount(now); n != 1 {
 		t.Errorf("%d live peers after the expiry of the new one, want 1", n)
 	}
-	if !f.StoreDownForAll(now) {
+	if !f.IsStoreDownForPeers(now) {
 		t.Error("the store does not count as down for the peers, want down: the only peer that has reached it has expired")
 	}
 }
--- a/core/fleet/pick.go
+++ b/core/fleet/pick.go
@@ -29,26 +29,26 @@
 		if ts.Service != service || ts.IsDraining || slices.Contains(tried, ts.ID) || !isUsable(ts) {
 			continue
 		}
-		list = append(list, candidate{target: ts, load: ts.totalLoad(), isSameDomain: ts.Domain == f.opts.Domain && f.opts.Off.IsEnabled(policy.OwnDomain)})
+		list = append(list, candidate{target: ts, load: ts.totalLoad(), isSameDomain: ts.Domain == f.opts.Domain && f.opts.Disabled.IsEnabled(policy.OwnDomain)})
 	}
 	return list
 }
 
 // Choice is the target chosen for a request, with the loads and the reason behind the choice.
 type Choice struct {
-	Target serving.Target
-	Load   Load   // of all gateways, before the request
-	Peers  int    // live peers whose loads are included
-	Why    string // reason for the choice, for log lines
+	Target    serving.Target
+	Load      Load   // of all gateways, before the request
+	LivePeers int    // live peers whose loads are included
+	Reason    string // reason for the choice, for log lines
 }
 
 // String formats the choice for log lines.
 func (c Choice) String() string {
-	return fmt.Sprintf("%s %s online=%d batch=%d slots=%d peers=%d", c.Target.ID, c.Why, c.Load.Online, c.Load.Batch, c.Target.Slots, c.Peers)
+	return fmt.Sprintf("%s %s online=%d batch=%d slots=%d peers=%d", c.Target.ID, c.Reason, c.Load.Online, c.Load.Batch, c.Target.Slots, c.LivePeers)
 }
 
 func (f *Fleet) choice(c candidate, reason string) Choice {
-	return Choice{Target: c.target.Target, Load: c.load, Peers: len(f.peers), Why: reason}
+	return Choice{Target: c.target.Target, Load: c.load, LivePeers: len(f.peers), Reason: reason}
 }
 
 // PickOnline chooses the target for an online request, none of those in tried; ok is false if there is none.
--- a/core/fleet/timing.go
+++ b/core/fleet/timing.go
@@ -37,30 +37,30 @@
 	*mean += time.Duration(meanWeight * float64(d-*mean))
 }
 
-// FirstEvent records how long a stream of a service took from its request to its first event. It is called
+// RecordFirstEvent records how long a stream of a service took from its request to its first event. It is called
 // only for requests that did not wait for a slot.
-func (f *Fleet) FirstEvent(service string, elapsed time.Duration) {
+func (f *Fleet) RecordFirstEvent(service string, elapsed time.Duration) {
 	timing := f.timings[service]
 	updateMean(&timing.firstEvent, elapsed)
 	f.timings[service] = timing
 }
 
-// NextEvent records the time between two successive events of a stream of a service.
-func (f *Fleet) NextEvent(service string, gap time.Duration) {
+// RecordEventGap records the time between two successive events of a stream of a service.
+func (f *Fleet) RecordEventGap(service string, gap time.Duration) {
 	timing := f.timings[service]
 	updateMean(&timing.eventGap, gap)
 	f.timings[service] = timing
 }
 
-// IdleLimit is how long a target of a service may send nothing while it has requests, before it counts as
+// SilenceLimit is how long a target of a service may send nothing while it has requests, before it counts as
 // silent.
 //
 // A single limit for all services does not work: engines with steps of 80 ms send an event every half second
 // and would always count as silent, and where events come every 20 ms a dead target would get requests for
 // longer than necessary.
-func (f *Fleet) IdleLimit(service string) time.Duration {
+func (f *Fleet) SilenceLimit(service string) time.Duration {
 	timing := f.timings[service]
-	if timing.firstEvent == 0 || timing.eventGap == 0 || !f.opts.Off.IsEnabled(policy.AdaptiveSilenceLimit) {
+	if timing.firstEvent == 0 || timing.eventGap == 0 || !f.opts.Disabled.IsEnabled(policy.AdaptiveSilenceLimit) {
 		return defaultSilenceLimit
 	}
 	return min(maxSilenceLimit, max(minSilenceLimit, silenceGapFactor*timing.eventGap, silenceFirstEventFactor*timing.firstEvent))
--- a/core/fleet/timing_test.go
+++ b/core/fleet/timing_test.go
@@ -24,14 +24,14 @@
 		f := testFleet("self", 1)
 		if c.eventGap > 0 {
 			for range 100 {
-				f.FirstEvent("llm", c.firstEvent)
-				f.NextEvent("llm", c.eventGap)
+				f.RecordFirstEvent("llm", c.firstEvent)
+				f.RecordEventGap("llm", c.eventGap)
 			}
 		}
-		if got := f.IdleLimit("llm"); got != c.want {
+		if got := f.SilenceLimit("llm"); got != c.want {
 			t.Errorf("%s: silence limit %v, want %v", c.name, got, c.want)
 		}
-		if f.IsIdleSince(start.Add(c.want), start, "t0") || !f.IsIdleSince(start.Add(c.want+ms), start, "t0") {
+		if f.IsSilentSince(start.Add(c.want), start, "t0") || !f.IsSilentSince(start.Add(c.want+ms), start, "t0") {
 			t.Errorf("%s: want the target not to count as silent after %v without activity, and to count as silent 1 ms later; at least one of these is not the case", c.name, c.want)
 		}
 	}
@@ -41,11 +41,11 @@
 func TestOnePauseBarelyRaisesTheSilenceLimit(t *testing.T) {
 	f := testFleet("self", 1)
 	for range 100 {
-		f.FirstEvent("llm", 25*time.Millisecond)
-		f.NextEvent("llm", 20*time.Millisecond)
+		f.RecordFirstEvent("llm", 25*time.Millisecond)
+		f.RecordEventGap("llm", 20*time.Millisecond)
 	}
-	f.NextEvent("llm", 200*time.Millisecond)
-	if got := f.IdleLimit("llm"); got > 400*time.Millisecond {
+	f.RecordEventGap("llm", 200*time.Millisecond)
+	if got := f.SilenceLimit("llm"); got > 400*time.Millisecond {
 		t.Errorf("after one pause of 200 ms the silence limit is %v, want at most 400ms", got)
 	}
 }
--- a/core/fleet/wait_test.go
+++ b/core/fleet/wait_test.go
@@ -23,10 +23,10 @@
 	}
 	for _, c := range cases {
 		f := testFleet("self", 1)
-		f.Held("llm", holdTime)
+		f.RecordHoldTime("llm", holdTime)
 		begin(f, "t0", structs.ClassOnline, c.online)
 		begin(f, "t0", structs.ClassBatch, c.batch)
-		if got := f.Prospect(start, "llm").Wait; got != c.want {
+		if got := f.Estimate(start, "llm").Wait; got != c.want {
 			t.Errorf("%s: expected wait %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -34,21 +34,21 @@
 
 func TestEstimatedWaitIsZeroWithoutData(t *testing.T) {
 	f := testFleet("self", 0)
-	if got := f.Prospect(start, "llm").Wait; got != 0 {
+	if got := f.Estimate(start, "llm").Wait; got != 0 {
 		t.Errorf("without a target the expected wait is %v, want 0", got)
 	}
 	f.Put(target(0))
 	begin(f, "t0", structs.ClassOnline, testSlots)
-	if got := f.Prospect(start, "llm").Wait; got != 0 {
+	if got := f.Estimate(start, "llm").Wait; got != 0 {
 		t.Errorf("with an unknown hold time the expected wait is %v, want 0", got)
 	}
 }
 
 func TestHoldTimeFollowsAChange(t *testing.T) {
 	f := New(Options{})
-	f.Held("s", time.Second)
+	f.RecordHoldTime("s", time.Second)
 	for range 100 {
-		f.Held("s", 2*time.Second)
+		f.RecordHoldTime("s", 2*time.Second)
 	}
 	if got := f.holdTimes["s"]; got < 1900*time.Millisecond || got > 2*time.Second {
 		t.Errorf("after 100 requests of 2s the mean hold time is %v, want 1.9s to 2s", got)
@@ -60,13 +60,13 @@
 func TestStartRateIsShareOfTotalCapacity(t *testing.T) {
 	const holdTime = 500 * time.Millisecond
 	f := testFleet("self", 3)
-	f.Held("llm", holdTime)
-	startRate := func() float64 { return f.Prospect(start, "llm").Pace }
+	f.RecordHoldTime("llm", holdTime)
+	startRate := func() float64 { return f.Estimate(start, "llm").StartRate }
 	if got, want := startRate(), 3*testSlots/holdTime.Seconds(); got != want {
 		t.Errorf("without peers the start rate is %v per second, want %v", got, want)
 	}
 	f.ApplyReport(start, "peer", Report{})
-	f.Failed(start, "t0")
+	f.RecordFailure(start, "t0")
 	draining := target(1)
 	draining.IsDraining = true
 	f.Put(draining)
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -131,7 +131,7 @@
 // start starts a process. The name must not have been used before.
 func (cl *cluster) start(name string) *node {
 	n := &node{cl: cl, name: name, view: cl.store.View(), done: make(chan struct{})}
-	n.fleet = fleetview.New(fleet.Options{Domain: "d", Self: fleet.Peer(name), StartSpare: 0, PeerTTL: time.Second})
+	n.fleet = fleetview.New(fleet.Options{Domain: "d", Self: fleet.Peer(name), MinFreeAfterStart: 0, PeerTTL: time.Second})
 	for i := range 3 {
 		n.fleet.Put([]serving.Target{{ID: fmt.Sprintf("target-%d", i), Service: "llm", Addr: "127.0.0.1:1", Domain: "d", Slots: 8}}, nil)
 	}
--- a/internal/backlog/scheduler.go
+++ b/internal/backlog/scheduler.go
@@ -184,8 +184,8 @@
 	var demand fleet.Demand
 	now := time.Now()
 	for _, t := range sc.startableTasks(now) {
-		if key := sc.startKey(t, now); demand.Items == 0 || key < demand.Due {
-			demand.Due = key
+		if key := sc.startKey(t, now); demand.Items == 0 || key < demand.StartKey {
+			demand.StartKey = key
 		}
 		demand.Items++
 	}
--- a/internal/fleetview/run.go
+++ b/internal/fleetview/run.go
@@ -111,7 +111,7 @@
 func (r *Run) NoteActivity() {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
-	r.view.fleet.NoteActivity(time.Now(), r.Target.ID)
+	r.view.fleet.RecordActivity(time.Now(), r.Target.ID)
 }
 
 // Event records that an event of the run's stream has just arrived, and adds the time it took to the response
@@ -122,12 +122,12 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
-	v.fleet.NoteActivity(now, r.Target.ID)
+	v.fleet.RecordActivity(now, r.Target.ID)
 	switch {
 	case !r.firstEventAt.IsZero():
-		v.fleet.NextEvent(r.Target.Service, now.Sub(r.lastEventAt))
-	case !r.Choice.Waits():
-		v.fleet.FirstEvent(r.Target.Service, now.Sub(r.startedAt))
+		v.fleet.RecordEventGap(r.Target.Service, now.Sub(r.lastEventAt))
+	case !r.Choice.IsQueued():
+		v.fleet.RecordFirstEvent(r.Target.Service, now.Sub(r.startedAt))
 	}
 	if r.firstEventAt.IsZero() {
 		r.firstEventAt = now
@@ -162,7 +162,7 @@
 func (r *Run) IdleLimit() time.Duration {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
-	return r.view.fleet.IdleLimit(r.Target.Service)
+	return r.view.fleet.SilenceLimit(r.Target.Service)
 }
 
 // Failed records that the run has failed at its target. It reports whether this failure made the target
@@ -171,7 +171,7 @@
 	v := r.view
 	v.mu.Lock()
 	now := time.Now()
-	isSuspect := v.fleet.Failed(now, r.Target.ID)
+	isSuspect := v.fleet.RecordFailure(now, r.Target.ID)
 	victims := v.takeVictims(now)
 	v.mu.Unlock()
 	if isSuspect {
@@ -186,7 +186,7 @@
 func (r *Run) IsIdle(sentAt time.Time) bool {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
-	return r.view.fleet.IsIdleSince(time.Now(), sentAt, r.Target.ID)
+	return r.view.fleet.IsSilentSince(time.Now(), sentAt, r.Target.ID)
 }
 
 // QueueWait returns the longest time that the run may have to wait for a slot at its target, by the known loads.
@@ -199,12 +199,12 @@
 // Held records that the run has received its complete answer. The duration of the run counts towards the mean
 // time that requests of its service hold a slot, unless the run may have waited for a slot.
 func (r *Run) Held() {
-	if r.Choice.Waits() {
+	if r.Choice.IsQueued() {
 		return
 	}
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
-	r.view.fleet.Held(r.Target.Service, time.Since(r.startedAt))
+	r.view.fleet.RecordHoldTime(r.Target.Service, time.Since(r.startedAt))
 }
 
 // takeVictims removes the runs that must be preempted from v.preemptible and returns them. At each target it
@@ -230,7 +230,7 @@
 // countPreempting returns how many batch runs at the target with this id are preempted but not done yet.
 // The caller holds v.mu.
 func (v *View) countPreempting(id string) int {
-	return v.fleet.OwnAt(id).Batch - len(v.preemptible[id])
+	return v.fleet.OwnLoadAt(id).Batch - len(v.preemptible[id])
 }
 
 // preemptAll calls the preempt function of each run. The caller does not hold v.mu.
--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -97,10 +97,10 @@
 
 // Prospect returns how long an online request of a service that arrives now can expect to wait for a slot and to
 // hold it, and how many such requests per second this gateway may start.
-func (v *View) Prospect(service string) fleet.Prospect {
+func (v *View) Prospect(service string) fleet.Estimate {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fleet.Prospect(time.Now(), service)
+	return v.fleet.Estimate(time.Now(), service)
 }
 
 // ApplyReport records the load report that the peer from has sent, and preempts the batch runs of this
@@ -122,7 +122,7 @@
 	// Report is the newest report of the peer; nil if only Sign is relayed.
 	Report *fleet.Report
 	// Sign says when the peer was last alive; it is used only if Report is nil.
-	Sign fleet.Sign
+	Sign fleet.Heartbeat
 }
 
 // ApplyNews records the reports of peers that another gateway has relayed, and preempts as ApplyReport does.
@@ -134,7 +134,7 @@
 			v.fleet.ApplyReport(now, r.From, *r.Report)
 			continue
 		}
-		v.fleet.NoteSign(now, r.From, r.Sign)
+		v.fleet.ApplyHeartbeat(now, r.From, r.Sign)
 	}
 	victims := v.takeVictims(now)
 	v.mu.Unlock()
@@ -161,14 +161,14 @@
 func (v *View) SetContact() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.fleet.SetContact(time.Now())
+	v.fleet.RecordStoreContact(time.Now())
 }
 
 // Peers returns the number of other gateways that are alive, by the reports that this one has received.
 func (v *View) Peers() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fleet.Peers(time.Now())
+	return v.fleet.LivePeerCount(time.Now())
 }
 
 // StoreDownForAll reports whether no live peer has reached the platform's store since this process last reached
@@ -176,7 +176,7 @@
 func (v *View) StoreDownForAll() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fleet.StoreDownForAll(time.Now())
+	return v.fleet.IsStoreDownForPeers(time.Now())
 }
 
 // Put adds or updates the targets in present, and removes the targets whose ids are in goneIDs.
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -81,7 +81,7 @@
 func (ex *exchange) newShedRequest(initialTimeout time.Duration) shed.Request {
 	prospect := ex.gw.view.Prospect(ex.service)
 	return shed.Request{
-		ExpectedWait: prospect.Wait, HoldTime: prospect.Hold, StartRate: prospect.Pace, LatencyGoal: ex.route.LatencyGoal,
+		ExpectedWait: prospect.Wait, HoldTime: prospect.HoldTime, StartRate: prospect.StartRate, LatencyGoal: ex.route.LatencyGoal,
 		Remaining: ex.callerTimeLeft(), InitialTimeout: initialTimeout, IdleTimeout: ex.route.EventTimeout, HigherRanks: ex.higherRanks(),
 	}
 }
--- a/internal/lab/fleet/gateway.go
+++ b/internal/lab/fleet/gateway.go
@@ -70,9 +70,9 @@
 // outlook is what a stream that comes now may expect.
 func (g *gateway) outlook(s *stream) shed.Request {
 	now, o := g.sim.clock.now, &g.sim.options
-	p := g.view.Prospect(now, service)
+	p := g.view.Estimate(now, service)
 	return shed.Request{
-		ExpectedWait: p.Wait, HoldTime: p.Hold, StartRate: p.Pace, LatencyGoal: o.Goal, Remaining: o.Patience - now.Sub(s.came), InitialTimeout: o.Patience, IdleTimeout: o.Stay,
+		ExpectedWait: p.Wait, HoldTime: p.HoldTime, StartRate: p.StartRate, LatencyGoal: o.Goal, Remaining: o.Patience - now.Sub(s.came), InitialTimeout: o.Patience, IdleTimeout: o.Stay,
 	}
 }
 
@@ -100,8 +100,8 @@
 	g.sim.engines[id].take(&work{prompt: o.Prompt, event: o.Event, events: s.events,
 		first: func() { g.sim.report.first(g.sim.clock.now.Sub(s.came), o.Goal) },
 		over: func() {
-			if !c.Waits() {
-				g.view.Held(service, g.sim.clock.now.Sub(now))
+			if !c.IsQueued() {
+				g.view.RecordHoldTime(service, g.sim.clock.now.Sub(now))
 			}
 			g.view.End(g.sim.clock.now, id, structs.ClassOnline)
 			g.changed()
@@ -217,7 +217,7 @@
 	if len(g.items) == 0 {
 		return corefleet.Demand{}
 	}
-	return corefleet.Demand{Items: len(g.items), Due: g.key(g.items[0])}
+	return corefleet.Demand{Items: len(g.items), StartKey: g.key(g.items[0])}
 }
 
 // live has the gateway tell and look now and then without a cause.
--- a/internal/lab/fleet/sim.go
+++ b/internal/lab/fleet/sim.go
@@ -47,7 +47,7 @@
 	}
 	for i := range o.Gateways {
 		name := corefleet.Peer(fmt.Sprintf("g%d", i))
-		view := corefleet.New(corefleet.Options{Self: name, StartSpare: p.Spare, KeepSpare: p.Spare, PeerTTL: peerTTL, Off: p.Off})
+		view := corefleet.New(corefleet.Options{Self: name, MinFreeAfterStart: p.Spare, MinFreeSlots: p.Spare, PeerTTL: peerTTL, Disabled: p.Off})
 		s.gateways = append(s.gateways, &gateway{sim: s, name: name, view: view, controller: shed.Controller{Disabled: p.Off}})
 	}
 	for i := range o.Engines - o.Lost {
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -314,8 +314,8 @@
 	quotaReport := s.quotas.Report()
 	r := report{
 		IsFirst: quotaReport.IsFirst, Admitted: encodeCounts(quotaReport.Counts),
-		From: s.self, Seq: seq, Loads: encodeLoads(fleetReport.Loads), Items: fleetReport.Demand.Items, Due: fleetReport.Demand.Due,
-		ContactAge: now.Sub(fleetReport.Contact).Milliseconds(), Detours: s.hasLostStore(), Domain: s.domain, Suspects: newDigests(fleetReport.Suspects), Quarantine: encodeRecords(s.quarantine.ToTell()),
+		From: s.self, Seq: seq, Loads: encodeLoads(fleetReport.Loads), Items: fleetReport.Demand.Items, Due: fleetReport.Demand.StartKey,
+		ContactAge: now.Sub(fleetReport.StoreContact).Milliseconds(), Detours: s.hasLostStore(), Domain: s.domain, Suspects: newDigests(fleetReport.Suspects), Quarantine: encodeRecords(s.quarantine.ToTell()),
 		Unknown: s.takeUnknownIDs(), Capacity: s.capacity,
 	}
 	receivers := s.selectReceivers(now, seq)
@@ -427,8 +427,8 @@
 	}
 	ids := s.targetIDs()
 	s.view.ApplyReport(r.From, fleet.Report{
-		Loads: decodeLoads(r.Loads, ids), Suspects: resolveTargets(r.Suspects, ids), Demand: fleet.Demand{Items: r.Items, Due: r.Due},
-		Contact: r.lastStoreContact(time.Now()),
+		Loads: decodeLoads(r.Loads, ids), Suspects: resolveTargets(r.Suspects, ids), Demand: fleet.Demand{Items: r.Items, StartKey: r.Due},
+		StoreContact: r.lastStoreContact(time.Now()),
 	})
 	s.quarantine.Apply(s.decodeRecords(r.Quarantine, from))
 	s.quotas.Apply(from.String(), quota.Report{Start: string(r.From), IsFirst: r.IsFirst, Counts: decodeCounts(r.Admitted)})
--- a/internal/loadshare/receive.go
+++ b/internal/loadshare/receive.go
@@ -77,7 +77,7 @@
 		p.lastSeen = now
 		newReports = append(newReports, peerReport{p.addr, p.name, r})
 		updates = append(updates, fleetview.PeerNews{From: p.name, Report: &fleet.Report{
-			Loads: decodeLoads(r.Loads, ids), Suspects: resolveTargets(r.Suspects, ids), Demand: fleet.Demand{Items: r.Items, Due: r.Due}, Contact: p.lastStoreContact,
+			Loads: decodeLoads(r.Loads, ids), Suspects: resolveTargets(r.Suspects, ids), Demand: fleet.Demand{Items: r.Items, StartKey: r.Due}, StoreContact: p.lastStoreContact,
 		}})
 		if isCrossDomain {
 			s.hub.putReport(p.hubEntry(r, now), true)
@@ -151,5 +151,5 @@
 		e.IsIdle, e.HasStopped = isIdle, h.hasStopped
 		s.hub.putHeartbeat(e)
 	}
-	return fleetview.PeerNews{From: p.name, Sign: fleet.Sign{Heard: seenAt, Contact: now.Add(-h.storeContactAge), IsIdle: isIdle}}
+	return fleetview.PeerNews{From: p.name, Sign: fleet.Heartbeat{LastSeen: seenAt, StoreContact: now.Add(-h.storeContactAge), IsIdle: isIdle}}
 }
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -96,7 +96,7 @@
 	targets := runner.New()
 	view := fleetview.New(fleet.Options{
 		Domain: string(s.Host.Domain), Self: fleet.Peer(self),
-		StartSpare: startSpareSlots, KeepSpare: keepSpareSlots, PeerTTL: loadshare.PeerTTL, Off: s.Off,
+		MinFreeAfterStart: startSpareSlots, MinFreeSlots: keepSpareSlots, PeerTTL: loadshare.PeerTTL, Disabled: s.Off,
 	})
 	g := &Gateway{settings: s, log: logger, reg: reg, view: view, began: time.Now()}
 	g.quotas = quotas.New(self, quota.Options{Window: s.QuotaWindow, Excess: s.QuotaExcess, Slack: float64(s.QuotaSlack), ClaimTTL: claimTTL(s)}, reg)
