--- a/core/quota/peers.go
+++ b/core/quota/peers.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Peer is the address of another gateway.
-type Peer string
+// PeerAddr is the address of another gateway.
+type PeerAddr string
 
 // Count is how many requests of a workspace a gateway has admitted since its start, less refunds.
 type Count struct {
@@ -13,14 +13,14 @@
 
 // Report is the message in which a gateway sends its peers the counts that have changed recently.
 type Report struct {
-	Start string // identifies the start of the sending process; its counts begin at 0
-	// IsFirst is set in the first reports after that start: a peer that receives one of them has received the
+	StartID string // identifies the start of the sending process; its counts begin at 0
+	// IsAfterStart is set in the first reports after that start: a peer that receives one of them has received the
 	// counts from 0 on.
-	IsFirst bool
-	Counts  []Count
-	// Delay is how much longer than usual the next report of the sender may take, because other gateways
+	IsAfterStart bool
+	Counts       []Count
+	// ForwardDelay is how much longer than usual the next report of the sender may take, because other gateways
 	// forward it; 0 if it is sent directly.
-	Delay time.Duration
+	ForwardDelay time.Duration
 }
 
 // peer is what this gateway has recorded about another gateway.
@@ -40,43 +40,43 @@
 
 // AddPeer adds a peer by its address. Until its first report it counts as one that may admit requests but
 // sends no reports. It has no effect on a peer that is already known.
-func (l *Ledger) AddPeer(now time.Time, addr Peer) {
+func (l *Limiter) AddPeer(now time.Time, addr PeerAddr) {
 	if _, ok := l.peers[addr]; !ok {
 		l.peers[addr] = &peer{lastSeen: now, totals: make(map[string]int64)}
 		l.nextExpiry = now
 	}
 }
 
-// Forget drops a peer that has stopped. Its share of the buckets passes to the other gateways.
-func (l *Ledger) Forget(now time.Time, addr Peer) {
+// RemovePeer drops a peer that has stopped. Its share of the buckets passes to the other gateways.
+func (l *Limiter) RemovePeer(now time.Time, addr PeerAddr) {
 	l.clearReserves()
 	delete(l.peers, addr)
 	l.nextExpiry = now
 }
 
 // debit takes n tokens, for admissions of a peer, from the bucket of the workspace called name.
-func (l *Ledger) debit(now time.Time, name string, n int64) {
+func (l *Limiter) debit(now time.Time, name string, n int64) {
 	if b, ok := l.buckets[name]; ok {
 		b.refill(now, l.share)
 		b.tokens = min(b.tokens-float64(n), b.capacity(l.share))
 	}
 }
 
-// Apply applies a report of a peer: it debits what the peer has admitted since its last report.
-func (l *Ledger) Apply(now time.Time, addr Peer, r Report) {
+// ApplyReport applies a report of a peer: it debits what the peer has admitted since its last report.
+func (l *Limiter) ApplyReport(now time.Time, addr PeerAddr, r Report) {
 	p, ok := l.peers[addr]
-	if !ok || !p.hasReported || p.startID != r.Start {
-		if !r.IsFirst && now.Sub(l.startedAt) < joinWindow {
+	if !ok || !p.hasReported || p.startID != r.StartID {
+		if !r.IsAfterStart && now.Sub(l.startedAt) < joinWindow {
 			l.capInitialTokens()
 		}
-		p = &peer{startID: r.Start, lastSeen: now, isTrackedFromStart: r.IsFirst, hasReported: true, totals: make(map[string]int64)}
+		p = &peer{startID: r.StartID, lastSeen: now, isTrackedFromStart: r.IsAfterStart, hasReported: true, totals: make(map[string]int64)}
 		l.peers[addr] = p
 		l.nextExpiry = now
 	}
 	if p.isSilent(now) {
 		l.resumePeer(now, p)
 	}
-	p.lastSeen, p.forwardDelay = now, r.Delay
+	p.lastSeen, p.forwardDelay = now, r.ForwardDelay
 	for _, c := range r.Counts {
 		l.debit(now, c.Workspace, p.newAdmissions(c))
 	}
@@ -89,7 +89,7 @@
 // capInitialTokens limits each bucket to one token; only the first call has an effect. It is called if other
 // gateways were admitting requests before this process started: how many tokens they have left is unknown,
 // and they may use all of them.
-func (l *Ledger) capInitialTokens() {
+func (l *Limiter) capInitialTokens() {
 	if l.hasRunningPeers {
 		return
 	}
@@ -104,7 +104,7 @@
 const partitionSilence = time.Second
 
 // resumePeer handles the first report of a peer after a silence.
-func (l *Ledger) resumePeer(now time.Time, p *peer) {
+func (l *Limiter) resumePeer(now time.Time, p *peer) {
 	if now.Sub(p.lastSeen) > partitionSilence {
 		l.clearReserves()
 		clear(p.totals)
@@ -131,7 +131,7 @@
 
 // Counts returns the counts for this gateway's next report, at most maxCountsPerReport: those that have been
 // in fewer than reportRepeats reports since their last change.
-func (l *Ledger) Counts() []Count {
+func (l *Limiter) Counts() []Count {
 	var list []Count
 	for name, b := range l.buckets {
 		if len(list) == maxCountsPerReport {
@@ -147,16 +147,16 @@
 
 // updateShare computes the share of the buckets that this gateway may use: the number of gateways whose
 // reports it receives, itself included, divided by the number of all gateways that may admit requests. Peers
-// whose last report is older than Options.ClaimTTL are dropped. A smaller share takes effect immediately.
+// whose last report is older than Options.PeerShareTTL are dropped. A smaller share takes effect immediately.
 // Nothing is computed before nextExpiry, when the next peer may become silent.
-func (l *Ledger) updateShare(now time.Time) {
+func (l *Limiter) updateShare(now time.Time) {
 	if now.Before(l.nextExpiry) {
 		return
 	}
 	reachable, total := 1, 1
 	next := now.Add(peerSilenceLimit)
 	for addr, p := range l.peers {
-		if now.Sub(p.lastSeen) > l.opts.ClaimTTL {
+		if now.Sub(p.lastSeen) > l.opts.PeerShareTTL {
 			delete(l.peers, addr)
 			l.clearReserves()
 			continue
@@ -174,14 +174,14 @@
 }
 
 // clearReserves drops the tokens that are set aside for silent peers, because these may have used them.
-func (l *Ledger) clearReserves() {
+func (l *Limiter) clearReserves() {
 	for _, b := range l.buckets {
 		b.reserve = 0
 	}
 }
 
 // setShare changes the share of the buckets that this gateway may use.
-func (l *Ledger) setShare(now time.Time, share float64) {
+func (l *Limiter) setShare(now time.Time, share float64) {
 	if share == l.share {
 		return
 	}
@@ -193,7 +193,7 @@
 }
 
 // Share is the share of the buckets that this gateway may use, 0 to 1.
-func (l *Ledger) Share(now time.Time) float64 {
+func (l *Limiter) Share(now time.Time) float64 {
 	l.updateShare(now)
 	return l.share
 }
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -34,32 +34,32 @@
 	reportRepeats = 3
 )
 
-// Options are the settings of a Ledger.
+// Options are the settings of a Limiter.
 type Options struct {
-	// Window is the length of the period for which Excess and Slack bound the requests beyond the quota.
+	// Window is the length of the period for which MaxExcessShare and MaxExcessRequests bound the requests beyond the quota.
 	Window time.Duration
-	// Excess is how many requests beyond the quota are tolerated in a window, as a share of what the quota
+	// MaxExcessShare is how many requests beyond the quota are tolerated in a window, as a share of what the quota
 	// allows in it, 0 to 1.
-	Excess float64
-	// Slack is how many more requests beyond the quota are tolerated in a window, in addition to Excess.
-	Slack float64
-	// ClaimTTL is how long after its last report a peer keeps its share of the buckets. After that it has
+	MaxExcessShare float64
+	// MaxExcessRequests is how many more requests beyond the quota are tolerated in a window, in addition to MaxExcessShare.
+	MaxExcessRequests float64
+	// PeerShareTTL is how long after its last report a peer keeps its share of the buckets. After that it has
 	// stopped, or may not admit requests any more.
-	ClaimTTL time.Duration
+	PeerShareTTL time.Duration
 }
 
 // headroom is how many tokens the bucket of a quota holds beyond its burst.
 func (o Options) headroom(q workspace.Quota) float64 {
 	allowed := q.PerSecond*o.Window.Seconds() + q.Burst
-	return headroomShare * (o.Excess*allowed + o.Slack)
+	return headroomShare * (o.MaxExcessShare*allowed + o.MaxExcessRequests)
 }
 
-// Ledger limits the requests of workspaces at one gateway. It holds a bucket for each workspace with a quota,
+// Limiter limits the requests of workspaces at one gateway. It holds a bucket for each workspace with a quota,
 // and is not safe for concurrent use.
-type Ledger struct {
+type Limiter struct {
 	opts    Options
 	buckets map[string]*bucket // by name of the workspace
-	peers   map[Peer]*peer
+	peers   map[PeerAddr]*peer
 	// share is the share of each bucket that this gateway may use, 0 to 1; see updateShare.
 	share      float64
 	nextExpiry time.Time // no peer becomes silent or expires before it
@@ -70,9 +70,9 @@
 	hasQuotas bool
 }
 
-// New returns a Ledger without workspaces for a gateway that starts now.
-func New(now time.Time, o Options) *Ledger {
-	return &Ledger{opts: o, startedAt: now, buckets: make(map[string]*bucket), peers: make(map[Peer]*peer), share: 1}
+// New returns a Limiter without workspaces for a gateway that starts now.
+func New(now time.Time, o Options) *Limiter {
+	return &Limiter{opts: o, startedAt: now, buckets: make(map[string]*bucket), peers: make(map[PeerAddr]*peer), share: 1}
 }
 
 // bucket is the token bucket of one workspace at this gateway.
@@ -88,7 +88,7 @@
 
 // SetQuotas applies the quotas of a configuration. A bucket with a changed quota keeps its tokens, or its
 // debt, up to its new capacity. Buckets of workspaces without a quota are dropped.
-func (l *Ledger) SetQuotas(now time.Time, workspaces []workspace.Workspace) {
+func (l *Limiter) SetQuotas(now time.Time, workspaces []workspace.Workspace) {
 	limited := make(map[string]bool, len(workspaces))
 	for _, w := range workspaces {
 		if _, ok := limited[w.Name]; ok {
@@ -108,7 +108,7 @@
 }
 
 // setQuota applies the quota of the workspace called name.
-func (l *Ledger) setQuota(now time.Time, name string, q workspace.Quota) {
+func (l *Limiter) setQuota(now time.Time, name string, q workspace.Quota) {
 	b, ok := l.buckets[name]
 	if !ok {
 		b = &bucket{refilledAt: now}
@@ -179,7 +179,7 @@
 
 // Admit decides on one request of the workspace called name, and takes a token if it is admitted. Requests of
 // workspaces without a quota are always admitted.
-func (l *Ledger) Admit(now time.Time, name string) Decision {
+func (l *Limiter) Admit(now time.Time, name string) Decision {
 	b, ok := l.buckets[name]
 	if !ok {
 		return Decision{IsAdmitted: true, Share: 1}
@@ -196,7 +196,7 @@
 }
 
 // Refund returns the token of an admitted request that no target has run.
-func (l *Ledger) Refund(now time.Time, name string) {
+func (l *Limiter) Refund(now time.Time, name string) {
 	if b, ok := l.buckets[name]; ok {
 		b.refill(now, l.share)
 		b.take(-1)
@@ -219,7 +219,7 @@
 }
 
 // Usage returns the state of the bucket of the workspace called name; ok is false without a quota.
-func (l *Ledger) Usage(now time.Time, name string) (u Usage, ok bool) {
+func (l *Limiter) Usage(now time.Time, name string) (u Usage, ok bool) {
 	b, ok := l.buckets[name]
 	if !ok {
 		return Usage{}, false
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -13,7 +13,7 @@
 
 // options returns the settings of the tests.
 func options() Options {
-	return Options{Window: 5 * time.Second, Excess: 0.1, Slack: 20, ClaimTTL: 6 * time.Second}
+	return Options{Window: 5 * time.Second, MaxExcessShare: 0.1, MaxExcessRequests: 20, PeerShareTTL: 6 * time.Second}
 }
 
 // workspacesWithQuota returns a workspace with a quota of perSecond and burst.
@@ -22,14 +22,14 @@
 }
 
 // newLimiter returns a limiter with a quota for workspace w, and a time at which its bucket is full.
-func newLimiter() (*Ledger, time.Time) {
+func newLimiter() (*Limiter, time.Time) {
 	l := New(start, options())
 	l.SetQuotas(start, workspacesWithQuota("w"))
 	return l, start.Add(time.Minute)
 }
 
 // admitAll admits requests of workspace w until one is rejected, and returns the decision on that one.
-func admitAll(l *Ledger, now time.Time) (admitted int, d Decision) {
+func admitAll(l *Limiter, now time.Time) (admitted int, d Decision) {
 	for d = l.Admit(now, "w"); d.IsAdmitted; d = l.Admit(now, "w") {
 		admitted++
 	}
@@ -79,12 +79,12 @@
 func TestCountsAreReportedRepeatedly(t *testing.T) {
 	sender, now := newLimiter()
 	receiver, _ := newLimiter()
-	receiver.Apply(now, "a", Report{Start: "1", IsFirst: true})
+	receiver.ApplyReport(now, "a", Report{StartID: "1", IsAfterStart: true})
 	sender.Admit(now, "w")
 	sender.Counts() // this report is lost
 	sender.Admit(now, "w")
 	for range reportRepeats {
-		receiver.Apply(now, "a", Report{Start: "1", Counts: sender.Counts()})
+		receiver.ApplyReport(now, "a", Report{StartID: "1", Counts: sender.Counts()})
 	}
 	if len(sender.Counts()) != 0 {
 		t.Error("a count is in a fourth report after its last change, want 3 reports")
@@ -96,7 +96,7 @@
 }
 
 // fullLimiter returns a limiter whose bucket of workspace w is full at now.
-func fullLimiter(now time.Time) *Ledger {
+func fullLimiter(now time.Time) *Limiter {
 	l := New(start, options())
 	l.SetQuotas(start, workspacesWithQuota("w"))
 	l.Share(now)
@@ -107,14 +107,14 @@
 // from the moment they become silent until it receives their reports again.
 func TestSilentPeersKeepTheirShare(t *testing.T) {
 	l, now := newLimiter()
-	for _, p := range []Peer{"a", "b", "c"} {
-		l.Apply(now, p, Report{Start: "1", IsFirst: true})
+	for _, p := range []PeerAddr{"a", "b", "c"} {
+		l.ApplyReport(now, p, Report{StartID: "1", IsAfterStart: true})
 	}
 	if s := l.Share(now); s != 1 {
 		t.Fatalf("the share of the buckets is %v while no peer is silent, want 1", s)
 	}
 	now = now.Add(peerSilenceLimit + time.Millisecond)
-	l.Apply(now, "a", Report{Start: "1"})
+	l.ApplyReport(now, "a", Report{StartID: "1"})
 	now = now.Add(time.Millisecond)
 	if s := l.Share(now); s != 0.5 {
 		t.Errorf("the share of the buckets is %v while two of four gateways are silent, want 0.5", s)
@@ -123,11 +123,11 @@
 	if n > (burst+4)/2 {
 		t.Errorf("%d requests admitted with a share of a half, want at most 12", n)
 	}
-	l.Forget(now, "b")
+	l.RemovePeer(now, "b")
 	if s := l.Share(now); s != 2.0/3 {
 		t.Errorf("the share of the buckets is %v after one of the silent gateways has stopped, want 2/3", s)
 	}
-	l.Apply(now, "c", Report{Start: "1"})
+	l.ApplyReport(now, "c", Report{StartID: "1"})
 	if s := l.Share(now); s != 1 {
 		t.Errorf("the share of the buckets is %v after a report of the other silent gateway, want 1", s)
 	}
@@ -135,7 +135,7 @@
 
 func TestSilentPeerLosesItsShareAfterTTL(t *testing.T) {
 	l, now := newLimiter()
-	l.Apply(now, "a", Report{Start: "1"})
+	l.ApplyReport(now, "a", Report{StartID: "1"})
 	if s := l.Share(now.Add(5 * time.Second)); s != 0.5 {
 		t.Errorf("the share of the buckets is %v while the silent peer may still admit requests, want 0.5", s)
 	}
@@ -148,11 +148,11 @@
 // aside; it must not be debited again when the peer reports it.
 func TestReturningPeerIsNotDebitedTwice(t *testing.T) {
 	l, now := newLimiter()
-	l.Apply(now, "a", Report{Start: "1", IsFirst: true, Counts: []Count{{"w", 1}}})
+	l.ApplyReport(now, "a", Report{StartID: "1", IsAfterStart: true, Counts: []Count{{"w", 1}}})
 	now = now.Add(2 * time.Second)
 	l.Share(now)
 	usageBefore, _ := l.Usage(now, "w")
-	l.Apply(now, "a", Report{Start: "1", Counts: []Count{{"w", 500}}})
+	l.ApplyReport(now, "a", Report{StartID: "1", Counts: []Count{{"w", 500}}})
 	if usageAfter, _ := l.Usage(now, "w"); usageBefore.Tokens-usageAfter.Tokens > 1 {
 		t.Errorf("%v tokens debited for a peer that reports again after two seconds, want at most 1", usageBefore.Tokens-usageAfter.Tokens)
 	}
@@ -162,15 +162,15 @@
 // is available again after its next report.
 func TestShortSilenceRestoresTheFullShare(t *testing.T) {
 	l, now := newLimiter()
-	l.Apply(now, "a", Report{Start: "1", IsFirst: true})
-	l.Apply(now, "b", Report{Start: "1", IsFirst: true})
+	l.ApplyReport(now, "a", Report{StartID: "1", IsAfterStart: true})
+	l.ApplyReport(now, "b", Report{StartID: "1", IsAfterStart: true})
 	usageBefore, _ := l.Usage(now, "w")
 	now = now.Add(peerSilenceLimit + 10*time.Millisecond)
-	l.Apply(now, "a", Report{Start: "1"})
+	l.ApplyReport(now, "a", Report{StartID: "1"})
 	if s := l.Share(now.Add(time.Millisecond)); s == 1 {
 		t.Fatal("the share of the buckets is 1 while a peer is silent, want less")
 	}
-	l.Apply(now.Add(2*time.Millisecond), "b", Report{Start: "1", Counts: []Count{{"w", 3}}})
+	l.ApplyReport(now.Add(2*time.Millisecond), "b", Report{StartID: "1", Counts: []Count{{"w", 3}}})
 	l.Share(now.Add(3 * time.Millisecond))
 	if usageAfter, _ := l.Usage(now.Add(3*time.Millisecond), "w"); usageBefore.Tokens-usageAfter.Tokens > 3.1 {
 		t.Errorf("%v tokens before and %v after three admissions of a peer, want at most 3.1 fewer", usageBefore.Tokens, usageAfter.Tokens)
@@ -181,13 +181,13 @@
 // it starts with at most one token per bucket if its peers were running before.
 func TestJoiningGatewayStartsWithoutBurst(t *testing.T) {
 	joining := New(start, options())
-	joining.Apply(start, "a", Report{Start: "1"})
+	joining.ApplyReport(start, "a", Report{StartID: "1"})
 	joining.SetQuotas(start, workspacesWithQuota("w"))
 	if n, _ := admitAll(joining, start); n > 1 {
 		t.Errorf("%d requests admitted while joining running peers, want at most 1", n)
 	}
 	simultaneous := New(start, options())
-	simultaneous.Apply(start, "a", Report{Start: "1", IsFirst: true})
+	simultaneous.ApplyReport(start, "a", Report{StartID: "1", IsAfterStart: true})
 	simultaneous.SetQuotas(start, workspacesWithQuota("w"))
 	if n, _ := admitAll(simultaneous, start); n < burst/2 {
 		t.Errorf("%d requests admitted after all gateways started together, want at least 10", n)
@@ -200,7 +200,7 @@
 	if n, _ := admitAll(l, now); n > 6 {
 		t.Errorf("%d requests admitted under a quota of 1/s with a burst of 2, want at most 6", n)
 	}
-	l.Apply(now, "a", Report{Start: "1", IsFirst: true, Counts: []Count{{"w", 10}}})
+	l.ApplyReport(now, "a", Report{StartID: "1", IsAfterStart: true, Counts: []Count{{"w", 10}}})
 	l.SetQuotas(now, workspacesWithQuota("w"))
 	if u, _ := l.Usage(now, "w"); u.Tokens > -9 {
 		t.Errorf("%v tokens after a debt of 10 and a higher quota, want at most -9", u.Tokens)
@@ -242,16 +242,16 @@
 // because other gateways forward them, and the peer counts as silent between two of them.
 func TestForwardedReportsMayArriveLater(t *testing.T) {
 	now := time.Unix(0, 0)
-	l := New(now, Options{ClaimTTL: time.Minute})
-	l.Apply(now, "direct", Report{Start: "a"})
-	l.Apply(now, "forwarded", Report{Start: "b", Delay: 200 * time.Millisecond})
+	l := New(now, Options{PeerShareTTL: time.Minute})
+	l.ApplyReport(now, "direct", Report{StartID: "a"})
+	l.ApplyReport(now, "forwarded", Report{StartID: "b", ForwardDelay: 200 * time.Millisecond})
 	now = now.Add(peerSilenceLimit + 100*time.Millisecond)
-	l.Apply(now, "direct", Report{Start: "a"})
+	l.ApplyReport(now, "direct", Report{StartID: "a"})
 	if share := l.Share(now); share != 1 {
 		t.Errorf("the share of the buckets is %v while no peer is silent, want 1", share)
 	}
 	now = now.Add(peerSilenceLimit)
-	l.Apply(now, "direct", Report{Start: "a"})
+	l.ApplyReport(now, "direct", Report{StartID: "a"})
 	if share := l.Share(now); share > 0.7 {
 		t.Errorf("the share of the buckets is %v while one of two peers is silent, want at most 0.7", share)
 	}
--- a/core/quota/sim_test.go
+++ b/core/quota/sim_test.go
@@ -232,7 +232,7 @@
 
 // excess is the largest number of requests admitted in any window, less what is allowed in a window.
 func (l *simLoad) excess(o Options) float64 {
-	allowed := (l.quota.PerSecond*o.Window.Seconds()+l.quota.Burst)*(1+o.Excess) + o.Slack
+	allowed := (l.quota.PerSecond*o.Window.Seconds()+l.quota.Burst)*(1+o.MaxExcessShare) + o.MaxExcessRequests
 	largest, first := 0, 0
 	for i, arrival := range l.admitted {
 		for arrival.Sub(l.admitted[first]) > o.Window {
@@ -263,7 +263,7 @@
 func newSimulation(seed uint64, kind faultKind, build func(*simulation) strategy) *simulation {
 	s := &simulation{
 		rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0),
-		options: Options{Window: 5 * time.Second, Excess: 0.1, Slack: 20, ClaimTTL: 6 * time.Second},
+		options: Options{Window: 5 * time.Second, MaxExcessShare: 0.1, MaxExcessRequests: 20, PeerShareTTL: 6 * time.Second},
 	}
 	n := 3 + s.rng.IntN(6)
 	if s.rng.IntN(8) == 0 {
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -9,10 +9,10 @@
 
 // reportedCounts is the strategy of this package: each gateway keeps whole buckets and receives reports of
 // what the others admit.
-type reportedCounts struct{ limiters []*Ledger }
+type reportedCounts struct{ limiters []*Limiter }
 
 func newReportedCounts(s *simulation) strategy {
-	return &reportedCounts{limiters: make([]*Ledger, len(s.gateways))}
+	return &reportedCounts{limiters: make([]*Limiter, len(s.gateways))}
 }
 
 // stopDetectionDelay is how long the gateways on the same side of a partition take to detect that a process
@@ -24,7 +24,7 @@
 	s.schedule(stopDetectionDelay, func() {
 		for i, l := range r.limiters {
 			if s.gateways[gateway].isDown && s.gateways[gateway].startCount == startCount && s.partitionSide[i] == s.partitionSide[gateway] {
-				l.Forget(s.now, simPeer(gateway))
+				l.RemovePeer(s.now, simPeer(gateway))
 			}
 		}
 	})
@@ -51,14 +51,14 @@
 }
 
 // simPeer returns the address of gateway i.
-func simPeer(i int) Peer { return Peer(fmt.Sprint(i)) }
+func simPeer(i int) PeerAddr { return PeerAddr(fmt.Sprint(i)) }
 
 // Intervals of reports. A changed count is reported within simReportInterval, and a report is sent at least
 // every simRefreshInterval.
 const (
 	simReportInterval  = 15 * time.Millisecond
 	simRefreshInterval = 200 * time.Millisecond
-	simFirstReports    = 20 // number of reports with IsFirst after a start
+	simFirstReports    = 20 // number of reports with IsAfterStart after a start
 )
 
 // report sends report number n since the start of gateway from to all others, and schedules the next one.
@@ -66,10 +66,10 @@
 	if s.gateways[from].startCount != startCount {
 		return // the gateway has restarted since
 	}
-	report := Report{Start: fmt.Sprint(startCount), IsFirst: n < simFirstReports, Counts: r.limiters[from].Counts()}
+	report := Report{StartID: fmt.Sprint(startCount), IsAfterStart: n < simFirstReports, Counts: r.limiters[from].Counts()}
 	for to := range s.gateways {
 		if to != from {
-			s.send(from, to, func() { r.limiters[to].Apply(s.now, simPeer(from), report) })
+			s.send(from, to, func() { r.limiters[to].ApplyReport(s.now, simPeer(from), report) })
 		}
 	}
 	r.awaitChange(s, from, startCount, n+1, simRefreshInterval)
@@ -97,7 +97,7 @@
 type fullShare struct{ reportedCounts }
 
 func newFullShare(s *simulation) strategy {
-	return &fullShare{reportedCounts{limiters: make([]*Ledger, len(s.gateways))}}
+	return &fullShare{reportedCounts{limiters: make([]*Limiter, len(s.gateways))}}
 }
 
 func (f *fullShare) admit(s *simulation, gateway int, l *simLoad) bool {
--- a/core/shed/fairness_test.go
+++ b/core/shed/fairness_test.go
@@ -32,9 +32,9 @@
 	rng             *rand.Rand
 	now             time.Time
 	controller      Controller
-	limiter         *quota.Ledger // nil admits all requests
-	isNearLimitLast bool          // requests of workspaces near their limit rank below the others
-	slotFreeAt      []time.Time   // when each slot becomes free
+	limiter         *quota.Limiter // nil admits all requests
+	isNearLimitLast bool           // requests of workspaces near their limit rank below the others
+	slotFreeAt      []time.Time    // when each slot becomes free
 	queuedCalls     []queuedCall
 	pendingRetries  []call
 	offered         [workspaceCount]int // requests sent, by workspace
@@ -59,7 +59,7 @@
 func newFairnessSim(seed uint64, hasQuota, isNearLimitLast bool) *fairnessSim {
 	s := &fairnessSim{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), isNearLimitLast: isNearLimitLast, slotFreeAt: make([]time.Time, slotCount)}
 	if hasQuota {
-		s.limiter = quota.New(s.now, quota.Options{Window: 5 * time.Second, Excess: 0.1, Slack: 20, ClaimTTL: time.Minute})
+		s.limiter = quota.New(s.now, quota.Options{Window: 5 * time.Second, MaxExcessShare: 0.1, MaxExcessRequests: 20, PeerShareTTL: time.Minute})
 		var workspaces []workspace.Workspace
 		for i := range workspaceCount {
 			workspaces = append(workspaces, workspace.Workspace{Name: workspaceName(i), Quota: workspace.Quota{PerSecond: quotaRate, Burst: quotaRate}})
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -313,7 +313,7 @@
 	now := time.Now()
 	quotaReport := s.quotas.Report()
 	r := report{
-		IsFirst: quotaReport.IsFirst, Admitted: encodeCounts(quotaReport.Counts),
+		IsFirst: quotaReport.IsAfterStart, Admitted: encodeCounts(quotaReport.Counts),
 		From: s.self, Seq: seq, Loads: encodeLoads(fleetReport.Loads), Items: fleetReport.Demand.Items, Due: fleetReport.Demand.StartKey,
 		ContactAge: now.Sub(fleetReport.StoreContact).Milliseconds(), Detours: s.hasLostStore(), Domain: s.domain, Suspects: newDigests(fleetReport.Suspects), Quarantine: encodeRecords(s.quarantine.ToTell()),
 		Unknown: s.takeUnknownIDs(), Capacity: s.capacity,
@@ -431,7 +431,7 @@
 		StoreContact: r.lastStoreContact(time.Now()),
 	})
 	s.quarantine.Apply(s.decodeRecords(r.Quarantine, from))
-	s.quotas.Apply(from.String(), quota.Report{Start: string(r.From), IsFirst: r.IsFirst, Counts: decodeCounts(r.Admitted)})
+	s.quotas.Apply(from.String(), quota.Report{StartID: string(r.From), IsAfterStart: r.IsFirst, Counts: decodeCounts(r.Admitted)})
 }
 
 // decodeRecords decodes the quarantine records of the peer at from. Records that cannot be decoded are logged
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -23,7 +23,7 @@
 // the store.
 func testOptions(self fleet.Peer, v *fleetview.View) Options {
 	return Options{
-		Addr: "127.0.0.1:0", Self: self, Domain: "d", View: v, Quotas: quotas.New(string(self), quota.Options{ClaimTTL: time.Minute}, metrics.NewRegistry()),
+		Addr: "127.0.0.1:0", Self: self, Domain: "d", View: v, Quotas: quotas.New(string(self), quota.Options{PeerShareTTL: time.Minute}, metrics.NewRegistry()),
 		Quarantine: &fakeQuarantine{},
 		Detours:    func() bool { return false }, Log: hclog.NewNullLogger(),
 	}
--- a/internal/loadshare/quota_test.go
+++ b/internal/loadshare/quota_test.go
@@ -22,7 +22,7 @@
 // newTestQuotas returns the quotas of a gateway for workspace w: a bucket of 100 requests that refills with
 // 1e-6 requests a second, so hardly at all during a test.
 func newTestQuotas(name string) *quotas.Quotas {
-	q := quotas.New(name, quota.Options{Window: time.Minute, ClaimTTL: time.Minute}, metrics.NewRegistry())
+	q := quotas.New(name, quota.Options{Window: time.Minute, PeerShareTTL: time.Minute}, metrics.NewRegistry())
 	q.SetWorkspaces([]workspace.Workspace{{Name: "w", Quota: workspace.Quota{PerSecond: 1e-6, Burst: 100}}})
 	return q
 }
--- a/internal/loadshare/receive.go
+++ b/internal/loadshare/receive.go
@@ -123,7 +123,7 @@
 func (s *Share) applyAdmissionsAndRecords(reports []peerReport) {
 	for _, r := range reports {
 		s.quarantine.Apply(s.decodeRecords(r.Quarantine, r.addr))
-		s.quotas.Apply(r.addr.String(), quota.Report{Start: string(r.name), IsFirst: r.IsFirst, Counts: decodeCounts(r.Admitted), Delay: maxHubDelay})
+		s.quotas.Apply(r.addr.String(), quota.Report{StartID: string(r.name), IsAfterStart: r.IsFirst, Counts: decodeCounts(r.Admitted), ForwardDelay: maxHubDelay})
 	}
 }
 
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -99,7 +99,7 @@
 		MinFreeAfterStart: startSpareSlots, MinFreeSlots: keepSpareSlots, PeerTTL: loadshare.PeerTTL, Disabled: s.Off,
 	})
 	g := &Gateway{settings: s, log: logger, reg: reg, view: view, began: time.Now()}
-	g.quotas = quotas.New(self, quota.Options{Window: s.QuotaWindow, Excess: s.QuotaExcess, Slack: float64(s.QuotaSlack), ClaimTTL: claimTTL(s)}, reg)
+	g.quotas = quotas.New(self, quota.Options{Window: s.QuotaWindow, MaxExcessShare: s.QuotaExcess, MaxExcessRequests: float64(s.QuotaSlack), PeerShareTTL: claimTTL(s)}, reg)
 	g.quarantine = quarantine.New(quarantine.Options{
 		Threshold: s.QuarantineAfter, Hold: s.QuarantineHold, Off: s.Off, Prober: targets, Fleet: view, Log: logger.Named("quarantine"), Metrics: reg,
 	})
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -13,7 +13,7 @@
 )
 
 // Quotas holds the quotas of all workspaces and the admissions of all gateways. It puts a lock around a
-// quota.Ledger and counts decisions. It is safe for concurrent use.
+// quota.Limiter and counts decisions. It is safe for concurrent use.
 type Quotas struct {
 	startID  string // identifies this start of the process
 	admitted metrics.Counter
@@ -21,7 +21,7 @@
 	refunded metrics.Counter // admitted requests whose charge was returned
 
 	mu     sync.Mutex
-	ledger *quota.Ledger
+	ledger *quota.Limiter
 	// reportsMade is how often Report was called.
 	reportsMade int
 }
@@ -77,7 +77,7 @@
 func (q *Quotas) AddPeer(addr string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.AddPeer(time.Now(), quota.Peer(addr))
+	q.ledger.AddPeer(time.Now(), quota.PeerAddr(addr))
 }
 
 // Forget removes the peer at addr, which is known to have stopped. Its share of the quotas goes to the other
@@ -85,14 +85,14 @@
 func (q *Quotas) Forget(addr string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.Forget(time.Now(), quota.Peer(addr))
+	q.ledger.RemovePeer(time.Now(), quota.PeerAddr(addr))
 }
 
 // Apply charges the quotas with the admissions in a report from the peer at addr.
 func (q *Quotas) Apply(addr string, r quota.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.Apply(time.Now(), quota.Peer(addr), r)
+	q.ledger.ApplyReport(time.Now(), quota.PeerAddr(addr), r)
 }
 
 // Report returns the next report for the peers, with the admissions of this gateway that have changed recently.
@@ -100,7 +100,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.reportsMade++
-	return quota.Report{Start: q.startID, IsFirst: q.reportsMade <= maxFirstReports, Counts: q.ledger.Counts()}
+	return quota.Report{StartID: q.startID, IsAfterStart: q.reportsMade <= maxFirstReports, Counts: q.ledger.Counts()}
 }
 
 // Share returns the fraction of each quota that this gateway may use, from 0 to 1. It is below 1 while peers
