--- a/core/workspace/workspace.go
+++ b/core/workspace/workspace.go
@@ -109,15 +109,15 @@
 	return w, ok
 }
 
-// All calls visit for each workspace, in no particular order.
-func (ix *Index) All(visit func(*Workspace)) {
+// ForEach calls visit for each workspace, in no particular order.
+func (ix *Index) ForEach(visit func(*Workspace)) {
 	for _, w := range ix.byName {
 		visit(w)
 	}
 }
 
-// Ranks returns how many workspaces have each rank, without those that have none.
-func (ix *Index) Ranks() map[int]int {
+// RankCounts returns how many workspaces have each rank, without those that have none.
+func (ix *Index) RankCounts() map[int]int {
 	ranks := make(map[int]int)
 	for _, w := range ix.byName {
 		if w.Rank != nil {
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -220,7 +220,7 @@
 	for _, problem := range append(c.Problems, problems...) {
 		w.log.Error("part of the configuration left out", "version", c.Version, "error", problem)
 	}
-	w.log.Info("configuration in force", "version", c.Version, "routes", len(c.Routes), "keys_required", c.KeysRequired, "workspaces", index.Len(), "workspace_ranks", fmt.Sprint(index.Ranks()))
+	w.log.Info("configuration in force", "version", c.Version, "routes", len(c.Routes), "keys_required", c.KeysRequired, "workspaces", index.Len(), "workspace_ranks", fmt.Sprint(index.RankCounts()))
 }
 
 // followTargets reads the target list repeatedly and applies its changes, until ctx ends.
