--- a/core/freshness/freshness.go
+++ b/core/freshness/freshness.go
@@ -41,14 +41,14 @@
 	return now - p.readStart, p.isConfirmed
 }
 
-// Holds reports whether the copy may be used: a confirmation is still valid.
-func (p *Proof) Holds(now time.Duration) bool {
+// IsFresh reports whether the copy may be used: a confirmation is still valid.
+func (p *Proof) IsFresh(now time.Duration) bool {
 	return p.isConfirmed && (p.bound == 0 || now-p.readStart < p.effectiveBound())
 }
 
-// IsFailing reports whether half of the bound has passed without a confirmation; never with a bound of 0. A
+// IsExpiring reports whether half of the bound has passed without a confirmation; never with a bound of 0. A
 // load balancer needs the other half to send callers to other hosts.
-func (p *Proof) IsFailing(now time.Duration) bool {
+func (p *Proof) IsExpiring(now time.Duration) bool {
 	return p.bound > 0 && (!p.isConfirmed || now-p.readStart >= p.bound/2)
 }
 
--- a/core/freshness/model_test.go
+++ b/core/freshness/model_test.go
@@ -119,7 +119,7 @@
 // revocation.
 func (m *modelState) isViolated() bool {
 	isLate := m.revoked >= 0 && m.now-m.revoked > modelBound
-	return isLate && m.proof.Holds(time.Duration(m.now)*step) && !m.isRevocationApplied
+	return isLate && m.proof.IsFresh(time.Duration(m.now)*step) && !m.isRevocationApplied
 }
 
 // explore applies all sequences of up to depth events to a state. It returns sequence, which led to that
--- a/internal/watch/access.go
+++ b/internal/watch/access.go
@@ -60,7 +60,7 @@
 // the method holds w.mu.
 func (w *Watch) identifyKeyHolder(credential workspace.Credential) (serving.Caller, error) {
 	now := w.clock()
-	if !w.proof.Holds(now) {
+	if !w.proof.IsFresh(now) {
 		age, _ := w.proof.Age(now)
 		return serving.Caller{}, errs.Newf(errs.ConfigStale, "version %d of the configuration was last confirmed %d ms ago; keys may have been revoked since then",
 			w.config.Version, age.Milliseconds()).WithRetry(w.chooseStaleRetry())
@@ -85,5 +85,5 @@
 func (w *Watch) IsStale() bool {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
-	return w.config != nil && w.config.KeysRequired && w.proof.IsFailing(w.clock())
+	return w.config != nil && w.config.KeysRequired && w.proof.IsExpiring(w.clock())
 }
