--- a/core/quarantine/contain_sim_test.go
+++ b/core/quarantine/contain_sim_test.go
@@ -52,7 +52,7 @@
 type containRun struct {
 	item      *containItem
 	beganAt   time.Time
-	hasPassed bool // see PassTime
+	hasPassed bool // see MinPassDuration
 }
 
 // containTarget is a target of a containFleet.
@@ -100,9 +100,9 @@
 			uri = fmt.Sprint("uri", client, "/", job, "/", i)
 		}
 		item.subject = Subject{
-			Content: hashParts(nil, fmt.Sprint(job, "/", i)),
-			Scopes:  []Fingerprint{hashParts(nil, uri), hashParts(nil, fmt.Sprint("job", job)), hashParts(nil, "route")},
-			Narrow:  2,
+			Content:      hashParts(nil, fmt.Sprint(job, "/", i)),
+			Scopes:       []Fingerprint{hashParts(nil, uri), hashParts(nil, fmt.Sprint("job", job)), hashParts(nil, "route")},
+			NarrowScopes: 2,
 		}
 		if !item.isCrashing {
 			f.harmless++
@@ -213,7 +213,7 @@
 			if r.item.isCrashing {
 				return false
 			}
-			if f.rules.hasScopes && !r.hasPassed && ran >= simFirstEventDelay+PassTime {
+			if f.rules.hasScopes && !r.hasPassed && ran >= simFirstEventDelay+MinPassDuration {
 				r.hasPassed = true
 				f.registry.NotePassed(f.now, r.item.subject)
 			}
--- a/core/quarantine/fingerprint.go
+++ b/core/quarantine/fingerprint.go
@@ -68,9 +68,9 @@
 // NewContent returns the content of r. The caller must not change r afterwards.
 func NewContent(r *serving.Request) *Content { return &Content{Request: r} }
 
-// In sets the name of the request's route and the id of its batch job, which is empty if the request has none.
+// SetRouteAndJob sets the name of the request's route and the id of its batch job, which is empty if the request has none.
 // It returns c and must be called before other goroutines use c.
-func (c *Content) In(route, job string) *Content {
+func (c *Content) SetRouteAndJob(route, job string) *Content {
 	c.route, c.job = route, job
 	return c
 }
@@ -115,7 +115,7 @@
 		if c.job != "" {
 			c.subject.Scopes = append(c.subject.Scopes, hashParts(nil, jobScope, workspace, c.job))
 		}
-		c.subject.Narrow = len(c.subject.Scopes)
+		c.subject.NarrowScopes = len(c.subject.Scopes)
 		if c.route != "" {
 			c.subject.Scopes = append(c.subject.Scopes, hashParts(nil, routeScope, workspace, c.route))
 		}
@@ -126,7 +126,7 @@
 // IsRelated reports whether the requests of two contents have the same resource or the same batch job.
 func (c *Content) IsRelated(other *Content) bool {
 	a, b := c.Subject(), other.Subject()
-	return slices.ContainsFunc(a.Scopes[:a.Narrow], func(f Fingerprint) bool { return slices.Contains(b.Scopes[:b.Narrow], f) })
+	return slices.ContainsFunc(a.Scopes[:a.NarrowScopes], func(f Fingerprint) bool { return slices.Contains(b.Scopes[:b.NarrowScopes], f) })
 }
 
 // String returns the fingerprint in hexadecimal.
--- a/core/quarantine/message.go
+++ b/core/quarantine/message.go
@@ -11,12 +11,12 @@
 // Message is the encoded form of a Record, in which gateways send it to each other and keep it in the store.
 // Times are in milliseconds since the start of 1970 (UTC).
 type Message struct {
-	Content []byte         `cbor:"1,keyasint"`           // fingerprint of the content or scope
-	Crashes []CrashMessage `cbor:"2,keyasint,omitempty"` // newest first
-	Cleared int64          `cbor:"3,keyasint,omitempty"` // 0: never
-	Seen    int64          `cbor:"4,keyasint,omitempty"` // 0: never
-	Tried   int64          `cbor:"5,keyasint,omitempty"` // 0: never
-	IsScope bool           `cbor:"6,keyasint,omitempty"` // Content identifies a scope
+	Content   []byte         `cbor:"1,keyasint"`           // fingerprint of the content or scope
+	Crashes   []CrashMessage `cbor:"2,keyasint,omitempty"` // newest first
+	ClearedAt int64          `cbor:"3,keyasint,omitempty"` // 0: never
+	LastSeen  int64          `cbor:"4,keyasint,omitempty"` // 0: never
+	LastTrial int64          `cbor:"5,keyasint,omitempty"` // 0: never
+	IsScope   bool           `cbor:"6,keyasint,omitempty"` // Content identifies a scope
 	// Details holds the fields of each crash that CrashMessage lacks, in the order of Crashes. It is empty if
 	// the software version of the sender does not have these fields.
 	Details []CrashDetails `cbor:"7,keyasint,omitempty"`
@@ -42,10 +42,10 @@
 
 // Message returns the encoded form of r.
 func (r Record) Message() Message {
-	m := Message{Content: r.Content[:], Cleared: toMillis(r.Cleared), Seen: toMillis(r.Seen), Tried: toMillis(r.Tried), IsScope: r.IsScope}
+	m := Message{Content: r.Content[:], ClearedAt: toMillis(r.ClearedAt), LastSeen: toMillis(r.LastSeen), LastTrial: toMillis(r.LastTrial), IsScope: r.IsScope}
 	for _, c := range r.Crashes {
-		m.Crashes = append(m.Crashes, CrashMessage{Target: c.Target, Began: toMillis(c.Began), At: toMillis(c.At)})
-		m.Details = append(m.Details, CrashDetails{Start: c.Start, Preceding: c.Preceding, By: c.By})
+		m.Crashes = append(m.Crashes, CrashMessage{Target: c.TargetDigest, Began: toMillis(c.BeganAt), At: toMillis(c.BrokenAt)})
+		m.Details = append(m.Details, CrashDetails{Start: c.StartDigest, Preceding: c.PrecedingCrashes, By: c.ContentDigest})
 	}
 	return m
 }
@@ -61,12 +61,12 @@
 		return r, errs.Newf(errs.BadFrame, "message has details of %d crashes, want %d", len(m.Details), len(m.Crashes))
 	}
 	r.IsScope = m.IsScope
-	r.Cleared, r.Seen, r.Tried = fromMillis(m.Cleared), fromMillis(m.Seen), fromMillis(m.Tried)
+	r.ClearedAt, r.LastSeen, r.LastTrial = fromMillis(m.ClearedAt), fromMillis(m.LastSeen), fromMillis(m.LastTrial)
 	for i, c := range m.Crashes {
-		crash := Crash{Target: c.Target, Began: fromMillis(c.Began), At: fromMillis(c.At)}
+		crash := Crash{TargetDigest: c.Target, BeganAt: fromMillis(c.Began), BrokenAt: fromMillis(c.At)}
 		if len(m.Details) > 0 {
 			details := m.Details[i]
-			crash.Start, crash.Preceding, crash.By = details.Start, details.Preceding, details.By
+			crash.StartDigest, crash.PrecedingCrashes, crash.ContentDigest = details.Start, details.Preceding, details.By
 		}
 		r.addCrash(crash)
 	}
--- a/core/quarantine/passed.go
+++ b/core/quarantine/passed.go
@@ -5,7 +5,7 @@
 // passedGenerationSize is the number of digests in a full generation of a PassedSet.
 const passedGenerationSize = 2048
 
-// PassedSet holds the digests of contents whose runs have recently passed; see PassTime. It has two
+// PassedSet holds the digests of contents whose runs have recently passed; see MinPassDuration. It has two
 // generations and holds at least the last passedGenerationSize digests that were added. It is safe for
 // concurrent use.
 type PassedSet struct {
@@ -28,8 +28,8 @@
 	s.current[digest] = struct{}{}
 }
 
-// Has reports whether the set holds the digest of a content.
-func (s *PassedSet) Has(digest uint64) bool {
+// Contains reports whether the set holds the digest of a content.
+func (s *PassedSet) Contains(digest uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, isInCurrent := s.current[digest]
--- a/core/quarantine/registry.go
+++ b/core/quarantine/registry.go
@@ -14,7 +14,7 @@
 	DefaultHold = time.Hour
 	// maxRecords bounds the number of records, each at most 1.5 kB.
 	maxRecords = 1024
-	// renewFraction is the fraction of Options.Hold by which Record.Seen may advance until the record is sent
+	// renewFraction is the fraction of Options.Hold by which Record.LastSeen may advance until the record is sent
 	// again.
 	renewFraction = 0.25
 	// suspectRetention is how long the record of a content that is not quarantined is kept after its last
@@ -48,7 +48,7 @@
 type Registry struct {
 	opts    Options
 	entries map[Fingerprint]*entry
-	// nextSendAt is a time before which no record has to be sent to peers. Until then ToTell does not scan the
+	// nextSendAt is a time before which no record has to be sent to peers. Until then DueForPeers does not scan the
 	// entries; it is called for each report to peers, many times a second.
 	nextSendAt time.Time
 }
@@ -64,7 +64,7 @@
 	// the interval after that.
 	sendAt       time.Time
 	sendInterval time.Duration
-	// announcedLastSeen is the latest Seen that was scheduled to be sent to peers, or was received from a
+	// announcedLastSeen is the latest LastSeen that was scheduled to be sent to peers, or was received from a
 	// peer or the store.
 	announcedLastSeen time.Time
 	// trialAt is when this gateway may send the next request with the content or of the scope as a trial.
@@ -88,8 +88,8 @@
 	return list
 }
 
-// Quarantined returns the number of contents and of scopes that are quarantined.
-func (reg *Registry) Quarantined() (contents, scopes int) {
+// CountQuarantined returns the number of contents and of scopes that are quarantined.
+func (reg *Registry) CountQuarantined() (contents, scopes int) {
 	for _, e := range reg.entries {
 		switch {
 		case !reg.isQuarantined(e):
@@ -111,8 +111,8 @@
 	return len(e.Crashes) >= reg.opts.Threshold
 }
 
-// Crashes returns the number of crashes in the record of a content or scope; 0 if it has no record.
-func (reg *Registry) Crashes(f Fingerprint) int {
+// CrashCount returns the number of crashes in the record of a content or scope; 0 if it has no record.
+func (reg *Registry) CrashCount(f Fingerprint) int {
 	if e, ok := reg.entries[f]; ok {
 		return len(e.Crashes)
 	}
@@ -124,21 +124,21 @@
 // later.
 func (reg *Registry) activeEntry(now time.Time, f Fingerprint) *entry {
 	e, ok := reg.entries[f]
-	if !ok || !reg.isQuarantined(e) || now.Sub(e.Seen) > reg.opts.Hold {
+	if !ok || !reg.isQuarantined(e) || now.Sub(e.LastSeen) > reg.opts.Hold {
 		return nil
 	}
 	return e
 }
 
-// Check reports whether a request with the content or of the scope f must not be sent. It updates Seen if f is
+// Check reports whether a request with the content or of the scope f must not be sent. It updates LastSeen if f is
 // quarantined. A quarantined request may be sent when a trial is due.
 func (reg *Registry) Check(now time.Time, f Fingerprint) (isQuarantined bool) {
 	e := reg.activeEntry(now, f)
 	if e == nil {
 		return false
 	}
-	e.Seen = later(e.Seen, now)
-	if e.Seen.Sub(e.announcedLastSeen) > reg.renewInterval() {
+	e.LastSeen = later(e.LastSeen, now)
+	if e.LastSeen.Sub(e.announcedLastSeen) > reg.renewInterval() {
 		reg.scheduleAnnouncement(now, e)
 	}
 	return !reg.canAdmitTrial(now, e)
@@ -154,7 +154,7 @@
 	if e == nil {
 		return false, false
 	}
-	e.Tried = now.Truncate(time.Millisecond)
+	e.LastTrial = now.Truncate(time.Millisecond)
 	reg.scheduleTrial(e)
 	reg.scheduleAnnouncement(now, e)
 	return false, true
@@ -173,7 +173,7 @@
 }
 
 // scheduleTrial sets trialAt, from which this gateway may send a request as a trial. The gateway that sends
-// the first trial sends the record with the new Tried to the others, which then wait as well.
+// the first trial sends the record with the new LastTrial to the others, which then wait as well.
 func (reg *Registry) scheduleTrial(e *entry) {
 	if e.IsScope {
 		reg.scheduleScopeTrial(e)
@@ -182,12 +182,12 @@
 	delay := trialDelay
 	var lastCrashAt time.Time
 	if len(e.Crashes) > 0 {
-		lastCrashAt = e.Crashes[0].At
+		lastCrashAt = e.Crashes[0].BrokenAt
 	}
-	if e.Tried.After(lastCrashAt) {
+	if e.LastTrial.After(lastCrashAt) {
 		delay = trialTimeout
 	}
-	e.trialAt = later(lastCrashAt, e.Tried).Add(delay + reg.trialJitter())
+	e.trialAt = later(lastCrashAt, e.LastTrial).Add(delay + reg.trialJitter())
 }
 
 // trialJitter returns the duration to add to a delay before a trial; see Options.Jitter.
@@ -198,7 +198,7 @@
 	return reg.opts.Jitter()
 }
 
-// renewInterval returns by how much Seen may exceed announcedLastSeen before the record is sent to peers
+// renewInterval returns by how much LastSeen may exceed announcedLastSeen before the record is sent to peers
 // again.
 func (reg *Registry) renewInterval() time.Duration {
 	return time.Duration(renewFraction * float64(reg.opts.Hold))
@@ -213,9 +213,9 @@
 // noteCrash adds a crash to an entry and schedules the record to be sent and written if the crash was not
 // known before, which it reports.
 func (reg *Registry) noteCrash(now time.Time, e *entry, c Crash) (isNew bool) {
-	c.Preceding, c.notedAt = e.countNotedBefore(c.Began), now
+	c.PrecedingCrashes, c.notedAt = e.countNotedBefore(c.BeganAt), now
 	previousCount := len(e.Crashes)
-	e.merge(Record{Content: e.Content, Seen: now.Truncate(time.Millisecond), Crashes: []Crash{c}})
+	e.merge(Record{Content: e.Content, LastSeen: now.Truncate(time.Millisecond), Crashes: []Crash{c}})
 	if len(e.Crashes) == previousCount {
 		return false
 	}
@@ -235,11 +235,11 @@
 	return true
 }
 
-// clear sets Cleared of an entry to now, which removes its crashes, and schedules it to be sent and written.
+// clear sets ClearedAt of an entry to now, which removes its crashes, and schedules it to be sent and written.
 func (reg *Registry) clear(now time.Time, e *entry) {
 	// Records are sent with times in milliseconds: with the same precision here, all gateways store the same
 	// time.
-	e.merge(Record{Content: e.Content, Cleared: now.Truncate(time.Millisecond)})
+	e.merge(Record{Content: e.Content, ClearedAt: now.Truncate(time.Millisecond)})
 	reg.scheduleAnnouncement(now, e)
 }
 
@@ -258,7 +258,7 @@
 		return false
 	}
 	e.merge(r)
-	e.announcedLastSeen = later(e.announcedLastSeen, r.Seen)
+	e.announcedLastSeen = later(e.announcedLastSeen, r.LastSeen)
 	reg.scheduleTrial(e)
 	reg.scheduleWrite(e, storeBy)
 	return true
@@ -276,7 +276,7 @@
 	e.stored = r.clone()
 	isNew = !e.covers(r, 0)
 	e.merge(r)
-	e.announcedLastSeen = later(e.announcedLastSeen, r.Seen)
+	e.announcedLastSeen = later(e.announcedLastSeen, r.LastSeen)
 	if isNew {
 		reg.scheduleTrial(e)
 	}
@@ -308,11 +308,11 @@
 	return e
 }
 
-// evict removes the entry with the fewest crashes; of several such entries, the one with the oldest Seen.
+// evict removes the entry with the fewest crashes; of several such entries, the one with the oldest LastSeen.
 func (reg *Registry) evict() {
 	var evicted *entry
 	for _, e := range reg.entries {
-		if evicted == nil || cmp.Or(cmp.Compare(len(e.Crashes), len(evicted.Crashes)), e.Seen.Compare(evicted.Seen)) < 0 {
+		if evicted == nil || cmp.Or(cmp.Compare(len(e.Crashes), len(evicted.Crashes)), e.LastSeen.Compare(evicted.LastSeen)) < 0 {
 			evicted = e
 		}
 	}
@@ -326,7 +326,7 @@
 		if !reg.isExpired(now, e.Record) {
 			continue
 		}
-		if !e.stored.Seen.IsZero() {
+		if !e.stored.LastSeen.IsZero() {
 			stored = append(stored, f)
 		}
 		delete(reg.entries, f)
@@ -334,13 +334,13 @@
 	return stored
 }
 
-// isExpired reports whether a record is no longer needed: Options.Hold after Seen for a content or scope with
-// enough crashes for a quarantine, suspectRetention after Seen or Cleared for others. Seen at other gateways
+// isExpired reports whether a record is no longer needed: Options.Hold after LastSeen for a content or scope with
+// enough crashes for a quarantine, suspectRetention after LastSeen or ClearedAt for others. Seen at other gateways
 // may be up to renewInterval later than in the record, so the hold is extended by that.
 func (reg *Registry) isExpired(now time.Time, r Record) bool {
 	retention := suspectRetention
 	if len(r.Crashes) >= reg.opts.Threshold {
 		retention = reg.opts.Hold + reg.renewInterval()
 	}
-	return now.Sub(later(r.Seen, r.Cleared)) > retention
+	return now.Sub(later(r.LastSeen, r.ClearedAt)) > retention
 }
--- a/core/quarantine/registry_test.go
+++ b/core/quarantine/registry_test.go
@@ -38,11 +38,11 @@
 	if noteTestCrash(reg, testStart.Add(50*time.Millisecond), f, "t0") {
 		t.Error("second report of the crash of target t0: reported as new, want known")
 	}
-	if n, _ := reg.Quarantined(); reg.Check(testStart.Add(6*time.Second), f) || n != 0 {
+	if n, _ := reg.CountQuarantined(); reg.Check(testStart.Add(6*time.Second), f) || n != 0 {
 		t.Error("content is quarantined after the crashes of 2 targets, want only after 3")
 	}
 	isNew := noteTestCrash(reg, testStart.Add(7*time.Second), f, "t2")
-	if n, _ := reg.Quarantined(); !isNew || !reg.Check(testStart.Add(8*time.Second), f) || n != 1 {
+	if n, _ := reg.CountQuarantined(); !isNew || !reg.Check(testStart.Add(8*time.Second), f) || n != 1 {
 		t.Error("crash of the third target: not reported as new, or the content is not the 1 quarantined one, want both")
 	}
 	if reg.Check(testStart, testFingerprint(2)) {
@@ -74,7 +74,7 @@
 	for i := range DefaultThreshold {
 		reg := newTestRegistry()
 		noteTestCrash(reg, testStart.Add(time.Duration(i)*time.Second), f, fmt.Sprintf("t%d", i))
-		records = append(records, reg.ToTell(testStart.Add(time.Minute), 1)...)
+		records = append(records, reg.DueForPeers(testStart.Add(time.Minute), 1)...)
 	}
 	for first := range records {
 		reg := newTestRegistry()
@@ -88,8 +88,8 @@
 		if reg.ApplyPeer(now, records[first], now) {
 			t.Error("record that was applied before is reported as new")
 		}
-		cleared := Record{Content: f, Cleared: now}
-		if !reg.ApplyPeer(now, cleared, now) || reg.Check(now, f) || reg.ApplyPeer(now, records[0], now) && reg.Crashes(f) > 0 {
+		cleared := Record{Content: f, ClearedAt: now}
+		if !reg.ApplyPeer(now, cleared, now) || reg.Check(now, f) || reg.ApplyPeer(now, records[0], now) && reg.CrashCount(f) > 0 {
 			t.Error("clearance is not reported as new, or the content is still quarantined or has crashes after it")
 		}
 	}
@@ -117,7 +117,7 @@
 		t.Error("second request is admitted while the result of the trial is not known, want it rejected")
 	}
 	peer := newTestRegistry()
-	for _, r := range reg.ToTell(now, 1) {
+	for _, r := range reg.DueForPeers(now, 1) {
 		peer.ApplyPeer(now, r, now)
 	}
 	if !peer.Check(now.Add(trialDelay), f) {
@@ -145,7 +145,7 @@
 // until then.
 func TestTimesAheadOfTheClockAreClamped(t *testing.T) {
 	reg, f := newTestRegistry(), testFingerprint(1)
-	reg.ApplyPeer(testStart, Record{Content: f, Cleared: testStart.Add(time.Hour), Seen: testStart.Add(time.Hour)}, testStart)
+	reg.ApplyPeer(testStart, Record{Content: f, ClearedAt: testStart.Add(time.Hour), LastSeen: testStart.Add(time.Hour)}, testStart)
 	for i := range DefaultThreshold {
 		noteTestCrash(reg, testStart.Add(time.Duration(i+1)*time.Second), f, fmt.Sprintf("t%d", i))
 	}
@@ -193,9 +193,9 @@
 	noteTestCrash(reg, testStart, testFingerprint(1), "t")
 	sendCount := 0
 	for at := time.Duration(0); at < 10*time.Minute; at += 100 * time.Millisecond {
-		sendCount += len(reg.ToTell(testStart.Add(at), 8))
+		sendCount += len(reg.DueForPeers(testStart.Add(at), 8))
 	}
-	if first := reg.ToTell(testStart, 8); sendCount < 10 || sendCount > 20 || len(first) != 0 {
+	if first := reg.DueForPeers(testStart, 8); sendCount < 10 || sendCount > 20 || len(first) != 0 {
 		t.Errorf("record was sent %d times in 10 minutes, want 10 to 20 and none due at the end of them", sendCount)
 	}
 }
@@ -206,8 +206,8 @@
 	for i := range DefaultThreshold {
 		noteTestCrash(reg, testStart.Add(time.Duration(i)*(minRestartDelay+runDuration)), f, "t")
 	}
-	if reg.Crashes(f) != DefaultThreshold || !reg.Check(testStart.Add(time.Minute), f) {
-		t.Errorf("%d crashes counted of a target that crashed and restarted three times, want 3 and a quarantine", reg.Crashes(f))
+	if reg.CrashCount(f) != DefaultThreshold || !reg.Check(testStart.Add(time.Minute), f) {
+		t.Errorf("%d crashes counted of a target that crashed and restarted three times, want 3 and a quarantine", reg.CrashCount(f))
 	}
 }
 
@@ -218,9 +218,9 @@
 	noteTestCrashes(reg, testFingerprint(1), DefaultThreshold)
 	noteTestCrashes(reg, testFingerprint(2), 1)
 	now := testStart.Add(time.Hour - time.Minute)
-	reg.ToTell(now, 8)
-	reg.TellAgain(now)
-	if sent := reg.ToTell(now, 8); len(sent) != 1 || sent[0].Content != testFingerprint(1) {
+	reg.DueForPeers(now, 8)
+	reg.ResendQuarantined(now)
+	if sent := reg.DueForPeers(now, 8); len(sent) != 1 || sent[0].Content != testFingerprint(1) {
 		t.Errorf("sent %+v to a peer that has started, want only the record of the quarantined content", sent)
 	}
 }
@@ -233,7 +233,7 @@
 	for at := time.Minute; at < 2*time.Minute; at += 10 * time.Millisecond {
 		now := testStart.Add(at)
 		reg.Check(now, f)
-		sendCount += len(reg.ToTell(now, 8))
+		sendCount += len(reg.DueForPeers(now, 8))
 	}
 	if sendCount > 10 {
 		t.Errorf("record was sent %d times in a minute with 6000 rejected requests, want at most 10", sendCount)
@@ -246,10 +246,10 @@
 	reg, peer := newTestRegistry(), newTestRegistry()
 	noteTestCrash(reg, testStart, testFingerprint(1), "own")
 	noteTestCrash(peer, testStart, testFingerprint(1), "other")
-	for _, r := range peer.ToTell(testStart, 8) {
+	for _, r := range peer.DueForPeers(testStart, 8) {
 		reg.ApplyPeer(testStart, r, testStart)
 	}
-	if sent := reg.ToTell(testStart, 8); len(sent) != 1 || len(sent[0].Crashes) != 2 {
+	if sent := reg.DueForPeers(testStart, 8); len(sent) != 1 || len(sent[0].Crashes) != 2 {
 		t.Errorf("sent %+v, want one record with 2 crashes: the observed and the received one", sent)
 	}
 }
@@ -259,16 +259,16 @@
 func TestReceivedRecordsAreNotForwarded(t *testing.T) {
 	origin, peer := newTestRegistry(), newTestRegistry()
 	noteTestCrashes(origin, testFingerprint(1), DefaultThreshold)
-	for _, r := range origin.ToTell(testStart.Add(time.Minute), 8) {
+	for _, r := range origin.DueForPeers(testStart.Add(time.Minute), 8) {
 		peer.ApplyPeer(testStart.Add(time.Minute), r, testStart.Add(time.Hour))
 	}
 	for at := time.Duration(0); at < 10*time.Minute; at += time.Second {
-		if sent := peer.ToTell(testStart.Add(time.Minute+at), 8); len(sent) > 0 {
+		if sent := peer.DueForPeers(testStart.Add(time.Minute+at), 8); len(sent) > 0 {
 			t.Fatalf("record from a peer is sent to other peers after %v, want never", at)
 		}
 	}
-	peer.TellAgain(testStart.Add(11 * time.Minute))
-	if len(peer.ToTell(testStart.Add(11*time.Minute), 8)) != 1 {
+	peer.ResendQuarantined(testStart.Add(11 * time.Minute))
+	if len(peer.DueForPeers(testStart.Add(11*time.Minute), 8)) != 1 {
 		t.Error("record from a peer is not sent to a peer that has started")
 	}
 }
@@ -278,27 +278,27 @@
 func TestMissingRecordsAreWrittenToStore(t *testing.T) {
 	reg, f := newTestRegistry(), testFingerprint(1)
 	noteTestCrash(reg, testStart, f, "t0")
-	due, _ := reg.ToStore(testStart, 8)
+	due, _ := reg.DueForStore(testStart, 8)
 	if len(due) != 1 {
 		t.Fatalf("%d records due for the store after a crash that this gateway observed, want 1", len(due))
 	}
 	reg.NoteStored(due[0])
-	if due, next := reg.ToStore(testStart, 8); len(due) != 0 || !next.IsZero() {
+	if due, next := reg.DueForStore(testStart, 8); len(due) != 0 || !next.IsZero() {
 		t.Error("record that was just written is due for the store again")
 	}
-	peerRecord := Record{Content: f, Seen: testStart, Crashes: []Crash{{Target: 7, At: testStart}}}
+	peerRecord := Record{Content: f, LastSeen: testStart, Crashes: []Crash{{TargetDigest: 7, BrokenAt: testStart}}}
 	storeBy := testStart.Add(5 * time.Second)
 	reg.ApplyPeer(testStart, peerRecord, storeBy)
-	if due, next := reg.ToStore(testStart, 8); len(due) != 0 || !next.Equal(storeBy) {
+	if due, next := reg.DueForStore(testStart, 8); len(due) != 0 || !next.Equal(storeBy) {
 		t.Errorf("record with a crash from a peer: %d records due for the store now, next at %v, want 0 now and the next in 5 s", len(due), next)
 	}
 	peerRecord.Crashes = append(peerRecord.Crashes, due[0].Crashes...)
 	reg.ApplyStored(testStart, peerRecord, testStart)
-	if due, next := reg.ToStore(storeBy, 8); len(due) != 0 || !next.IsZero() {
+	if due, next := reg.DueForStore(storeBy, 8); len(due) != 0 || !next.IsZero() {
 		t.Error("record that was read from the store is due for the store")
 	}
 	reg.DropStored(f, testStart)
-	if due, _ := reg.ToStore(testStart, 8); len(due) != 1 || len(due[0].Crashes) != 2 {
+	if due, _ := reg.DueForStore(testStart, 8); len(due) != 1 || len(due[0].Crashes) != 2 {
 		t.Error("record that another gateway removed from the store too early is not due for the store with both crashes")
 	}
 	if stored := reg.Expire(testStart.Add(2 * suspectRetention)); len(stored) != 0 {
@@ -313,7 +313,7 @@
 	now := testStart.Add(123456 * time.Nanosecond) // not a whole millisecond
 	noteTestCrash(reg, now, f, "t")
 	reg.NoteServed(now.Add(time.Second), f)
-	due, _ := reg.ToStore(now.Add(time.Second), 1)
+	due, _ := reg.DueForStore(now.Add(time.Second), 1)
 	data, err := due[0].Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -323,7 +323,7 @@
 		t.Fatal(err)
 	}
 	reg.ApplyStored(now.Add(time.Second), stored, now)
-	if due, next := reg.ToStore(now.Add(time.Minute), 1); len(due) != 0 || !next.IsZero() {
+	if due, next := reg.DueForStore(now.Add(time.Minute), 1); len(due) != 0 || !next.IsZero() {
 		t.Error("clearance that was read from the store is due for the store again")
 	}
 }
@@ -332,7 +332,7 @@
 func TestRecordEncodingRoundTrip(t *testing.T) {
 	reg, f := newTestRegistry(), testFingerprint(1)
 	noteTestCrashes(reg, f, 2)
-	r := reg.ToTell(testStart.Add(time.Minute), 1)[0]
+	r := reg.DueForPeers(testStart.Add(time.Minute), 1)[0]
 	data, err := r.Encode()
 	if err != nil {
 		t.Fatal(err)
--- a/core/quarantine/scope.go
+++ b/core/quarantine/scope.go
@@ -23,13 +23,13 @@
 	// Scopes are the fingerprints of the request's scopes: its resource, its batch job if it has one, and its
 	// route if it has one.
 	Scopes []Fingerprint
-	// Narrow is the number of scopes without the route, the first ones in Scopes.
-	Narrow int
-	// HasPassed reports whether a run of the content has recently passed; see PassTime.
+	// NarrowScopes is the number of scopes without the route, the first ones in Scopes.
+	NarrowScopes int
+	// HasPassed reports whether a run of the content has recently passed; see MinPassDuration.
 	HasPassed bool
 }
 
-// prefix64 returns the first 64 bits of a content's fingerprint, which serve as Crash.By in the record of a
+// prefix64 returns the first 64 bits of a content's fingerprint, which serve as Crash.ContentDigest in the record of a
 // scope.
 func (f Fingerprint) prefix64() uint64 { return binary.BigEndian.Uint64(f[:]) }
 
@@ -40,11 +40,11 @@
 	if !ok {
 		return s.HasPassed
 	}
-	return len(e.Crashes) == 0 && (s.HasPassed || !e.Cleared.IsZero())
+	return len(e.Crashes) == 0 && (s.HasPassed || !e.ClearedAt.IsZero())
 }
 
 // CheckScopes reports whether a request must not be sent now because one of its scopes is quarantined. A
-// request whose content has passed is not affected. It updates Seen of each quarantined scope that it checks.
+// request whose content has passed is not affected. It updates LastSeen of each quarantined scope that it checks.
 func (reg *Registry) CheckScopes(now time.Time, s Subject) (isQuarantined bool) {
 	return reg.blockingScope(now, s) != nil
 }
@@ -86,27 +86,27 @@
 	if reg.hasPassed(s) {
 		return false
 	}
-	for _, f := range s.Scopes[:s.Narrow] {
-		if reg.Crashes(f) > 0 {
+	for _, f := range s.Scopes[:s.NarrowScopes] {
+		if reg.CrashCount(f) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// ScopeCrashes returns the highest number of crashes in the records of the request's scopes.
-func (reg *Registry) ScopeCrashes(s Subject) int {
+// MaxScopeCrashes returns the highest number of crashes in the records of the request's scopes.
+func (reg *Registry) MaxScopeCrashes(s Subject) int {
 	highest := 0
 	for _, f := range s.Scopes {
-		highest = max(highest, reg.Crashes(f))
+		highest = max(highest, reg.CrashCount(f))
 	}
 	return highest
 }
 
 // NoteScopeCrash adds a crash to the record of each scope of the request that the target was running. It
-// is meant for runs that had not passed when the target crashed; see PassTime.
+// is meant for runs that had not passed when the target crashed; see MinPassDuration.
 func (reg *Registry) NoteScopeCrash(now time.Time, s Subject, c Crash) {
-	c.By = s.Content.prefix64()
+	c.ContentDigest = s.Content.prefix64()
 	for _, f := range s.Scopes {
 		e := reg.getOrCreateEntry(f)
 		e.IsScope = true
@@ -114,20 +114,20 @@
 	}
 }
 
-// NotePassed notes that a run of the request's content has passed; see PassTime. The first run of a content
+// NotePassed notes that a run of the request's content has passed; see MinPassDuration. The first run of a content
 // that passes shows that not every content of its scopes crashes targets, and clears the scopes. Later runs
 // that pass clear nothing: otherwise a content that is sent repeatedly would hide the crashes of other
 // contents. isNew reports whether crashes were cleared.
 func (reg *Registry) NotePassed(now time.Time, s Subject) (isNew bool) {
-	if reg.ScopeCrashes(s) == 0 || reg.hasPassed(s) {
+	if reg.MaxScopeCrashes(s) == 0 || reg.hasPassed(s) {
 		return false
 	}
 	for _, f := range s.Scopes {
-		if reg.Crashes(f) > 0 {
+		if reg.CrashCount(f) > 0 {
 			reg.clear(now, reg.entries[f])
 		}
 	}
-	if reg.Crashes(s.Content) == 0 {
+	if reg.CrashCount(s.Content) == 0 {
 		reg.clear(now, reg.getOrCreateEntry(s.Content))
 	}
 	return true
@@ -140,9 +140,9 @@
 	for range len(e.Crashes) - reg.opts.Threshold {
 		delay = min(maxScopeTrialDelay, 2*delay)
 	}
-	e.trialAt = e.Tried
+	e.trialAt = e.LastTrial
 	if len(e.Crashes) > 0 {
-		e.trialAt = later(e.Tried, e.Crashes[0].At)
+		e.trialAt = later(e.LastTrial, e.Crashes[0].BrokenAt)
 	}
 	e.trialAt = e.trialAt.Add(delay + reg.trialJitter())
 }
--- a/core/quarantine/scope_test.go
+++ b/core/quarantine/scope_test.go
@@ -11,7 +11,7 @@
 // testSubject returns the subject of a request with content i in the one scope that all contents of the tests
 // share.
 func testSubject(i int) Subject {
-	return Subject{Content: testFingerprint(i), Scopes: []Fingerprint{testFingerprint(1000)}, Narrow: 1}
+	return Subject{Content: testFingerprint(i), Scopes: []Fingerprint{testFingerprint(1000)}, NarrowScopes: 1}
 }
 
 // noteScopedCrash adds the crash of a target while it ran a request that was sent runDuration before and had
@@ -129,11 +129,11 @@
 		reg.NoteCrash(testStart, f, NewCrash("t", "t@1", at.Add(-runDuration), at))
 		at = at.Add(skew)
 	}
-	if n := reg.Crashes(f); n != 1 {
+	if n := reg.CrashCount(f); n != 1 {
 		t.Errorf("%d crashes counted of one process of the target, observed by three gateways, want 1", n)
 	}
 	reg.NoteCrash(testStart, f, NewCrash("t", "t@2", testStart.Add(200*time.Millisecond), testStart.Add(300*time.Millisecond)))
-	if n := reg.Crashes(f); n != 2 {
+	if n := reg.CrashCount(f); n != 2 {
 		t.Errorf("%d crashes counted of two processes of the target, want 2", n)
 	}
 }
@@ -146,13 +146,13 @@
 		now := testStart.Add(time.Duration(i) * time.Second)
 		skewedNow := now.Add(time.Duration(DefaultThreshold-i) * 3 * time.Second) // each gateway's clock is behind that of the previous one
 		c := NewCrash("t", fmt.Sprint(i), now.Add(-runDuration), now)
-		c.Began, c.At = c.Began.Add(skewedNow.Sub(now)), c.At.Add(skewedNow.Sub(now))
+		c.BeganAt, c.BrokenAt = c.BeganAt.Add(skewedNow.Sub(now)), c.BrokenAt.Add(skewedNow.Sub(now))
 		observer := newTestRegistry() // registry of the gateway that sent the request
-		for _, r := range reg.ToTell(now, 1) {
+		for _, r := range reg.DueForPeers(now, 1) {
 			observer.ApplyPeer(now.Add(-2*runDuration), r, now)
 		}
 		observer.NoteCrash(now, f, c)
-		for _, r := range observer.ToTell(now, 1) {
+		for _, r := range observer.DueForPeers(now, 1) {
 			reg.ApplyPeer(now, r, now)
 		}
 	}
@@ -175,7 +175,7 @@
 			if rapid.Bool().Draw(t, "passed") {
 				reg.NotePassed(at.Add(500*time.Millisecond), testSubject(100+i))
 			}
-			records = append(records, reg.ToTell(at.Add(time.Minute), 8)...)
+			records = append(records, reg.DueForPeers(at.Add(time.Minute), 8)...)
 		}
 		reordered := rapid.Permutation(records).Draw(t, "order")
 		now := testStart.Add(5 * time.Minute)
@@ -206,7 +206,7 @@
 func TestMessageWithMissingDetailsIsRejected(t *testing.T) {
 	reg := newTestRegistry()
 	noteTestCrashes(reg, testFingerprint(1), 2)
-	m := reg.ToTell(testStart.Add(time.Minute), 1)[0].Message()
+	m := reg.DueForPeers(testStart.Add(time.Minute), 1)[0].Message()
 	m.Details = m.Details[:1]
 	if _, err := m.Record(); err == nil {
 		t.Error("message with 2 crashes and the details of 1 is decoded without an error")
--- a/core/quarantine/share.go
+++ b/core/quarantine/share.go
@@ -4,7 +4,7 @@
 
 // scheduleAnnouncement schedules the record of an entry to be sent to peers and written to the store at once.
 func (reg *Registry) scheduleAnnouncement(now time.Time, e *entry) {
-	e.sendAt, e.sendInterval, e.announcedLastSeen = now, minSendInterval, e.Seen
+	e.sendAt, e.sendInterval, e.announcedLastSeen = now, minSendInterval, e.LastSeen
 	reg.nextSendAt = time.Time{}
 	reg.scheduleWrite(e, now)
 }
@@ -21,9 +21,9 @@
 	}
 }
 
-// ToTell returns up to n records that are due to be sent to peers, the quarantined ones first, and schedules
+// DueForPeers returns up to n records that are due to be sent to peers, the quarantined ones first, and schedules
 // the next time that each is sent.
-func (reg *Registry) ToTell(now time.Time, n int) []Record {
+func (reg *Registry) DueForPeers(now time.Time, n int) []Record {
 	if now.Before(reg.nextSendAt) {
 		return nil
 	}
@@ -57,8 +57,8 @@
 	return earliest
 }
 
-// TellAgain schedules all quarantined records to be sent to peers at once, for a peer that has just started.
-func (reg *Registry) TellAgain(now time.Time) {
+// ResendQuarantined schedules all quarantined records to be sent to peers at once, for a peer that has just started.
+func (reg *Registry) ResendQuarantined(now time.Time) {
 	for _, e := range reg.entries {
 		if reg.isQuarantined(e) {
 			e.sendAt, e.sendInterval = now, minSendInterval
@@ -67,9 +67,9 @@
 	reg.nextSendAt = time.Time{}
 }
 
-// ToStore returns up to n records that are due to be written to the store, and when the next of the other
+// DueForStore returns up to n records that are due to be written to the store, and when the next of the other
 // records is due; next is zero if none is scheduled.
-func (reg *Registry) ToStore(now time.Time, n int) (due []Record, next time.Time) {
+func (reg *Registry) DueForStore(now time.Time, n int) (due []Record, next time.Time) {
 	for _, e := range reg.entries {
 		switch {
 		case e.writeAt.IsZero():
@@ -82,7 +82,7 @@
 	return due, next
 }
 
-// NoteStored notes that a record that ToStore has returned was written to the store. If the record has changed
+// NoteStored notes that a record that DueForStore has returned was written to the store. If the record has changed
 // since, it stays due.
 func (reg *Registry) NoteStored(r Record) {
 	e, ok := reg.entries[r.Content]
--- a/internal/backlog/item.go
+++ b/internal/backlog/item.go
@@ -158,7 +158,7 @@
 			return runInterrupted, m.classifyRunError(ctx, t, wd, fromEvent, err)
 		}
 		wd.noteEvent()
-		if r.Event() >= quarantine.PassTime && t.markPassed() {
+		if r.Event() >= quarantine.MinPassDuration && t.markPassed() {
 			m.opts.Quarantine.Passed(t.content)
 		}
 		t.appendEvent(e)
@@ -201,10 +201,10 @@
 
 // brokenRun returns the description, as it is reported to the quarantine, of a run that has ended before the
 // item's output was complete. The run began after the event fromEvent; err is the reason of its end.
-func brokenRun(t *task, r *fleetview.Run, fromEvent string, err error) quarantine.Broken {
-	return quarantine.Broken{
-		Content: t.content, Target: r.Target, Start: r.Target.ID, Began: r.Began(), From: fromEvent, To: t.lastEvent(),
-		HasPassed: r.AnsweredFor() >= quarantine.PassTime, HasCrashed: r.HasEnded(), Err: err,
+func brokenRun(t *task, r *fleetview.Run, fromEvent string, err error) quarantine.BrokenRun {
+	return quarantine.BrokenRun{
+		Content: t.content, Target: r.Target, StartID: r.Target.ID, BeganAt: r.Began(), FromEvent: fromEvent, ToEvent: t.lastEvent(),
+		HasPassed: r.AnsweredFor() >= quarantine.MinPassDuration, HasCrashed: r.HasEnded(), Err: err,
 	}
 }
 
--- a/internal/backlog/manager.go
+++ b/internal/backlog/manager.go
@@ -38,12 +38,12 @@
 	// sent.
 	AdmitRequest(c *quarantine.Content) error
 	// BrokenOff records a run that its target has broken off, or whose connection was lost.
-	BrokenOff(b quarantine.Broken)
+	BrokenOff(b quarantine.BrokenRun)
 	// Interrupted records a run that this process has cancelled. Its target may still have crashed because of it.
-	Interrupted(b quarantine.Broken)
+	Interrupted(b quarantine.BrokenRun)
 	// FellSilent records a run that this process has cancelled because its target sent nothing for too long.
-	FellSilent(b quarantine.Broken)
-	// Passed records that a run has gone on for quarantine.PassTime after its first event: the content does not
+	FellSilent(b quarantine.BrokenRun)
+	// Passed records that a run has gone on for quarantine.MinPassDuration after its first event: the content does not
 	// crash targets at the start of a run.
 	Passed(c *quarantine.Content)
 	// Served records that a target has sent the whole output for the content.
--- a/internal/backlog/quarantine_test.go
+++ b/internal/backlog/quarantine_test.go
@@ -130,7 +130,7 @@
 		for i := range 10 {
 			run := brokenRunAt(content, fmt.Sprintf("gone-%d", i))
 			if i > 0 {
-				run.From, run.To = fmt.Sprint(i), fmt.Sprint(i+1)
+				run.FromEvent, run.ToEvent = fmt.Sprint(i), fmt.Sprint(i+1)
 			}
 			n.quarantine.BrokenOff(run)
 		}
@@ -140,6 +140,6 @@
 
 // brokenRunAt returns the quarantine's description of a run of 100 ms without events that was broken off by
 // the restart of a target.
-func brokenRunAt(c *quarantine.Content, target string) quarantine.Broken {
-	return quarantine.Broken{Content: c, Target: serving.Target{ID: target}, Began: time.Now().Add(-100 * time.Millisecond), HasCrashed: true, Err: errors.New("the target has restarted")}
+func brokenRunAt(c *quarantine.Content, target string) quarantine.BrokenRun {
+	return quarantine.BrokenRun{Content: c, Target: serving.Target{ID: target}, BeganAt: time.Now().Add(-100 * time.Millisecond), HasCrashed: true, Err: errors.New("the target has restarted")}
 }
--- a/internal/backlog/task.go
+++ b/internal/backlog/task.go
@@ -26,7 +26,7 @@
 
 	mu             sync.Mutex
 	hasRun         bool                   // a run has begun in this process
-	hasPassed      bool                   // a run in this process has gone on for quarantine.PassTime after its first event
+	hasPassed      bool                   // a run in this process has gone on for quarantine.MinPassDuration after its first event
 	isQuarantined  bool                   // the last check found the content quarantined
 	hasActiveRun   bool                   // a run has begun and its verdict has not been applied
 	outcome        backlog.Outcome        // stored or queued to be stored; empty while the item is unfinished
@@ -55,7 +55,7 @@
 	return quarantine.NewContent(&serving.Request{
 		ID: item.ID, Host: j.Host, Method: http.MethodPost, URI: item.URI,
 		Header: http.Header(item.Header), Body: item.Body, Caller: serving.Caller{Workspace: j.Workspace},
-	}).In(j.Route, j.ID)
+	}).SetRouteAndJob(j.Route, j.ID)
 }
 
 // item returns the item of the task.
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -15,7 +15,7 @@
 	// AdmitRequest is Check for a request that is about to be sent.
 	AdmitRequest(c *quarantine.Content) error
 	// BrokenOff notes a run that a target has broken off.
-	BrokenOff(b quarantine.Broken)
+	BrokenOff(b quarantine.BrokenRun)
 	// Served notes that a target has served a request whole.
 	Served(c *quarantine.Content)
 	// ToTell returns the records that other entries should be told now.
@@ -33,7 +33,7 @@
 
 func (noQuarantine) Check(*quarantine.Content) error        { return nil }
 func (noQuarantine) AdmitRequest(*quarantine.Content) error { return nil }
-func (noQuarantine) BrokenOff(quarantine.Broken)            {}
+func (noQuarantine) BrokenOff(quarantine.BrokenRun)         {}
 func (noQuarantine) Served(*quarantine.Content)             {}
 func (noQuarantine) ToTell() []quarantine.Record            { return nil }
 func (noQuarantine) Changed() <-chan struct{}               { return nil }
@@ -52,15 +52,15 @@
 	if err.Type != errs.TargetCrashed {
 		return
 	}
-	c.e.quarantine.BrokenOff(quarantine.Broken{
-		Content: c.content, Target: serving.Target{ID: string(c.target.id)}, Start: err.Start, Began: c.sentAt,
-		From: position(c.from), To: position(c.progress.next), HasPassed: c.hasPassed(), HasCrashed: true, Err: err,
+	c.e.quarantine.BrokenOff(quarantine.BrokenRun{
+		Content: c.content, Target: serving.Target{ID: string(c.target.id)}, StartID: err.Start, BeganAt: c.sentAt,
+		FromEvent: position(c.from), ToEvent: position(c.progress.next), HasPassed: c.hasPassed(), HasCrashed: true, Err: err,
 	})
 }
 
-// hasPassed says whether the attempt had gone on for quarantine.PassTime after its first byte.
+// hasPassed says whether the attempt had gone on for quarantine.MinPassDuration after its first byte.
 func (c *call) hasPassed() bool {
-	return c.firstByte > 0 && c.e.now().Sub(c.sentAt)-c.firstByte >= quarantine.PassTime
+	return c.firstByte > 0 && c.e.now().Sub(c.sentAt)-c.firstByte >= quarantine.MinPassDuration
 }
 
 // position is the place in an answer after which a run goes on; empty for its start.
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -224,7 +224,7 @@
 			return a.brokenOffError(ctx, err)
 		}
 		a.noteActivity()
-		if sinceFirst := a.run.Event(); !isPassRecorded && sinceFirst >= quarantine.PassTime {
+		if sinceFirst := a.run.Event(); !isPassRecorded && sinceFirst >= quarantine.MinPassDuration {
 			isPassRecorded = true
 			a.gw.quarantine.Passed(a.content)
 		}
@@ -267,10 +267,10 @@
 func (a *attempt) recordBrokenOff(err error) { a.gw.quarantine.BrokenOff(a.brokenRun(err)) }
 
 // brokenRun describes this attempt, which ended with err, for the quarantine.
-func (a *attempt) brokenRun(err error) quarantine.Broken {
-	return quarantine.Broken{
-		Content: a.content, Target: a.run.Target, Start: a.run.Target.ID, Began: a.run.Began(), From: a.resumedAfter, To: a.lastEventID,
-		HasPassed: a.run.AnsweredFor() >= quarantine.PassTime, HasCrashed: a.run.HasEnded(), Err: err,
+func (a *attempt) brokenRun(err error) quarantine.BrokenRun {
+	return quarantine.BrokenRun{
+		Content: a.content, Target: a.run.Target, StartID: a.run.Target.ID, BeganAt: a.run.Began(), FromEvent: a.resumedAfter, ToEvent: a.lastEventID,
+		HasPassed: a.run.AnsweredFor() >= quarantine.MinPassDuration, HasCrashed: a.run.HasEnded(), Err: err,
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -71,10 +71,10 @@
 	AdmitRequest(c *quarantine.Content) error
 	// BrokenOff records a run that its target broke off: the connection failed before the answer was complete,
 	// or the target has restarted.
-	BrokenOff(run quarantine.Broken)
+	BrokenOff(run quarantine.BrokenRun)
 	// FellSilent records a run that this process ended because its target sent nothing for too long.
-	FellSilent(run quarantine.Broken)
-	// Passed records that a run has sent events for quarantine.PassTime, which shows that its content does not
+	FellSilent(run quarantine.BrokenRun)
+	// Passed records that a run has sent events for quarantine.MinPassDuration, which shows that its content does not
 	// crash a target at the beginning of a run.
 	Passed(c *quarantine.Content)
 	// Served records that a target has answered a request completely.
@@ -139,7 +139,7 @@
 // complete or the request has failed.
 func (g *Gateway) Serve(ctx context.Context, route *serving.Route, r *serving.Request, callerAnswer platform.CallerAnswer) {
 	ex := &exchange{
-		gw: g, route: route, service: route.Service(r.ID), req: r, content: quarantine.NewContent(r).In(route.Name, ""), callerAnswer: callerAnswer,
+		gw: g, route: route, service: route.Service(r.ID), req: r, content: quarantine.NewContent(r).SetRouteAndJob(route.Name, ""), callerAnswer: callerAnswer,
 		deadline: r.Arrived.Add(route.Timeout), deadlineSource: "route", lastEventID: r.ResumeAfter,
 	}
 	if !r.Deadline.IsZero() && r.Deadline.Before(ex.deadline) {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -47,8 +47,8 @@
 	admitted, refunded int    // calls of Admit and Refund
 
 	quarantineErr error // returned by Check and AdmitRequest
-	silentRuns    []quarantine.Broken
-	brokenRuns    []quarantine.Broken
+	silentRuns    []quarantine.BrokenRun
+	brokenRuns    []quarantine.BrokenRun
 	served        int
 }
 
@@ -104,14 +104,14 @@
 func (h *harness) AdmitRequest(c *quarantine.Content) error { return h.Check(c) }
 
 // BrokenOff implements Quarantine.
-func (h *harness) BrokenOff(run quarantine.Broken) {
+func (h *harness) BrokenOff(run quarantine.BrokenRun) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.brokenRuns = append(h.brokenRuns, run)
 }
 
 // FellSilent implements Quarantine.
-func (h *harness) FellSilent(run quarantine.Broken) {
+func (h *harness) FellSilent(run quarantine.BrokenRun) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.silentRuns = append(h.silentRuns, run)
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -105,7 +105,7 @@
 				synctest.Wait()
 				var got []run
 				for _, r := range h.brokenRuns {
-					got = append(got, run{r.From, r.To, r.HasCrashed})
+					got = append(got, run{r.FromEvent, r.ToEvent, r.HasCrashed})
 				}
 				if len(got) != len(c.want) || h.served != c.served {
 					t.Fatalf("broken runs %+v and %d served requests reported, want %+v and %d", got, h.served, c.want, c.served)
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -55,7 +55,7 @@
 	defer a.conn.Close()
 	defer b.conn.Close()
 	a.AddPeer(b.Addr().String(), "", 0)
-	record := quarantine.Record{Content: quarantine.Fingerprint{1}, Seen: time.UnixMilli(5), Crashes: []quarantine.Crash{{Target: 7, At: time.UnixMilli(4)}}}
+	record := quarantine.Record{Content: quarantine.Fingerprint{1}, LastSeen: time.UnixMilli(5), Crashes: []quarantine.Crash{{TargetDigest: 7, BrokenAt: time.UnixMilli(4)}}}
 	quarantineB := &fakeQuarantine{}
 	a.quarantine, b.quarantine = &fakeQuarantine{pending: []quarantine.Record{record}}, quarantineB
 	a.sendReport(1)
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -20,8 +20,8 @@
 			b.Run(fmt.Sprintf("%d bytes, %d records", size, recordCount), func(b *testing.B) {
 				q := newTestQuarantine(&testFleet{result: platform.ProbeGone})
 				for i := range recordCount {
-					q.BrokenOff(quarantine.Broken{
-						Content: testContent(fmt.Sprint(i)), Target: serving.Target{ID: "t"}, Began: time.Now(), HasCrashed: true, Err: errors.New("EOF"),
+					q.BrokenOff(quarantine.BrokenRun{
+						Content: testContent(fmt.Sprint(i)), Target: serving.Target{ID: "t"}, BeganAt: time.Now(), HasCrashed: true, Err: errors.New("EOF"),
 					})
 				}
 				req := testContent(string(make([]byte, size))).Request
--- a/internal/quarantine/interrupted.go
+++ b/internal/quarantine/interrupted.go
@@ -60,8 +60,8 @@
 // request needs. If the target breaks off another run within interruptionWindow before or after, the ended
 // run is as suspect as that one: when a target crashes, this process may end some of its runs before the
 // target breaks them off, because the first broken-off run already makes the target suspect.
-func (q *Quarantine) Interrupted(b quarantine.Broken) {
-	if !q.isOn || !b.Counts() {
+func (q *Quarantine) Interrupted(b quarantine.BrokenRun) {
+	if !q.isOn || !b.CountsAgainstRequest() {
 		return
 	}
 	now := time.Now()
--- a/internal/quarantine/logstore_test.go
+++ b/internal/quarantine/logstore_test.go
@@ -37,8 +37,8 @@
 		}
 		for i := range quarantine.DefaultThreshold {
 			q := []*Quarantine{first, second}[i%2]
-			q.BrokenOff(quarantine.Broken{
-				Content: testContent("body"), Target: serving.Target{ID: fmt.Sprint(i)}, Began: time.Now().Add(-runDuration), HasCrashed: true, Err: fmt.Errorf("crashed"),
+			q.BrokenOff(quarantine.BrokenRun{
+				Content: testContent("body"), Target: serving.Target{ID: fmt.Sprint(i)}, BeganAt: time.Now().Add(-runDuration), HasCrashed: true, Err: fmt.Errorf("crashed"),
 			})
 			time.Sleep(time.Second)
 		}
--- a/internal/quarantine/many_test.go
+++ b/internal/quarantine/many_test.go
@@ -117,7 +117,7 @@
 		r.mu.Lock()
 		r.crashAt = append(r.crashAt, time.Now())
 		r.mu.Unlock()
-		q.BrokenOff(quarantine.Broken{Content: c, Target: serving.Target{ID: target}, Began: beganAt, Err: errors.New("EOF")})
+		q.BrokenOff(quarantine.BrokenRun{Content: c, Target: serving.Target{ID: target}, BeganAt: beganAt, Err: errors.New("EOF")})
 	}()
 }
 
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -134,8 +134,8 @@
 	}
 	for name, read := range map[string]func() int64{
 		recordsMetric:     func() int64 { return int64(q.registry.Len()) },
-		quarantinedMetric: func() int64 { contents, _ := q.registry.Quarantined(); return int64(contents) },
-		scopesMetric:      func() int64 { _, scopes := q.registry.Quarantined(); return int64(scopes) },
+		quarantinedMetric: func() int64 { contents, _ := q.registry.CountQuarantined(); return int64(contents) },
+		scopesMetric:      func() int64 { _, scopes := q.registry.CountQuarantined(); return int64(scopes) },
 		suspectsMetric:    func() int64 { return int64(q.suspects.len()) },
 	} {
 		o.Metrics.GetOrRegister(name, metrics.NewFunctionalGauge(func() int64 {
@@ -215,8 +215,8 @@
 	_, isScopeTrial := q.registry.AdmitScopes(now, subject)
 	if isContentTrial || isScopeTrial {
 		q.trials.Inc(1)
-		q.log.Info("tried", "request", c.Request.ID, "content", subject.Content.String(), "crashes", q.registry.Crashes(subject.Content),
-			"scope_crashes", q.registry.ScopeCrashes(subject))
+		q.log.Info("tried", "request", c.Request.ID, "content", subject.Content.String(), "crashes", q.registry.CrashCount(subject.Content),
+			"scope_crashes", q.registry.MaxScopeCrashes(subject))
 	}
 	return isContentTrial || isScopeTrial, nil
 }
@@ -230,7 +230,7 @@
 // reject counts and logs a request that is not sent, and returns the error for its caller. q.mu must be held.
 func (q *Quarantine) reject(c *quarantine.Content, reason string) error {
 	subject := q.subject(c)
-	crashCount, maxScopeCrashes := q.registry.Crashes(subject.Content), q.registry.ScopeCrashes(subject)
+	crashCount, maxScopeCrashes := q.registry.CrashCount(subject.Content), q.registry.MaxScopeCrashes(subject)
 	q.rejected.Inc(1)
 	q.routineLog.Info(time.Now(), "quarantined", "request", c.Request.ID, "content", subject.Content.String(), "why", reason, "crashes", crashCount,
 		"scope_crashes", maxScopeCrashes)
@@ -247,7 +247,7 @@
 	if !q.hasScopes {
 		return quarantine.Subject{Content: subject.Content}
 	}
-	subject.HasPassed = q.passedContents.Has(c.Digest())
+	subject.HasPassed = q.passedContents.Contains(c.Digest())
 	return subject
 }
 
@@ -263,7 +263,7 @@
 	return q.registry.IsSuspect(subject)
 }
 
-// Passed notes that a run of a request has passed; see quarantine.PassTime.
+// Passed notes that a run of a request has passed; see quarantine.MinPassDuration.
 func (q *Quarantine) Passed(c *quarantine.Content) {
 	if !q.isOn || !q.hasScopes {
 		return
@@ -274,7 +274,7 @@
 	}
 	subject := q.subject(c)
 	q.mu.Lock()
-	maxScopeCrashes := q.registry.ScopeCrashes(subject)
+	maxScopeCrashes := q.registry.MaxScopeCrashes(subject)
 	isNew := q.registry.NotePassed(time.Now(), subject)
 	q.mu.Unlock()
 	if isNew {
@@ -291,7 +291,7 @@
 	}
 	f := c.Fingerprint()
 	q.mu.Lock()
-	crashCount := q.registry.Crashes(f)
+	crashCount := q.registry.CrashCount(f)
 	hasCleared := q.registry.NoteServed(time.Now(), f)
 	q.mu.Unlock()
 	if hasCleared {
@@ -312,8 +312,8 @@
 	if isNew && s.isUnpassed {
 		q.registry.NoteScopeCrash(now, subject, crash)
 	}
-	crashCount, isQuarantined := q.registry.Crashes(f), q.registry.Check(now, f)
-	maxScopeCrashes, isScopeQuarantined := q.registry.ScopeCrashes(subject), q.registry.CheckScopes(now, subject)
+	crashCount, isQuarantined := q.registry.CrashCount(f), q.registry.Check(now, f)
+	maxScopeCrashes, isScopeQuarantined := q.registry.MaxScopeCrashes(subject), q.registry.CheckScopes(now, subject)
 	q.recordCount.Store(int64(q.registry.Len()))
 	q.mu.Unlock()
 	if !isNew {
@@ -351,7 +351,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.registry.ToTell(time.Now(), maxRecordsPerReport)
+	return q.registry.DueForPeers(time.Now(), maxRecordsPerReport)
 }
 
 // PeerStarted notes that a message from a peer was received for the first time. It sends all quarantined
@@ -361,7 +361,7 @@
 		return
 	}
 	q.mu.Lock()
-	q.registry.TellAgain(time.Now())
+	q.registry.ResendQuarantined(time.Now())
 	q.mu.Unlock()
 	q.fleet.ReportSoon()
 }
@@ -388,11 +388,11 @@
 		q.mu.Lock()
 		now := time.Now()
 		isNew := apply(now, r)
-		crashCount := q.registry.Crashes(r.Content)
+		crashCount := q.registry.CrashCount(r.Content)
 		q.recordCount.Store(int64(q.registry.Len()))
 		q.mu.Unlock()
 		if isNew {
-			q.routineLog.Info(now, "record learned", "content", r.Content.String(), "from", source, "crashes", crashCount, "seen_ms_ago", now.Sub(r.Seen).Milliseconds())
+			q.routineLog.Info(now, "record learned", "content", r.Content.String(), "from", source, "crashes", crashCount, "seen_ms_ago", now.Sub(r.LastSeen).Milliseconds())
 		}
 	}
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -105,7 +105,7 @@
 func breakOffAndWait(q *Quarantine, body, target string) {
 	beganAt := time.Now()
 	time.Sleep(runDuration)
-	q.BrokenOff(quarantine.Broken{Content: testContent(body), Target: serving.Target{ID: target}, Began: beganAt, Err: errors.New("EOF")})
+	q.BrokenOff(quarantine.BrokenRun{Content: testContent(body), Target: serving.Target{ID: target}, BeganAt: beganAt, Err: errors.New("EOF")})
 	time.Sleep(time.Second)
 	synctest.Wait()
 }
@@ -176,7 +176,7 @@
 		beganAt := time.Now()
 		time.Sleep(runDuration)
 		for i := range quarantine.DefaultThreshold {
-			q.BrokenOff(quarantine.Broken{Content: testContent("body"), Target: serving.Target{ID: fmt.Sprint(i)}, Began: beganAt, Err: errors.New("EOF")})
+			q.BrokenOff(quarantine.BrokenRun{Content: testContent("body"), Target: serving.Target{ID: fmt.Sprint(i)}, BeganAt: beganAt, Err: errors.New("EOF")})
 		}
 		time.Sleep(100 * time.Millisecond)
 		if !isQuarantined(q, "body") {
@@ -220,7 +220,7 @@
 		f := &testFleet{result: platform.ProbeAlive}
 		q := newTestQuarantine(f)
 		breakOff := func(body string, beganAt time.Time) {
-			q.BrokenOff(quarantine.Broken{Content: testContent(body), Target: serving.Target{ID: "t"}, Began: beganAt, Err: errors.New("EOF")})
+			q.BrokenOff(quarantine.BrokenRun{Content: testContent(body), Target: serving.Target{ID: "t"}, BeganAt: beganAt, Err: errors.New("EOF")})
 		}
 		breakOff("first", time.Now())
 		lastProbeAt := probeDelays[0] + probeDelays[1]
@@ -230,7 +230,7 @@
 		breakOff("second", time.Now().Add(-runDuration))
 		time.Sleep(time.Second)
 		synctest.Wait()
-		crashCount := func(body string) int { return q.registry.Crashes(testContent(body).Fingerprint()) }
+		crashCount := func(body string) int { return q.registry.CrashCount(testContent(body).Fingerprint()) }
 		if crashCount("first") != 0 || crashCount("second") != 1 {
 			t.Errorf("%d crashes counted of the first content, want 0; %d of the second, want 1", crashCount("first"), crashCount("second"))
 		}
@@ -252,7 +252,7 @@
 		run := func(i int, from, to string) {
 			beganAt := time.Now()
 			time.Sleep(runDuration)
-			q.BrokenOff(quarantine.Broken{Content: testContent("long"), Target: serving.Target{ID: fmt.Sprint("t", i)}, Began: beganAt, From: from, To: to, Err: errors.New("EOF")})
+			q.BrokenOff(quarantine.BrokenRun{Content: testContent("long"), Target: serving.Target{ID: fmt.Sprint("t", i)}, BeganAt: beganAt, FromEvent: from, ToEvent: to, Err: errors.New("EOF")})
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}
@@ -276,7 +276,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		q := newTestQuarantine(&testFleet{})
 		for i := range 2 * maxSuspects {
-			q.BrokenOff(quarantine.Broken{Content: testContent(fmt.Sprint(i)), Target: serving.Target{ID: fmt.Sprint(i % 7)}, Err: errors.New("EOF")})
+			q.BrokenOff(quarantine.BrokenRun{Content: testContent(fmt.Sprint(i)), Target: serving.Target{ID: fmt.Sprint(i % 7)}, Err: errors.New("EOF")})
 		}
 		if q.suspects.len() > maxSuspects {
 			t.Errorf("%d suspects after twice the maximum of broken-off runs, want at most the maximum", q.suspects.len())
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -159,7 +159,7 @@
 func (s *storeSync) writeDue(ctx context.Context) time.Duration {
 	for {
 		s.q.mu.Lock()
-		due, next := s.q.registry.ToStore(time.Now(), maxRecordsPerWrite)
+		due, next := s.q.registry.DueForStore(time.Now(), maxRecordsPerWrite)
 		s.q.mu.Unlock()
 		if len(due) == 0 && next.IsZero() {
 			return expireInterval
--- a/internal/quarantine/suspects.go
+++ b/internal/quarantine/suspects.go
@@ -23,12 +23,12 @@
 	start      string    // id of the target's process, which changes with each restart; empty if unknown
 	beganAt    time.Time // when the request was sent to the target
 	brokenAt   time.Time // when the run ended
-	isUnpassed bool      // the run had not passed; see quarantine.PassTime
+	isUnpassed bool      // the run had not passed; see quarantine.MinPassDuration
 }
 
 // newSuspect returns the suspect for a run that ended at brokenAt.
-func newSuspect(b quarantine.Broken, brokenAt time.Time) suspect {
-	return suspect{content: b.Content, start: b.Start, beganAt: b.Began, brokenAt: brokenAt, isUnpassed: !b.HasPassed}
+func newSuspect(b quarantine.BrokenRun, brokenAt time.Time) suspect {
+	return suspect{content: b.Content, start: b.StartID, beganAt: b.BeganAt, brokenAt: brokenAt, isUnpassed: !b.HasPassed}
 }
 
 // suspectTarget holds the state of a target that has recently broken off requests or fallen silent.
@@ -109,20 +109,20 @@
 
 // BrokenOff notes a run that a target has broken off. If it is not known yet whether the target has crashed or
 // only the connection was lost, it starts a probe of the target.
-func (q *Quarantine) BrokenOff(b quarantine.Broken) {
+func (q *Quarantine) BrokenOff(b quarantine.BrokenRun) {
 	now := time.Now()
 	s := newSuspect(b, now)
 	q.brokenOff.Inc(1)
 	q.log.Warn("broken off by target", "request", b.Content.Request.ID, "content", b.Content.Fingerprint().String(), "target", b.Target.ID,
-		"from_event", b.From, "to_event", b.To, "error", b.Err.Error())
+		"from_event", b.FromEvent, "to_event", b.ToEvent, "error", b.Err.Error())
 	if !q.isOn || !b.HasCrashed && !q.wasInService(b.Target.ID) {
 		return
 	}
 	interrupted := q.markBrokenOff(now, b.Target.ID, false)
 	switch {
-	case b.Counts() && b.HasCrashed:
+	case b.CountsAgainstRequest() && b.HasCrashed:
 		q.noteCrash(s, b.Target.ID, "known to have crashed")
-	case b.Counts():
+	case b.CountsAgainstRequest():
 		q.checkForCrash(suspectAtTarget{suspect: s, target: b.Target})
 	}
 	for _, run := range interrupted {
@@ -159,14 +159,14 @@
 
 // FellSilent notes a run that this process has ended because its target sent nothing for too long. Such a
 // target does not answer probes either: only its removal from the list of targets shows that it has crashed.
-func (q *Quarantine) FellSilent(b quarantine.Broken) {
+func (q *Quarantine) FellSilent(b quarantine.BrokenRun) {
 	now := time.Now()
 	if !q.isOn || !q.wasInService(b.Target.ID) {
 		return
 	}
 	q.fellSilent.Inc(1)
 	interrupted := q.markBrokenOff(now, b.Target.ID, true)
-	if b.Counts() {
+	if b.CountsAgainstRequest() {
 		interrupted = append(interrupted, suspectAtTarget{suspect: newSuspect(b, now), target: b.Target})
 	}
 	for _, run := range interrupted {
