--- a/core/fanout/fanout_test.go
+++ b/core/fanout/fanout_test.go
@@ -11,11 +11,11 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
 }
 
-// testMembers returns n members of domain 1. The i-th of them has IsHeard set if isLive(i) is true.
+// testMembers returns n members of domain 1. The i-th of them has IsLive set if isLive(i) is true.
 func testMembers(n int, isLive func(i int) bool) []Member {
 	var members []Member
 	for i := range n {
-		members = append(members, Member{Addr: testAddr(i), Domain: 1, IsHeard: isLive(i)})
+		members = append(members, Member{Addr: testAddr(i), Domain: 1, IsLive: isLive(i)})
 	}
 	return members
 }
@@ -47,9 +47,9 @@
 func TestGatewaysWithMoreCapacityRankFirst(t *testing.T) {
 	members := testMembers(60, func(int) bool { return true })
 	for i := range members {
-		members[i].Capacity = CapacityOf(0.144)
+		members[i].Capacity = CapacityFromCores(0.144)
 		if i%3 == 0 {
-			members[i].Capacity = CapacityOf(0.8)
+			members[i].Capacity = CapacityFromCores(0.8)
 		}
 	}
 	hubs, _ := Hubs(members)
@@ -68,7 +68,7 @@
 	if len(ranks) != len(members) {
 		t.Errorf("%d different ranks for %d gateways, want one for each gateway", len(ranks), len(members))
 	}
-	if CapacityOf(1000) != 255 || CapacityOf(-1) != 0 {
+	if CapacityFromCores(1000) != 255 || CapacityFromCores(-1) != 0 {
 		t.Error("the capacities of 1000 and -1 cores are not limited to 255 and 0")
 	}
 }
@@ -84,12 +84,12 @@
 		reached := make(map[netip.AddrPort]int)
 		branches := Branches(testAddr(0), receivers)
 		for _, b := range branches {
-			reached[b.First]++
-			for _, r := range b.Rest {
+			reached[b.Parent]++
+			for _, r := range b.Children {
 				reached[r]++
 			}
-			if len(b.Rest) > 20 {
-				t.Errorf("%d receivers: one gateway forwards to %d others, want at most 20", n, len(b.Rest))
+			if len(b.Children) > 20 {
+				t.Errorf("%d receivers: one gateway forwards to %d others, want at most 20", n, len(b.Children))
 			}
 		}
 		if len(reached) != n || len(branches) > max(maxFlatReceivers, 20) {
@@ -114,13 +114,13 @@
 // batch.
 func TestTableReturnsOnlyNewReports(t *testing.T) {
 	now := time.Unix(0, 0)
-	report := func(seq uint64, isIdle bool, n int) Origin[int] {
-		return Origin[int]{ID: 1, Domain: 2, Seq: seq, Heard: now, IsIdle: isIdle, Report: n}
+	report := func(seq uint64, isIdle bool, n int) Entry[int] {
+		return Entry[int]{ID: 1, Domain: 2, Seq: seq, LastSeen: now, IsIdle: isIdle, Report: n}
 	}
 	table := newCountTable()
 	for _, step := range []struct {
 		name         string
-		put          Origin[int]
+		put          Entry[int]
 		isForwardDue bool
 		want         []int
 	}{
@@ -134,7 +134,7 @@
 	} {
 		table.Put(step.put, step.isForwardDue)
 		var got []int
-		for _, e := range table.Changes() {
+		for _, e := range table.TakeChanges() {
 			got = append(got, e.Report)
 		}
 		if len(got) != len(step.want) || len(got) > 0 && got[0] != step.want[0] {
@@ -143,7 +143,7 @@
 	}
 	table.Put(report(6, false, 1), true)
 	table.Put(report(7, false, 2), false)
-	if entries := table.Changes(); len(entries) != 1 || entries[0].Report != 3 || entries[0].Seq != 7 {
+	if entries := table.TakeChanges(); len(entries) != 1 || entries[0].Report != 3 || entries[0].Seq != 7 {
 		t.Errorf("two reports before the next batch are forwarded as %+v, want one entry with sequence number 7 and report 3", entries)
 	}
 }
@@ -154,26 +154,26 @@
 func TestTableDropsSilentGateways(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := newCountTable()
-	table.Put(Origin[int]{ID: 1, Seq: 3, Heard: now, Report: 4}, true)
-	table.Vouch(Origin[int]{ID: 1, Seq: 2, Heard: now.Add(500 * time.Millisecond), IsIdle: true})
-	table.Vouch(Origin[int]{ID: 2, Heard: now, HasStopped: true})
-	if entries := table.Vouched(); len(entries) != 2 || len(table.Vouched()) != 0 {
+	table.Put(Entry[int]{ID: 1, Seq: 3, LastSeen: now, Report: 4}, true)
+	table.PutHeartbeat(Entry[int]{ID: 1, Seq: 2, LastSeen: now.Add(500 * time.Millisecond), IsIdle: true})
+	table.PutHeartbeat(Entry[int]{ID: 2, LastSeen: now, HasStopped: true})
+	if entries := table.TakeHeartbeats(); len(entries) != 2 || len(table.TakeHeartbeats()) != 0 {
 		t.Errorf("the first call returns the heartbeats %+v, want 2; the second call must return none", entries)
 	}
 	now = now.Add(1200 * time.Millisecond)
-	entries := table.Refresh(now, 0)
+	entries := table.PruneAndList(now, 0)
 	if len(entries) != 1 || entries[0].ID != 1 || entries[0].IsIdle || entries[0].Report != 4 {
 		t.Errorf("live entries %+v, want only gateway 1, not idle, with report 4", entries)
 	}
-	table.Stop(1)
-	if entries := table.Refresh(now, 0); !entries[0].HasStopped {
+	table.MarkStopped(1)
+	if entries := table.PruneAndList(now, 0); !entries[0].HasStopped {
 		t.Error("HasStopped is false for a gateway that was marked as stopped, want true")
 	}
-	table.Vouch(Origin[int]{ID: 1, Seq: 4, Heard: now, IsIdle: true})
-	if entries := table.Refresh(now, 0); !entries[0].IsIdle || entries[0].Report != 0 || entries[0].HasStopped {
+	table.PutHeartbeat(Entry[int]{ID: 1, Seq: 4, LastSeen: now, IsIdle: true})
+	if entries := table.PruneAndList(now, 0); !entries[0].IsIdle || entries[0].Report != 0 || entries[0].HasStopped {
 		t.Errorf("live entries %+v, want gateway 1 idle, not stopped and with report 0", entries)
 	}
-	if entries := table.Refresh(now.Add(time.Minute), 0); len(entries) != 0 || table.Len() != 0 {
+	if entries := table.PruneAndList(now.Add(time.Minute), 0); len(entries) != 0 || table.Len() != 0 {
 		t.Errorf("%d gateways are live after a minute of silence, want none, and an empty table", len(entries))
 	}
 }
--- a/core/fanout/overlay.go
+++ b/core/fanout/overlay.go
@@ -33,9 +33,9 @@
 // Capacity is the processor time available to a gateway, in tenths of a core; 0 if unknown.
 type Capacity uint8
 
-// CapacityOf converts a number of cores into a Capacity. The result is rounded to tenths of a core and limited
+// CapacityFromCores converts a number of cores into a Capacity. The result is rounded to tenths of a core and limited
 // to the range 0 to 255.
-func CapacityOf(cores float64) Capacity {
+func CapacityFromCores(cores float64) Capacity {
 	return Capacity(max(0, min(math.MaxUint8, math.Round(10*cores))))
 }
 
@@ -44,9 +44,9 @@
 	Addr     netip.AddrPort
 	Domain   Domain
 	Capacity Capacity
-	// IsHeard is set if the calling gateway has recently received a report or heartbeat of this gateway,
+	// IsLive is set if the calling gateway has recently received a report or heartbeat of this gateway,
 	// directly or through a hub, and for the calling gateway itself. The caller decides what counts as recent.
-	IsHeard bool
+	IsLive bool
 }
 
 // hashAddr returns the hash of an address by which gateways are ordered. All gateways compute the same hash;
@@ -61,7 +61,7 @@
 }
 
 // Hubs selects the hubs among the members of one domain: at most hubsPerDomain of those that were seen
-// recently (IsHeard), with the most processor time first. unconfirmed are the members that were not seen
+// recently (IsLive), with the most processor time first. unconfirmed are the members that were not seen
 // recently and come before the last hub in this order, or all of them if there are fewer than hubsPerDomain
 // hubs: they may be live and act as hubs.
 func Hubs(members []Member) (hubs, unconfirmed []netip.AddrPort) {
@@ -80,7 +80,7 @@
 		switch {
 		case len(hubs) == hubsPerDomain:
 			return hubs, unconfirmed
-		case m.IsHeard:
+		case m.IsLive:
 			hubs = append(hubs, m.Addr)
 		default:
 			unconfirmed = append(unconfirmed, m.Addr)
@@ -106,8 +106,8 @@
 
 // Branch is a receiver to which a hub sends a batch, and the gateways to which this receiver forwards it.
 type Branch struct {
-	First netip.AddrPort
-	Rest  []netip.AddrPort
+	Parent   netip.AddrPort
+	Children []netip.AddrPort
 }
 
 // Branches divides the receivers of a hub into branches so that no gateway sends to more than about the
@@ -119,7 +119,7 @@
 	if n <= maxFlatReceivers {
 		branches := make([]Branch, 0, n)
 		for _, r := range receivers {
-			branches = append(branches, Branch{First: r})
+			branches = append(branches, Branch{Parent: r})
 		}
 		return branches
 	}
@@ -141,7 +141,7 @@
 	branchSize := int(math.Ceil(math.Sqrt(float64(n))))
 	var branches []Branch
 	for chunk := range slices.Chunk(addrs, branchSize) {
-		branches = append(branches, Branch{First: chunk[0], Rest: chunk[1:]})
+		branches = append(branches, Branch{Parent: chunk[0], Children: chunk[1:]})
 	}
 	return branches
 }
--- a/core/fanout/sim_test.go
+++ b/core/fanout/sim_test.go
@@ -96,7 +96,7 @@
 	for i := range n {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i % simDomainCount), byte(i >> 8), byte(i)}), 7000)
 		g := &simGateway{
-			fleet: f, id: ID(i), member: Member{Addr: addr, Domain: Domain(i % simDomainCount), IsHeard: true}, isObserver: i%(n/simObserverCount) == 1,
+			fleet: f, id: ID(i), member: Member{Addr: addr, Domain: Domain(i % simDomainCount), IsLive: true}, isObserver: i%(n/simObserverCount) == 1,
 			knownSeq: make([]uint64, n), knownChangedAt: make([]time.Duration, n), lastSeen: make([]time.Duration, n),
 			table: NewTable(simTTL, func(_, next simReport) simReport { return next }),
 		}
@@ -237,12 +237,12 @@
 	return g.fleet.now > simTTL && g.fleet.now-g.lastSeen[other.id] > simTTL
 }
 
-// members returns the gateways of a domain. IsHeard is set for g itself and those that are not expired at g.
+// members returns the gateways of a domain. IsLive is set for g itself and those that are not expired at g.
 func (g *simGateway) members(d Domain) []Member {
 	var members []Member
 	for _, other := range g.fleet.gateways {
 		if other.member.Domain == d {
-			members = append(members, Member{Addr: other.member.Addr, Domain: d, IsHeard: other == g || !g.isExpired(other)})
+			members = append(members, Member{Addr: other.member.Addr, Domain: d, IsLive: other == g || !g.isExpired(other)})
 		}
 	}
 	return members
@@ -253,14 +253,14 @@
 	hubs, _ := Hubs(g.members(g.member.Domain))
 	for i, addr := range hubs {
 		to := g.fleet.byAddr[addr]
-		e := Origin[simReport]{ID: g.id, Domain: g.member.Domain, Seq: g.seq, Heard: simTime(g.fleet.now), Report: simReport{g.changedAt}}
+		e := Entry[simReport]{ID: g.id, Domain: g.member.Domain, Seq: g.seq, LastSeen: simTime(g.fleet.now), Report: simReport{g.changedAt}}
 		isForwardDue := g.seq%uint64(len(hubs)) == uint64(i)
 		if to == g {
 			g.putReport(e, isForwardDue)
 			continue
 		}
 		g.send(to, func() {
-			e.Heard = simTime(to.fleet.now)
+			e.LastSeen = simTime(to.fleet.now)
 			to.applyReport(e.ID, e.Seq, e.Report.changedAt, to.fleet.now)
 			to.putReport(e, isForwardDue)
 		})
@@ -273,7 +273,7 @@
 
 // putReport stores a report in the table of g as a hub, and schedules a batch if the report is to be
 // forwarded.
-func (g *simGateway) putReport(e Origin[simReport], isForwardDue bool) {
+func (g *simGateway) putReport(e Entry[simReport], isForwardDue bool) {
 	g.table.Put(e, isForwardDue)
 	if isForwardDue {
 		g.scheduleFlush()
@@ -290,7 +290,7 @@
 		g.isFlushDue = false
 		g.lastFlush = g.fleet.now
 		if !g.isDead {
-			g.sendBatch(g.table.Changes(), g.table.Vouched())
+			g.sendBatch(g.table.TakeChanges(), g.table.TakeHeartbeats())
 		}
 	})
 }
@@ -301,18 +301,18 @@
 		return
 	}
 	g.fleet.schedule(simRefreshInterval, g.refreshHub)
-	if heartbeats := g.table.Refresh(simTime(g.fleet.now), g.member.Domain); len(heartbeats) > 0 {
+	if heartbeats := g.table.PruneAndList(simTime(g.fleet.now), g.member.Domain); len(heartbeats) > 0 {
 		g.sendBatch(nil, heartbeats)
 	}
 }
 
 // sendBatch sends a batch to all gateways of the own domain, and the entries of the own domain in it to a hub
 // of each other domain.
-func (g *simGateway) sendBatch(changes, heartbeats []Origin[simReport]) {
+func (g *simGateway) sendBatch(changes, heartbeats []Entry[simReport]) {
 	if len(changes) == 0 && len(heartbeats) == 0 {
 		return
 	}
-	isOther := func(e Origin[simReport]) bool { return e.Domain != g.member.Domain }
+	isOther := func(e Entry[simReport]) bool { return e.Domain != g.member.Domain }
 	ownChanges := slices.DeleteFunc(slices.Clone(changes), isOther)
 	ownHeartbeats := slices.DeleteFunc(slices.Clone(heartbeats), isOther)
 	rank := slices.IndexFunc(hubsOf(Hubs(g.members(g.member.Domain))), func(a netip.AddrPort) bool { return a == g.member.Addr })
@@ -326,14 +326,14 @@
 	}
 	var receivers []netip.AddrPort
 	for _, m := range g.members(g.member.Domain) {
-		if m.Addr != g.member.Addr && m.IsHeard {
+		if m.Addr != g.member.Addr && m.IsLive {
 			receivers = append(receivers, m.Addr)
 		}
 	}
 	for _, b := range Branches(g.member.Addr, receivers) {
-		to := g.fleet.byAddr[b.First]
+		to := g.fleet.byAddr[b.Parent]
 		g.send(to, func() {
-			for _, addr := range b.Rest {
+			for _, addr := range b.Children {
 				next := g.fleet.byAddr[addr]
 				to.send(next, func() { next.applyBatch(changes, heartbeats, false) })
 			}
@@ -347,17 +347,17 @@
 
 // applyBatch applies a received batch. isFromOtherDomain is set for a batch that a hub of another domain has
 // sent to g, which distributes it in the own domain.
-func (g *simGateway) applyBatch(changes, heartbeats []Origin[simReport], isFromOtherDomain bool) {
+func (g *simGateway) applyBatch(changes, heartbeats []Entry[simReport], isFromOtherDomain bool) {
 	for _, e := range changes {
-		g.applyReport(e.ID, e.Seq, e.Report.changedAt, e.Heard.Sub(simTime(0)))
+		g.applyReport(e.ID, e.Seq, e.Report.changedAt, e.LastSeen.Sub(simTime(0)))
 		if isFromOtherDomain {
 			g.putReport(e, true)
 		}
 	}
 	for _, e := range heartbeats {
-		g.applyReport(e.ID, e.Seq, e.Report.changedAt, e.Heard.Sub(simTime(0)))
+		g.applyReport(e.ID, e.Seq, e.Report.changedAt, e.LastSeen.Sub(simTime(0)))
 		if isFromOtherDomain {
-			g.table.Vouch(e)
+			g.table.PutHeartbeat(e)
 			g.scheduleFlush()
 		}
 	}
--- a/core/fanout/table.go
+++ b/core/fanout/table.go
@@ -5,18 +5,18 @@
 // ID identifies a gateway's process. A restarted gateway has a new ID.
 type ID uint32
 
-// Origin holds what a hub stores about one gateway: its newest report, and when it was last seen.
-type Origin[R any] struct {
+// Entry holds what a hub stores about one gateway: its newest report, and when it was last seen.
+type Entry[R any] struct {
 	ID     ID
 	Domain Domain
 	// Seq is the sequence number that the gateway has assigned to Report.
 	Seq uint64
-	// Heard is when a hub last received a report from the gateway, by this process's clock.
-	Heard time.Time
-	// Contact is when the platform's log store last answered the gateway. HasDetour is set if the gateway has
+	// LastSeen is when a hub last received a report from the gateway, by this process's clock.
+	LastSeen time.Time
+	// LastStoreContact is when the platform's log store last answered the gateway. HasLostStore is set if the gateway has
 	// lost its own connection to that store.
-	Contact   time.Time
-	HasDetour bool
+	LastStoreContact time.Time
+	HasLostStore     bool
 	// IsIdle is set if the report holds no load and no other content that other gateways need.
 	IsIdle bool
 	// HasStopped is set if this hub or another one has detected that the gateway's process has stopped.
@@ -37,7 +37,7 @@
 
 // row holds an entry of a Table and says which lists of the table contain the row.
 type row[R any] struct {
-	Origin[R]
+	Entry[R]
 	isChangePending    bool // the row is in Table.changes
 	isHeartbeatPending bool // the row is in Table.heartbeats
 }
@@ -49,9 +49,9 @@
 }
 
 // Put stores the report in e. If its sequence number is not larger than that of the stored report, e only
-// counts as a heartbeat. If isForwardDue is set, the next call of Changes returns the report, unless both it
+// counts as a heartbeat. If isForwardDue is set, the next call of TakeChanges returns the report, unless both it
 // and the stored report are idle.
-func (t *Table[R]) Put(e Origin[R], isForwardDue bool) {
+func (t *Table[R]) Put(e Entry[R], isForwardDue bool) {
 	r := t.ensureRow(e)
 	r.recordLiveness(e)
 	if e.Seq <= r.Seq {
@@ -68,10 +68,10 @@
 	}
 }
 
-// Vouch records a heartbeat of a gateway that a hub of another domain has sent; the next call of Vouched
+// PutHeartbeat records a heartbeat of a gateway that a hub of another domain has sent; the next call of TakeHeartbeats
 // returns the entry. A heartbeat of an idle gateway clears its stored report, unless the report has a larger
 // sequence number.
-func (t *Table[R]) Vouch(e Origin[R]) {
+func (t *Table[R]) PutHeartbeat(e Entry[R]) {
 	r := t.ensureRow(e)
 	r.recordLiveness(e)
 	if !r.isHeartbeatPending {
@@ -86,10 +86,10 @@
 
 // ensureRow returns the row of a gateway and adds it if it is missing. A new row counts as idle until its
 // first report.
-func (t *Table[R]) ensureRow(e Origin[R]) *row[R] {
+func (t *Table[R]) ensureRow(e Entry[R]) *row[R] {
 	r, ok := t.rows[e.ID]
 	if !ok {
-		r = &row[R]{Origin: Origin[R]{ID: e.ID, Domain: e.Domain, IsIdle: true}}
+		r = &row[R]{Entry: Entry[R]{ID: e.ID, Domain: e.Domain, IsIdle: true}}
 		t.rows[e.ID] = r
 	}
 	return r
@@ -97,15 +97,15 @@
 
 // recordLiveness copies from e when the gateway was last seen, whether its process has stopped, and the state
 // of its connection to the store. It does nothing unless e.Heard is later than that of the row.
-func (r *row[R]) recordLiveness(e Origin[R]) {
-	if e.Heard.After(r.Heard) {
-		r.Heard, r.Contact, r.HasDetour, r.HasStopped = e.Heard, e.Contact, e.HasDetour, e.HasStopped
+func (r *row[R]) recordLiveness(e Entry[R]) {
+	if e.LastSeen.After(r.LastSeen) {
+		r.LastSeen, r.LastStoreContact, r.HasLostStore, r.HasStopped = e.LastSeen, e.LastStoreContact, e.HasLostStore, e.HasStopped
 	}
 }
 
-// Stop marks a gateway's process as stopped until a newer report or heartbeat arrives. An unknown id is
+// MarkStopped marks a gateway's process as stopped until a newer report or heartbeat arrives. An unknown id is
 // ignored.
-func (t *Table[R]) Stop(id ID) {
+func (t *Table[R]) MarkStopped(id ID) {
 	if r, ok := t.rows[id]; ok {
 		r.HasStopped = true
 	}
@@ -114,40 +114,40 @@
 // Len returns the number of gateways in the table.
 func (t *Table[R]) Len() int { return len(t.rows) }
 
-// Vouched returns the entries of the gateways for which hubs of other domains have sent heartbeats since the
+// TakeHeartbeats returns the entries of the gateways for which hubs of other domains have sent heartbeats since the
 // last call.
-func (t *Table[R]) Vouched() []Origin[R] {
-	entries := make([]Origin[R], 0, len(t.heartbeats))
+func (t *Table[R]) TakeHeartbeats() []Entry[R] {
+	entries := make([]Entry[R], 0, len(t.heartbeats))
 	for _, r := range t.heartbeats {
 		r.isHeartbeatPending = false
-		entries = append(entries, r.Origin)
+		entries = append(entries, r.Entry)
 	}
 	t.heartbeats = t.heartbeats[:0]
 	return entries
 }
 
-// Changes returns the entries whose reports are to be forwarded and were stored since the last call.
-func (t *Table[R]) Changes() []Origin[R] {
-	entries := make([]Origin[R], 0, len(t.changes))
+// TakeChanges returns the entries whose reports are to be forwarded and were stored since the last call.
+func (t *Table[R]) TakeChanges() []Entry[R] {
+	entries := make([]Entry[R], 0, len(t.changes))
 	for _, r := range t.changes {
 		r.isChangePending = false
-		entries = append(entries, r.Origin)
+		entries = append(entries, r.Entry)
 	}
 	t.changes = t.changes[:0]
 	return entries
 }
 
-// Refresh drops the gateways of all domains that have been silent for longer than the table's ttl, and
+// PruneAndList drops the gateways of all domains that have been silent for longer than the table's ttl, and
 // returns the entries of the remaining ones of domain d.
-func (t *Table[R]) Refresh(now time.Time, d Domain) []Origin[R] {
-	entries := make([]Origin[R], 0, len(t.rows))
+func (t *Table[R]) PruneAndList(now time.Time, d Domain) []Entry[R] {
+	entries := make([]Entry[R], 0, len(t.rows))
 	for id, r := range t.rows {
-		if now.Sub(r.Heard) > t.ttl {
+		if now.Sub(r.LastSeen) > t.ttl {
 			delete(t.rows, id)
 			continue
 		}
 		if r.Domain == d {
-			entries = append(entries, r.Origin)
+			entries = append(entries, r.Entry)
 		}
 	}
 	return entries
--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -63,7 +63,7 @@
 }
 
 // putReport stores the report of a gateway. isForwardDue makes runHub forward it at once.
-func (h *hub) putReport(e fanout.Origin[relayedReport], isForwardDue bool) {
+func (h *hub) putReport(e fanout.Entry[relayedReport], isForwardDue bool) {
 	h.mu.Lock()
 	h.updateTable(e.ID, func() { h.table.Put(e, isForwardDue) })
 	h.mu.Unlock()
@@ -92,9 +92,9 @@
 
 // hubUpdate is what a hub sends at one time, in one or more batches.
 type hubUpdate struct {
-	changes    []fanout.Origin[relayedReport] // entries of gateways whose reports are new
-	heartbeats []fanout.Origin[relayedReport] // entries whose heartbeats are sent, with their reports unless idle
-	announced  []fanout.ID                    // gateways whose descriptions are sent
+	changes    []fanout.Entry[relayedReport] // entries of gateways whose reports are new
+	heartbeats []fanout.Entry[relayedReport] // entries whose heartbeats are sent, with their reports unless idle
+	announced  []fanout.ID                   // gateways whose descriptions are sent
 }
 
 // takeUpdate returns what is to be sent now and clears what is pending. A refresh includes a heartbeat of
@@ -102,12 +102,12 @@
 func (h *hub) takeUpdate(now time.Time, isRefresh bool, domain fanout.Domain) hubUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	u := hubUpdate{changes: h.table.Changes(), heartbeats: h.table.Vouched(), announced: h.unannounced}
+	u := hubUpdate{changes: h.table.TakeChanges(), heartbeats: h.table.TakeHeartbeats(), announced: h.unannounced}
 	h.unannounced = nil
 	if !isRefresh {
 		return u
 	}
-	own := h.table.Refresh(now, domain)
+	own := h.table.PruneAndList(now, domain)
 	h.reporterCount = len(own)
 	u.heartbeats = append(u.heartbeats, own...)
 	for i := range min(peerInfosPerRefresh, len(own)) {
@@ -119,7 +119,7 @@
 
 // forDomain returns the changes and heartbeats of the gateways of one domain, without announced gateways.
 func (u hubUpdate) forDomain(d fanout.Domain) hubUpdate {
-	isOtherDomain := func(e fanout.Origin[relayedReport]) bool { return e.Domain != d }
+	isOtherDomain := func(e fanout.Entry[relayedReport]) bool { return e.Domain != d }
 	return hubUpdate{changes: slices.DeleteFunc(slices.Clone(u.changes), isOtherDomain), heartbeats: slices.DeleteFunc(slices.Clone(u.heartbeats), isOtherDomain)}
 }
 
@@ -206,9 +206,9 @@
 }
 
 // newHeartbeat returns the heartbeat for an entry of the table, with its ages at the time now.
-func newHeartbeat(now time.Time, e fanout.Origin[relayedReport]) heartbeat {
+func newHeartbeat(now time.Time, e fanout.Entry[relayedReport]) heartbeat {
 	return heartbeat{
-		id: e.ID, seq: uint16(e.Seq), age: now.Sub(e.Heard), storeContactAge: now.Sub(e.Contact), isIdle: e.IsIdle, hasStopped: e.HasStopped, hasLostStore: e.HasDetour,
+		id: e.ID, seq: uint16(e.Seq), age: now.Sub(e.LastSeen), storeContactAge: now.Sub(e.LastStoreContact), isIdle: e.IsIdle, hasStopped: e.HasStopped, hasLostStore: e.HasLostStore,
 	}
 }
 
@@ -217,7 +217,7 @@
 func (s *Share) sendToBranches(contents []cbor.RawMessage, branches []fanout.Branch) {
 	for _, data := range contents {
 		for _, b := range branches {
-			s.sendBatch(batch{Forward: b.Rest, Content: data}, b.First)
+			s.sendBatch(batch{Forward: b.Children, Content: data}, b.Parent)
 		}
 	}
 }
@@ -263,10 +263,10 @@
 }
 
 // putHeartbeat records a heartbeat that a hub of another domain has sent, to be forwarded at once.
-func (h *hub) putHeartbeat(e fanout.Origin[relayedReport]) {
+func (h *hub) putHeartbeat(e fanout.Entry[relayedReport]) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.updateTable(e.ID, func() { h.table.Vouch(e) })
+	h.updateTable(e.ID, func() { h.table.PutHeartbeat(e) })
 	signal(h.changed)
 }
 
@@ -274,5 +274,5 @@
 func (h *hub) markStopped(id fanout.ID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.table.Stop(id)
+	h.table.MarkStopped(id)
 }
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -88,9 +88,9 @@
 
 // hubEntry returns the entry for a report of the peer in the table of this gateway as a hub. seenAt is when
 // the peer was last seen.
-func (p *peer) hubEntry(r relayedReport, seenAt time.Time) fanout.Origin[relayedReport] {
-	return fanout.Origin[relayedReport]{
-		ID: p.id, Domain: fanout.Domain(p.domain), Seq: r.Seq, Heard: seenAt, Contact: p.lastStoreContact, HasDetour: p.hasLostStore, IsIdle: r.isIdle(), Report: r,
+func (p *peer) hubEntry(r relayedReport, seenAt time.Time) fanout.Entry[relayedReport] {
+	return fanout.Entry[relayedReport]{
+		ID: p.id, Domain: fanout.Domain(p.domain), Seq: r.Seq, LastSeen: seenAt, LastStoreContact: p.lastStoreContact, HasLostStore: p.hasLostStore, IsIdle: r.isIdle(), Report: r,
 	}
 }
 
--- a/internal/loadshare/receivers.go
+++ b/internal/loadshare/receivers.go
@@ -69,7 +69,7 @@
 	}
 	for ap, p := range s.peers {
 		if silentFor := now.Sub(p.lastSeen); p.domain == domain && silentFor <= silentAfter {
-			members = append(members, fanout.Member{Addr: ap, Domain: fanout.Domain(domain), Capacity: p.capacity, IsHeard: p.name != "" && silentFor < PeerTTL})
+			members = append(members, fanout.Member{Addr: ap, Domain: fanout.Domain(domain), Capacity: p.capacity, IsLive: p.name != "" && silentFor < PeerTTL})
 		}
 	}
 	return members
@@ -77,7 +77,7 @@
 
 // selfMember returns the Member that stands for this gateway in fanout.Hubs and fanout.Rank.
 func (s *Share) selfMember() fanout.Member {
-	return fanout.Member{Addr: s.Addr(), Domain: fanout.Domain(s.domain), Capacity: s.capacity, IsHeard: true}
+	return fanout.Member{Addr: s.Addr(), Domain: fanout.Domain(s.domain), Capacity: s.capacity, IsLive: true}
 }
 
 // hubModeReceivers returns the receivers of the report with sequence number seq when hubs distribute it: the
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -129,7 +129,7 @@
 
 // cpuCapacity returns the processor time that a gateway may use: CPUShare of all its cores.
 func cpuCapacity(s settings.Gateway) fanout.Capacity {
-	return fanout.CapacityOf(s.CPUShare * float64(s.Cores))
+	return fanout.CapacityFromCores(s.CPUShare * float64(s.Cores))
 }
 
 // defaultClaimTTL is the value of claimTTL if RevokeWithin is 0, so that keys are trusted without a time limit. It
