--- a/core/backlog/codec.go
+++ b/core/backlog/codec.go
@@ -40,8 +40,8 @@
 	return encodeRecords(joinKey(kindJob, j.ID), j)
 }
 
-// EncodeEnd returns the records that store the cancellation of a job. Errors: those of EncodeJob.
-func EncodeEnd(job string) ([]platform.KeyedRecord, error) {
+// EncodeCancel returns the records that store the cancellation of a job. Errors: those of EncodeJob.
+func EncodeCancel(job string) ([]platform.KeyedRecord, error) {
 	return encodeRecords(joinKey(kindCancel, job), job)
 }
 
@@ -56,9 +56,9 @@
 	return encodeRecords(ProgressPrefix(shard)+joinKey(p.Job, strconv.Itoa(index)), p)
 }
 
-// Drop returns a tombstone, a record with the same key and no value, for each written record. Writing the
+// Tombstones returns a tombstone, a record with the same key and no value, for each written record. Writing the
 // tombstones deletes the records from the store.
-func Drop(written []platform.KeyedRecord) []platform.KeyedRecord {
+func Tombstones(written []platform.KeyedRecord) []platform.KeyedRecord {
 	var records []platform.KeyedRecord
 	for _, r := range written {
 		records = append(records, platform.KeyedRecord{Key: r.Key})
--- a/core/backlog/pace.go
+++ b/core/backlog/pace.go
@@ -13,9 +13,9 @@
 // runs the processing of the prompt takes most of the time.
 const minRunEvents = 20
 
-// Pace estimates how long the items of each route run. The scheduler predicts from it which items can still
-// meet their due time. Use NewPace to create one; it is safe for concurrent use.
-type Pace struct {
+// RunTimeEstimator estimates how long the items of each route run. The scheduler predicts from it which items can still
+// meet their due time. Use NewRunTimeEstimator to create one; it is safe for concurrent use.
+type RunTimeEstimator struct {
 	mu      sync.Mutex
 	byRoute map[string]*routeEstimate // by route name
 }
@@ -37,11 +37,13 @@
 	*m += ewma(ewmaWeight) * (ewma(v) - *m)
 }
 
-// NewPace returns a Pace without observations.
-func NewPace() *Pace { return &Pace{byRoute: make(map[string]*routeEstimate)} }
+// NewRunTimeEstimator returns a RunTimeEstimator without observations.
+func NewRunTimeEstimator() *RunTimeEstimator {
+	return &RunTimeEstimator{byRoute: make(map[string]*routeEstimate)}
+}
 
 // estimateFor returns the estimate of a route and adds an empty one for a new route. The caller holds the lock.
-func (e *Pace) estimateFor(route string) *routeEstimate {
+func (e *RunTimeEstimator) estimateFor(route string) *routeEstimate {
 	estimate, ok := e.byRoute[route]
 	if !ok {
 		estimate = &routeEstimate{}
@@ -50,9 +52,9 @@
 	return estimate
 }
 
-// Ran adds an observation: a run on the route produced the given number of events and took the given time. Runs
+// ObserveRun adds an observation: a run on the route produced the given number of events and took the given time. Runs
 // of fewer than minRunEvents events are ignored.
-func (e *Pace) Ran(route string, events int, took time.Duration) {
+func (e *RunTimeEstimator) ObserveRun(route string, events int, took time.Duration) {
 	if events < minRunEvents {
 		return
 	}
@@ -61,9 +63,9 @@
 	e.estimateFor(route).secondsPerEvent.add(took.Seconds() / float64(events))
 }
 
-// Done adds an observation: an item of that many tokens is complete and produced the given number of events in
+// ObserveItem adds an observation: an item of that many tokens is complete and produced the given number of events in
 // all its runs.
-func (e *Pace) Done(route string, events int, tokens int64) {
+func (e *RunTimeEstimator) ObserveItem(route string, events int, tokens int64) {
 	if events <= 0 || tokens <= 0 {
 		return
 	}
@@ -72,9 +74,9 @@
 	e.estimateFor(route).eventsPerToken.add(float64(events) / float64(tokens))
 }
 
-// Left returns the expected remaining run time of an item that has the given number of tokens and has already
+// Remaining returns the expected remaining run time of an item that has the given number of tokens and has already
 // produced eventsDone events. It returns 0 before the first observation on the route.
-func (e *Pace) Left(route string, tokens int64, eventsDone int) time.Duration {
+func (e *RunTimeEstimator) Remaining(route string, tokens int64, eventsDone int) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	estimate, ok := e.byRoute[route]
--- a/core/backlog/pace_test.go
+++ b/core/backlog/pace_test.go
@@ -6,14 +6,14 @@
 )
 
 func TestRemainingRunTimeEstimate(t *testing.T) {
-	e := NewPace()
-	if got := e.Left("r", 1000, 0); got != 0 {
+	e := NewRunTimeEstimator()
+	if got := e.Remaining("r", 1000, 0); got != 0 {
 		t.Errorf("remaining run time before any observation is %v, want 0", got)
 	}
-	e.Ran("r", minRunEvents-1, time.Hour) // ignored: too few events
+	e.ObserveRun("r", minRunEvents-1, time.Hour) // ignored: too few events
 	for range 100 {
-		e.Ran("r", 300, 4500*time.Millisecond)
-		e.Done("r", 300, 1000)
+		e.ObserveRun("r", 300, 4500*time.Millisecond)
+		e.ObserveItem("r", 300, 1000)
 	}
 	cases := []struct {
 		tokens     int64
@@ -26,11 +26,11 @@
 		{1000, 400, 15 * time.Millisecond}, // more events than expected: one more is assumed
 	}
 	for _, c := range cases {
-		if got := e.Left("r", c.tokens, c.eventsDone); got.Round(time.Millisecond) != c.want {
+		if got := e.Remaining("r", c.tokens, c.eventsDone); got.Round(time.Millisecond) != c.want {
 			t.Errorf("remaining run time of an item of %d tokens after %d events is %v, want %v", c.tokens, c.eventsDone, got, c.want)
 		}
 	}
-	if got := e.Left("other", 1000, 0); got != 0 {
+	if got := e.Remaining("other", 1000, 0); got != 0 {
 		t.Errorf("remaining run time on a route without observations is %v, want 0", got)
 	}
 }
--- a/core/backlog/state.go
+++ b/core/backlog/state.go
@@ -130,21 +130,21 @@
 	return js.job, true
 }
 
-// Ended reports whether the job's caller has cancelled it.
-func (s *State) Ended(id string) bool {
+// IsCancelled reports whether the job's caller has cancelled it.
+func (s *State) IsCancelled(id string) bool {
 	js, ok := s.jobs[id]
 	return ok && js.isCancelled
 }
 
-// Done reports whether an item of a job has a result.
-func (s *State) Done(job, item string) bool {
+// HasResult reports whether an item of a job has a result.
+func (s *State) HasResult(job, item string) bool {
 	js, ok := s.jobs[job]
 	return ok && js.doneItems[item]
 }
 
-// Listed returns the number of a job's results before the first position without one. Only these are returned
+// ListedCount returns the number of a job's results before the first position without one. Only these are returned
 // to callers.
-func (s *State) Listed(id string) int {
+func (s *State) ListedCount(id string) int {
 	js, ok := s.jobs[id]
 	if !ok {
 		return 0
@@ -157,15 +157,15 @@
 
 // Page returns a page of a job's results that begins at position from. It holds the first result, if there is
 // one, and further ones as long as the texts of all of them have at most maxBytes.
-func (s *State) Page(id string, from, maxBytes int) Page {
+func (s *State) Page(id string, from, maxBytes int) ResultPage {
 	js, ok := s.jobs[id]
 	if !ok || js.job == nil {
-		return Page{Next: from}
+		return ResultPage{Next: from}
 	}
-	page := Page{Total: len(js.job.Items), Next: from}
+	page := ResultPage{Total: len(js.job.Items), Next: from}
 	size := 0
-	for i := from; i < s.Listed(id); i++ {
-		size += len(js.results[i].Text) + js.results[i].Size
+	for i := from; i < s.ListedCount(id); i++ {
+		size += len(js.results[i].Text) + js.results[i].TextSize
 		if i > from && size > maxBytes {
 			break
 		}
@@ -186,9 +186,9 @@
 	return p
 }
 
-// Unneeded reports whether the progress record with the key is obsolete, because its item has a result or its
+// IsProgressObsolete reports whether the progress record with the key is obsolete, because its item has a result or its
 // job is cancelled or deleted. It is false for keys of other records.
-func (s *State) Unneeded(key string) bool {
+func (s *State) IsProgressObsolete(key string) bool {
 	job, index, ok := parseProgressKey(key)
 	if !ok {
 		return false
@@ -200,9 +200,9 @@
 	return index >= len(js.job.Items) || js.doneItems[js.job.Items[index].ID]
 }
 
-// Queued returns the number of tokens of all unfinished items of a workspace's jobs on a route. Items of
+// QueuedTokens returns the number of tokens of all unfinished items of a workspace's jobs on a route. Items of
 // cancelled jobs don't count.
-func (s *State) Queued(workspace, route string) int64 {
+func (s *State) QueuedTokens(workspace, route string) int64 {
 	var sum int64
 	for _, js := range s.jobs {
 		if js.job == nil || js.isCancelled || js.job.Route != route || js.job.Workspace != workspace {
@@ -217,8 +217,8 @@
 	return sum
 }
 
-// Open calls visit for each job that is not cancelled and has unfinished items.
-func (s *State) Open(visit func(*Job)) {
+// EachOpenJob calls visit for each job that is not cancelled and has unfinished items.
+func (s *State) EachOpenJob(visit func(*Job)) {
 	for _, js := range s.jobs {
 		if js.job != nil && !js.isCancelled && len(js.doneItems) < len(js.job.Items) {
 			visit(js.job)
@@ -226,11 +226,11 @@
 	}
 }
 
-// Expired calls visit for each job that was submitted before beforeMs, in milliseconds since 1970, and is
+// EachExpiredJob calls visit for each job that was submitted before beforeMs, in milliseconds since 1970, and is
 // cancelled or has all its results.
-func (s *State) Expired(beforeMs int64, visit func(*Job)) {
+func (s *State) EachExpiredJob(beforeMs int64, visit func(*Job)) {
 	for _, js := range s.jobs {
-		if js.job == nil || js.job.Submitted >= beforeMs {
+		if js.job == nil || js.job.SubmittedMs >= beforeMs {
 			continue
 		}
 		if js.isCancelled || len(js.doneItems) == len(js.job.Items) {
@@ -239,31 +239,31 @@
 	}
 }
 
-// Forgotten holds the tombstones that delete a job, its cancellation, its results and their texts, by the
+// JobTombstones holds the tombstones that delete a job, its cancellation, its results and their texts, by the
 // partition of the store into which they are written.
-type Forgotten struct{ Jobs, Results, Texts []platform.KeyedRecord }
+type JobTombstones struct{ Jobs, Results, Texts []platform.KeyedRecord }
 
-// Forget returns the tombstones that delete a job; none for an unknown job. It does not change the state.
+// TombstonesOf returns the tombstones that delete a job; none for an unknown job. It does not change the state.
 // Errors: those of EncodeJob.
-func (s *State) Forget(id string) (Forgotten, error) {
+func (s *State) TombstonesOf(id string) (JobTombstones, error) {
 	js, ok := s.jobs[id]
 	if !ok || js.job == nil {
-		return Forgotten{}, nil
+		return JobTombstones{}, nil
 	}
 	jobs, err := EncodeJob(js.job)
 	if err != nil {
-		return Forgotten{}, err
+		return JobTombstones{}, err
 	}
-	tombstones := Forgotten{Jobs: Drop(jobs)}
+	tombstones := JobTombstones{Jobs: Tombstones(jobs)}
 	for _, r := range js.results {
 		if r == nil {
 			continue
 		}
 		records, err := EncodeResult(r)
 		if err != nil {
-			return Forgotten{}, err
+			return JobTombstones{}, err
 		}
-		tombstones.Results = append(tombstones.Results, Drop(records)...)
+		tombstones.Results = append(tombstones.Results, Tombstones(records)...)
 		tombstones.Texts = append(tombstones.Texts, r.textTombstones()...)
 	}
 	if js.isCancelled {
--- a/core/backlog/state_test.go
+++ b/core/backlog/state_test.go
@@ -12,7 +12,7 @@
 
 // testJob returns a job of the items i0, i1 and i2, of 10 tokens each, on route r.
 func testJob() *Job {
-	j := &Job{ID: "job", Route: "r", Attempts: 3}
+	j := &Job{ID: "job", Route: "r", MaxAttempts: 3}
 	for i := range 3 {
 		j.Items = append(j.Items, Item{ID: fmt.Sprint("i", i), Tokens: 10, Body: []byte{byte(i)}})
 	}
@@ -33,8 +33,8 @@
 	add(EncodeJob(testJob()))
 	add(EncodeResult(&Result{Job: "job", Position: 0, Item: "i1", Outcome: Complete, Text: strings.Repeat("x", 3*chunkBytes)}))
 	add(EncodeResult(&Result{Job: "job", Position: 1, Item: "i0", Outcome: Errored}))
-	add(EncodeProgress(&Progress{Job: "job", Item: "i2", LastID: "2", Text: "a\nb"}, 7, 2))
-	add(EncodeProgress(&Progress{Job: "job", Item: "i2", LastID: "1", Text: "a"}, 7, 2))
+	add(EncodeProgress(&Progress{Job: "job", Item: "i2", LastEventID: "2", Text: "a\nb"}, 7, 2))
+	add(EncodeProgress(&Progress{Job: "job", Item: "i2", LastEventID: "1", Text: "a"}, 7, 2))
 	return all
 }
 
@@ -55,10 +55,10 @@
 		if page.Total != 3 || page.Next != 2 || page.Results[0].Item != "i1" || len(page.Results[0].Text) != 3*chunkBytes || page.Results[1].Outcome != Errored {
 			t.Fatalf("page has %d results, next position %d and total %d, want 2 results (all of i1, then i0 errored), next position 2 and total 3", len(page.Results), page.Next, page.Total)
 		}
-		if p := s.Progress("job", "i2"); p.LastID != "2" || p.Text != "a\nb" {
+		if p := s.Progress("job", "i2"); p.LastEventID != "2" || p.Text != "a\nb" {
 			t.Fatalf("progress of i2 is %+v, want last event 2 and the two lines a and b", p)
 		}
-		if queued := s.Queued("", "r"); queued != 10 || s.Queued("", "other") != 0 {
+		if queued := s.QueuedTokens("", "r"); queued != 10 || s.QueuedTokens("", "other") != 0 {
 			t.Fatalf("%d tokens are queued on route r, want 10 there and 0 on another route", queued)
 		}
 	}
@@ -66,7 +66,7 @@
 
 func TestCancelledJobHasNothingQueued(t *testing.T) {
 	s := NewState()
-	records, err := EncodeEnd("job")
+	records, err := EncodeCancel("job")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,9 +75,9 @@
 			t.Fatal(err)
 		}
 	}
-	s.Open(func(j *Job) { t.Errorf("cancelled job %s is visited as open, want no open job", j.ID) })
-	if !s.Ended("job") || s.Queued("", "r") != 0 || s.Listed("job") != 2 {
-		t.Errorf("cancelled is %v, queued tokens %d, listed results %d, want true, 0 and 2", s.Ended("job"), s.Queued("", "r"), s.Listed("job"))
+	s.EachOpenJob(func(j *Job) { t.Errorf("cancelled job %s is visited as open, want no open job", j.ID) })
+	if !s.IsCancelled("job") || s.QueuedTokens("", "r") != 0 || s.ListedCount("job") != 2 {
+		t.Errorf("cancelled is %v, queued tokens %d, listed results %d, want true, 0 and 2", s.IsCancelled("job"), s.QueuedTokens("", "r"), s.ListedCount("job"))
 	}
 }
 
@@ -94,8 +94,8 @@
 			t.Fatal(err)
 		}
 	}
-	if s.Listed("job") != 1 {
-		t.Errorf("%d results are listed while position 1 has none, want 1", s.Listed("job"))
+	if s.ListedCount("job") != 1 {
+		t.Errorf("%d results are listed while position 1 has none, want 1", s.ListedCount("job"))
 	}
 }
 
@@ -117,7 +117,7 @@
 func TestJobTombstonesCoverEveryKey(t *testing.T) {
 	s := NewState()
 	keys := make(map[string]bool)
-	cancellation, err := EncodeEnd("job")
+	cancellation, err := EncodeCancel("job")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 	for _, r := range texts { // texts are in a partition of their own
 		keys[r.Key] = true
 	}
-	thirdResult, err := EncodeResult(&Result{Job: "job", Position: 2, Item: "i2", Index: 2, Outcome: Complete, Size: len(text.Text), Sum: Sum(text.Text)})
+	thirdResult, err := EncodeResult(&Result{Job: "job", Position: 2, Item: "i2", Index: 2, Outcome: Complete, TextSize: len(text.Text), TextChecksum: Checksum(text.Text)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 			t.Fatal(err)
 		}
 	}
-	tombstones, err := s.Forget("job")
+	tombstones, err := s.TombstonesOf("job")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,21 +172,21 @@
 	if err != nil || len(records) < 3 {
 		t.Fatalf("a text of some chunks has %d records, error %v; want at least 3 records and no error", len(records), err)
 	}
-	if r := (&Result{Size: len(want.Text)}); r.TextRecords() != len(records) {
-		t.Errorf("the computed number of records is %d, want the %d records of the text", r.TextRecords(), len(records))
+	if r := (&Result{TextSize: len(want.Text)}); r.TextRecordCount() != len(records) {
+		t.Errorf("the computed number of records is %d, want the %d records of the text", r.TextRecordCount(), len(records))
 	}
 	records[0], records[1] = records[1], records[0]
 	reader := NewTextReader()
 	for i, r := range records {
-		key, text, isComplete, err := reader.Put(r)
+		key, text, isComplete, err := reader.Add(r)
 		if err != nil || isComplete != (i == len(records)-1) {
 			t.Fatalf("after the record of index %d of %d records: complete is %v, error %v; want complete after the last record only, and no error", i, len(records), isComplete, err)
 		}
-		if isComplete && (key != TextKey(want.Job, want.Index, Sum(want.Text)) || text != want.Text) {
+		if isComplete && (key != TextKey(want.Job, want.Index, Checksum(want.Text)) || text != want.Text) {
 			t.Errorf("the complete text has key %s and %d bytes, want the encoded key and text", key, len(text))
 		}
 	}
-	if _, _, _, err := reader.Put(platform.KeyedRecord{Key: "t/a/0/0", Value: []byte{0, 0, 0, 1, 0xa0}}); !errs.Is(err, errs.BadFrame) {
+	if _, _, _, err := reader.Add(platform.KeyedRecord{Key: "t/a/0/0", Value: []byte{0, 0, 0, 1, 0xa0}}); !errs.Is(err, errs.BadFrame) {
 		t.Errorf("a record that is not a text: error is %v, want errs.BadFrame", err)
 	}
 }
@@ -199,8 +199,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r := (&Result{Size: size}); r.TextRecords() < len(records) {
-			t.Errorf("a text of %d bytes has %d records, the computed number is %d, want at least as many", size, len(records), r.TextRecords())
+		if r := (&Result{TextSize: size}); r.TextRecordCount() < len(records) {
+			t.Errorf("a text of %d bytes has %d records, the computed number is %d, want at least as many", size, len(records), r.TextRecordCount())
 		}
 	}
 }
@@ -237,7 +237,7 @@
 		"j/job":             false,
 		"p/000007/job/nine": false,
 	} {
-		if s.Unneeded(key) != want {
+		if s.IsProgressObsolete(key) != want {
 			t.Errorf("key %s: obsolete is %v, want the opposite", key, !want)
 		}
 	}
--- a/core/backlog/text.go
+++ b/core/backlog/text.go
@@ -24,9 +24,9 @@
 	Text  string // the item's whole output
 }
 
-// Sum returns the checksum of a text that becomes part of its key. It does not protect against texts that are
+// Checksum returns the checksum of a text that becomes part of its key. It does not protect against texts that are
 // crafted to collide.
-func Sum(text string) uint64 { return xxhash.Sum64String(text) }
+func Checksum(text string) uint64 { return xxhash.Sum64String(text) }
 
 // TextPrefix returns the prefix that the keys of all separately stored texts of a job have in common.
 func TextPrefix(job string) string { return joinKey(kindText, job) + "/" }
@@ -44,26 +44,26 @@
 
 // EncodeText returns the records that store a text separately from its result. Errors: those of EncodeJob.
 func EncodeText(t Text) ([]platform.KeyedRecord, error) {
-	return encodeRecords(TextKey(t.Job, t.Index, Sum(t.Text)), t.Text)
+	return encodeRecords(TextKey(t.Job, t.Index, Checksum(t.Text)), t.Text)
 }
 
-// Apart reports whether the text is stored separately from the result.
-func (r *Result) Apart() bool { return r.Size > 0 }
+// HasSeparateText reports whether the text is stored separately from the result.
+func (r *Result) HasSeparateText() bool { return r.TextSize > 0 }
 
 // TextKey returns the key of the result's separately stored text.
-func (r *Result) TextKey() string { return TextKey(r.Job, r.Index, r.Sum) }
+func (r *Result) TextKey() string { return TextKey(r.Job, r.Index, r.TextChecksum) }
 
-// TextRecords returns the number of records of the result's separately stored text. It is one too large for
+// TextRecordCount returns the number of records of the result's separately stored text. It is one too large for
 // some sizes close to a multiple of chunkBytes.
-func (r *Result) TextRecords() int { return (r.Size+maxTextHeaderBytes)/chunkBytes + 1 }
+func (r *Result) TextRecordCount() int { return (r.TextSize+maxTextHeaderBytes)/chunkBytes + 1 }
 
 // textTombstones returns the tombstones that delete the result's separately stored text; nil without one.
 func (r *Result) textTombstones() []platform.KeyedRecord {
-	if !r.Apart() {
+	if !r.HasSeparateText() {
 		return nil
 	}
 	var records []platform.KeyedRecord
-	for i := range r.TextRecords() {
+	for i := range r.TextRecordCount() {
 		records = append(records, platform.KeyedRecord{Key: chunkKey(r.TextKey(), i)})
 	}
 	return records
@@ -77,9 +77,9 @@
 	return &TextReader{chunkAssembler{partial: make(map[string][][]byte)}}
 }
 
-// Put adds one record. If that was the last missing record of a text, it returns the text, its key and true in
+// Add adds one record. If that was the last missing record of a text, it returns the text, its key and true in
 // isComplete. Errors: errs.BadFrame for a malformed record.
-func (t *TextReader) Put(r platform.KeyedRecord) (key, text string, isComplete bool, err error) {
+func (t *TextReader) Add(r platform.KeyedRecord) (key, text string, isComplete bool, err error) {
 	key, value, err := t.chunks.add(r)
 	if err != nil || value == nil {
 		return "", "", false, err
--- a/core/backlog/types.go
+++ b/core/backlog/types.go
@@ -10,15 +10,15 @@
 
 // Job is an accepted batch job: a list of requests that run in the background.
 type Job struct {
-	ID        string        `cbor:"1,keyasint"`           // of a stored job: as returned by ScopedID
-	Route     string        `cbor:"2,keyasint"`           // name of the route on which the job was submitted
-	Host      string        `cbor:"3,keyasint"`           // host name of the submission; selects the items' route
-	Submitted int64         `cbor:"4,keyasint"`           // milliseconds since 1970, by the accepting process's clock
-	Due       time.Duration `cbor:"5,keyasint"`           // time after Submitted within which the items should be finished
-	Retain    time.Duration `cbor:"6,keyasint"`           // time after Submitted during which no quarantined item is given up
-	Attempts  int           `cbor:"7,keyasint"`           // failed runs after which an item gets the outcome Errored
-	Items     []Item        `cbor:"8,keyasint"`           // the requests of the job
-	Rank      int           `cbor:"9,keyasint,omitempty"` // urgency of the job among all jobs; 0 is the most urgent
+	ID          string        `cbor:"1,keyasint"`           // of a stored job: as returned by ScopedID
+	Route       string        `cbor:"2,keyasint"`           // name of the route on which the job was submitted
+	Host        string        `cbor:"3,keyasint"`           // host name of the submission; selects the items' route
+	SubmittedMs int64         `cbor:"4,keyasint"`           // milliseconds since 1970, by the accepting process's clock
+	DueWithin   time.Duration `cbor:"5,keyasint"`           // time after SubmittedMs within which the items should be finished
+	RetainFor   time.Duration `cbor:"6,keyasint"`           // time after SubmittedMs during which no quarantined item is given up
+	MaxAttempts int           `cbor:"7,keyasint"`           // failed runs after which an item gets the outcome Errored
+	Items       []Item        `cbor:"8,keyasint"`           // the requests of the job
+	Rank        int           `cbor:"9,keyasint,omitempty"` // urgency of the job among all jobs; 0 is the most urgent
 	// Workspace is the workspace that submitted the job; empty if the cluster requires no API keys.
 	Workspace string `cbor:"10,keyasint,omitempty"`
 }
@@ -60,22 +60,22 @@
 	Text     string  `cbor:"5,keyasint,omitempty"` // output of the item; empty if it is stored separately
 	// Index is the item's index in its job. Job, Index and Sum identify a separately stored text.
 	Index int `cbor:"6,keyasint,omitempty"`
-	// Size is the length in bytes of a separately stored text; 0 if Text holds the text.
-	Size int `cbor:"7,keyasint,omitempty"`
-	// Sum is the checksum of a separately stored text.
-	Sum uint64 `cbor:"8,keyasint,omitempty"`
-	// TextAt is the offset in its partition at which a separately stored text was written. As long as the store
+	// TextSize is the length in bytes of a separately stored text; 0 if Text holds the text.
+	TextSize int `cbor:"7,keyasint,omitempty"`
+	// TextChecksum is the checksum of a separately stored text.
+	TextChecksum uint64 `cbor:"8,keyasint,omitempty"`
+	// TextOffset is the offset in its partition at which a separately stored text was written. As long as the store
 	// keeps the history of the partition, the text is read from there without a search by key.
-	TextAt uint64 `cbor:"9,keyasint,omitempty"`
+	TextOffset uint64 `cbor:"9,keyasint,omitempty"`
 }
 
 // Progress holds the events, the number of failures and the outcome of an item without a stored result. The
 // process that owns the item's shard stores it, so that the next owner can resume the item.
 type Progress struct {
-	Job    string `cbor:"1,keyasint"` // id of the job
-	Item   string `cbor:"2,keyasint"` // id of the item
-	LastID string `cbor:"3,keyasint"` // id of the last event in Text
-	Text   string `cbor:"4,keyasint"` // data of the events so far, joined by newlines
+	Job         string `cbor:"1,keyasint"` // id of the job
+	Item        string `cbor:"2,keyasint"` // id of the item
+	LastEventID string `cbor:"3,keyasint"` // id of the last event in Text
+	Text        string `cbor:"4,keyasint"` // data of the events so far, joined by newlines
 	// Failures is the number of runs that a target has answered with a failure. Without it each new owner
 	// would allow all attempts again, and an item that always fails would be given up only if its owner stays
 	// the same.
@@ -85,14 +85,14 @@
 	Outcome Outcome `cbor:"6,keyasint,omitempty"`
 }
 
-// Begun reports whether a run of the item has produced an event, a failure or an outcome.
-func (p Progress) Begun() bool { return p.LastID != "" || p.Failures > 0 || p.Outcome != "" }
+// HasStarted reports whether a run of the item has produced an event, a failure or an outcome.
+func (p Progress) HasStarted() bool { return p.LastEventID != "" || p.Failures > 0 || p.Outcome != "" }
 
 // Merge merges other progress of the same item into p. It keeps the longer text, because all targets produce
 // the same events for an item, the larger number of failures, and the outcome if either has one.
 func (p *Progress) Merge(o Progress) {
 	if len(o.Text) > len(p.Text) {
-		p.LastID, p.Text = o.LastID, o.Text
+		p.LastEventID, p.Text = o.LastEventID, o.Text
 	}
 	p.Failures = max(p.Failures, o.Failures)
 	if p.Outcome == "" {
@@ -100,8 +100,8 @@
 	}
 }
 
-// Page is a part of a job's list of results.
-type Page struct {
+// ResultPage is a part of a job's list of results.
+type ResultPage struct {
 	Total   int      // number of items of the job; 0 for an unknown job
 	Results []Result // in the order of their positions
 	Next    int      // position after the last result of the page
--- a/internal/backlog/attempts_test.go
+++ b/internal/backlog/attempts_test.go
@@ -28,8 +28,8 @@
 		}
 		cl.checkResults(j, cl.nodes[len(cl.nodes)-1].results(j, 20*time.Second))
 		// If an owner is killed between a failure and the write of the count, the item gets one more attempt.
-		if n := cl.targets.runCount(j.Items[0].ID); n > j.Attempts+1 {
-			t.Errorf("an item that fails in each run was run %d times across takeovers, want %d or one more", n, j.Attempts)
+		if n := cl.targets.runCount(j.Items[0].ID); n > j.MaxAttempts+1 {
+			t.Errorf("an item that fails in each run was run %d times across takeovers, want %d or one more", n, j.MaxAttempts)
 		}
 	})
 }
@@ -45,8 +45,8 @@
 		time.Sleep(2*unroutedRecheckDelay + time.Second)
 		cl.isRouteRemoved.Store(false)
 		cl.checkResults(j, cl.nodes[0].results(j, 20*time.Second))
-		if n := cl.targets.runCount(j.Items[0].ID); n != j.Attempts {
-			t.Errorf("the item was given up after %d runs, want %d; checks without a route must not count", n, j.Attempts)
+		if n := cl.targets.runCount(j.Items[0].ID); n != j.MaxAttempts {
+			t.Errorf("the item was given up after %d runs, want %d; checks without a route must not count", n, j.MaxAttempts)
 		}
 	})
 }
@@ -61,7 +61,7 @@
 		j := cl.job("a", "ok", "never", "ok")
 		cl.nodes[0].submit(j)
 		shard := cl.nodes[0].manager.shardOf(j.ID)
-		for i, p := range []backlog.Progress{{Outcome: backlog.Complete, LastID: "40", Text: expectedOutput(j.Items[0].ID)}, {Outcome: backlog.Errored}} {
+		for i, p := range []backlog.Progress{{Outcome: backlog.Complete, LastEventID: "40", Text: expectedOutput(j.Items[0].ID)}, {Outcome: backlog.Errored}} {
 			p.Job, p.Item = j.ID, j.Items[i].ID
 			records, err := backlog.EncodeProgress(&p, shard, i)
 			if err != nil {
--- a/internal/backlog/compact.go
+++ b/internal/backlog/compact.go
@@ -39,7 +39,7 @@
 	submittedBefore := now.Add(-m.opts.Keep - maxClockSkew).UnixMilli()
 	var ids []string
 	m.replica.withState(func(st *backlog.State) {
-		st.Expired(submittedBefore, func(j *backlog.Job) {
+		st.EachExpiredJob(submittedBefore, func(j *backlog.Job) {
 			ids = append(ids, j.ID)
 		})
 	})
@@ -55,9 +55,9 @@
 // deleteJob deletes a job from the store, its texts and results first: compaction finds a job by its own
 // record, so that record must remain until the others are deleted.
 func (m *Manager) deleteJob(ctx context.Context, id string) error {
-	var tombstones backlog.Forgotten
+	var tombstones backlog.JobTombstones
 	var err error
-	m.replica.withState(func(st *backlog.State) { tombstones, err = st.Forget(id) })
+	m.replica.withState(func(st *backlog.State) { tombstones, err = st.TombstonesOf(id) })
 	if err != nil {
 		return err
 	}
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -192,8 +192,8 @@
 
 // job returns a job with an item of each of the kinds, with which the item ids begin; see fakeTargets.
 func (cl *cluster) job(id string, kinds ...string) *backlog.Job {
-	j := &backlog.Job{ID: id, Route: cl.route.Name, Host: "h", Submitted: time.Now().UnixMilli(),
-		Due: cl.route.DueWithin, Retain: cl.route.RetainFor, Attempts: cl.route.MaxAttempts}
+	j := &backlog.Job{ID: id, Route: cl.route.Name, Host: "h", SubmittedMs: time.Now().UnixMilli(),
+		DueWithin: cl.route.DueWithin, RetainFor: cl.route.RetainFor, MaxAttempts: cl.route.MaxAttempts}
 	for i, kind := range kinds {
 		j.Items = append(j.Items, backlog.Item{ID: fmt.Sprintf("%s-%s-%d", kind, id, i), URI: "/b/1", Body: []byte(id), Tokens: 100})
 	}
--- a/internal/backlog/item.go
+++ b/internal/backlog/item.go
@@ -59,10 +59,10 @@
 	took := time.Since(began)
 	timeToFirstEvent, timeSinceLastEvent := r.Times()
 	telemetry.Observe(m.registry, runMetric, took)
-	m.runTimes.Ran(t.job.Route, t.eventCount()-eventsBefore, took)
+	m.runTimes.ObserveRun(t.job.Route, t.eventCount()-eventsBefore, took)
 	if v == runComplete {
 		m.opts.Quarantine.Served(t.content)
-		m.runTimes.Done(t.job.Route, t.eventCount(), t.item().Tokens)
+		m.runTimes.ObserveItem(t.job.Route, t.eventCount(), t.item().Tokens)
 	}
 	toEvent, isPreempted := t.lastEvent(), t.finishRun(r.Target.ID, v)
 	m.scheduler.notifyRunFinished()
@@ -118,7 +118,7 @@
 		return t.setOutcome(backlog.Errored, ""), t.isPreempted
 	case runFailed:
 		t.failures++
-		if t.failures >= t.job.Attempts {
+		if t.failures >= t.job.MaxAttempts {
 			return t.setOutcome(backlog.Errored, ""), t.isPreempted
 		}
 	}
--- a/internal/backlog/load_test.go
+++ b/internal/backlog/load_test.go
@@ -97,7 +97,7 @@
 			t.Errorf("the load had %d failures and requested the pages after keys %q, want 2 failures and 5 requests, the 3rd after some key and the 4th after a later one", failures, pages.After)
 		}
 		r.withState(func(s *backlog.State) {
-			if n := s.Listed("j"); n != 20 {
+			if n := s.ListedCount("j"); n != 20 {
 				t.Errorf("%d results are listed after the load, want 20", n)
 			}
 		})
@@ -144,7 +144,7 @@
 			time.Sleep(time.Second)
 		}
 		r.withState(func(s *backlog.State) {
-			if oldRead, addedRead := s.Listed("j"), s.Listed("a"); oldRead != oldCount || addedRead != addedCount {
+			if oldRead, addedRead := s.ListedCount("j"), s.ListedCount("a"); oldRead != oldCount || addedRead != addedCount {
 				t.Errorf("%d results from before the load are listed, want %d; %d results written meanwhile, want %d", oldRead, oldCount, addedRead, addedCount)
 			}
 		})
@@ -205,7 +205,7 @@
 	time.Sleep(maxExtraReadPause + resultReadPause)
 	synctest.Wait()
 	listed := 0
-	r.withState(func(st *backlog.State) { listed = st.Listed("j") })
+	r.withState(func(st *backlog.State) { listed = st.ListedCount("j") })
 	if listed != written {
 		t.Errorf("%d results are listed, want all %d within %v of the last write", listed, written, maxExtraReadPause+resultReadPause)
 	}
--- a/internal/backlog/manager.go
+++ b/internal/backlog/manager.go
@@ -90,7 +90,7 @@
 	replica   *Replica
 	textStore *textStore
 	scheduler *scheduler
-	runTimes  *backlog.Pace
+	runTimes  *backlog.RunTimeEstimator
 	// isMember is set while this process is a member of the group among which the store divides the shards.
 	isMember atomic.Bool
 	// pendingSaves counts the unfinished background writes of progress. They use saveCtx, which stopSaving
@@ -103,7 +103,7 @@
 // New returns a manager that has not read anything from the store. Call Run to start it.
 func New(o Options, store platform.Store, targets platform.TargetCaller, view *fleetview.View, router Router, log hclog.Logger, reg metrics.Registry) *Manager {
 	m := &Manager{
-		opts: o, store: store, targets: targets, view: view, router: router, log: log, registry: reg, runTimes: backlog.NewPace(),
+		opts: o, store: store, targets: targets, view: view, router: router, log: log, registry: reg, runTimes: backlog.NewRunTimeEstimator(),
 		sentLog: logging.NewRoutine(log), runLog: logging.NewRoutine(log), bodyLog: logging.NewRoutine(log),
 		replica: NewReplica(o.Member, store, view.SetContact, view.Peers, log),
 	}
--- a/internal/backlog/manager_test.go
+++ b/internal/backlog/manager_test.go
@@ -25,8 +25,8 @@
 		for _, n := range cl.nodes {
 			cl.checkResults(j, n.results(j, 20*time.Second))
 		}
-		if n := cl.targets.runCount(j.Items[3].ID); n != j.Attempts {
-			t.Errorf("an item that fails in each run was run %d times, want %d, the maximum number of attempts", n, j.Attempts)
+		if n := cl.targets.runCount(j.Items[3].ID); n != j.MaxAttempts {
+			t.Errorf("an item that fails in each run was run %d times, want %d, the maximum number of attempts", n, j.MaxAttempts)
 		}
 		if n := cl.targets.runCount(j.Items[2].ID); n != 1 {
 			t.Errorf("an item that no target can process was run %d times, want once", n)
@@ -383,7 +383,7 @@
 			t.Fatal(err)
 		}
 		listed := 0
-		r.withState(func(s *backlog.State) { listed = s.Listed("j") })
+		r.withState(func(s *backlog.State) { listed = s.ListedCount("j") })
 		if listed == 0 && r.stateAge(resultPartition) < maxAnswerAge {
 			t.Errorf("a state without the result has an age of %v, want at least maxAnswerAge", r.stateAge(resultPartition))
 		}
@@ -516,7 +516,7 @@
 		cl.nodes[0].submit(j)
 		cl.checkResults(j, cl.nodes[0].results(j, 10*time.Second))
 		shard := cl.nodes[0].manager.shardOf(j.ID)
-		records, err := backlog.EncodeProgress(&backlog.Progress{Job: j.ID, Item: j.Items[0].ID, LastID: "3", Text: "x"}, shard, 0)
+		records, err := backlog.EncodeProgress(&backlog.Progress{Job: j.ID, Item: j.Items[0].ID, LastEventID: "3", Text: "x"}, shard, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/backlog/order.go
+++ b/internal/backlog/order.go
@@ -34,5 +34,5 @@
 	if !sc.m.opts.Off.IsEnabled(policy.FeasibleFirst) {
 		return backlog.StartKey(time.UnixMilli(0), t.due(), 0, t.job.Rank)
 	}
-	return backlog.StartKey(now, t.due(), sc.m.runTimes.Left(t.job.Route, t.item().Tokens, t.eventCount()), t.job.Rank)
+	return backlog.StartKey(now, t.due(), sc.m.runTimes.Remaining(t.job.Route, t.item().Tokens, t.eventCount()), t.job.Rank)
 }
--- a/internal/backlog/order_test.go
+++ b/internal/backlog/order_test.go
@@ -13,14 +13,14 @@
 // than half of the items end in time, even if the engines have enough slots for two thirds.
 func TestItemsThatCanMeetDueTimeStartFirst(t *testing.T) {
 	const tokens, events = 1000, 300
-	m := &Manager{runTimes: backlog.NewPace()}
+	m := &Manager{runTimes: backlog.NewRunTimeEstimator()}
 	for range 50 { // a complete item takes 4.5 s
-		m.runTimes.Ran("r", events, 4500*time.Millisecond)
-		m.runTimes.Done("r", events, tokens)
+		m.runTimes.ObserveRun("r", events, 4500*time.Millisecond)
+		m.runTimes.ObserveItem("r", events, tokens)
 	}
 	now := time.UnixMilli(100_000)
 	taskDue := func(id string, dueIn time.Duration, eventsDone int) *task {
-		j := &backlog.Job{ID: id, Route: "r", Submitted: now.UnixMilli(), Due: dueIn, Items: []backlog.Item{{ID: "i", Tokens: tokens}}}
+		j := &backlog.Job{ID: id, Route: "r", SubmittedMs: now.UnixMilli(), DueWithin: dueIn, Items: []backlog.Item{{ID: "i", Tokens: tokens}}}
 		return &task{job: j, events: eventsDone}
 	}
 	tasks := []*task{
@@ -41,17 +41,17 @@
 
 // Without an estimate of the run time, items must start in the order of their due times.
 func TestOrderByDueTimeWithoutEstimates(t *testing.T) {
-	m := &Manager{runTimes: backlog.NewPace()}
+	m := &Manager{runTimes: backlog.NewRunTimeEstimator()}
 	now := time.UnixMilli(100_000)
 	var tasks []*task
 	for _, dueIn := range []time.Duration{3, 1, 2} {
-		j := &backlog.Job{Submitted: now.UnixMilli(), Due: dueIn * time.Second, Items: []backlog.Item{{Tokens: 1000}}}
+		j := &backlog.Job{SubmittedMs: now.UnixMilli(), DueWithin: dueIn * time.Second, Items: []backlog.Item{{Tokens: 1000}}}
 		tasks = append(tasks, &task{job: j})
 	}
 	ordered := (&scheduler{m: m}).sortTasks(tasks, now)
 	for i, want := range []time.Duration{1, 2, 3} {
-		if ordered[i].task.job.Due != want*time.Second {
-			t.Errorf("the item at place %d from 0 is due within %v, want items due within 1 s, 2 s and 3 s in this order", i, ordered[i].task.job.Due)
+		if ordered[i].task.job.DueWithin != want*time.Second {
+			t.Errorf("the item at place %d from 0 is due within %v, want items due within 1 s, 2 s and 3 s in this order", i, ordered[i].task.job.DueWithin)
 		}
 	}
 }
@@ -59,10 +59,10 @@
 // Items of a more urgent rank must precede those of a less urgent one, even if these are due sooner. Items
 // that can no longer meet their due times come last, whatever their rank.
 func TestMoreUrgentRanksStartFirst(t *testing.T) {
-	m := &Manager{runTimes: backlog.NewPace()}
+	m := &Manager{runTimes: backlog.NewRunTimeEstimator()}
 	now := time.UnixMilli(100_000)
 	taskDue := func(id string, dueIn time.Duration, rank int) *task {
-		return &task{job: &backlog.Job{ID: id, Submitted: now.UnixMilli(), Due: dueIn, Rank: rank, Items: []backlog.Item{{Tokens: 1000}}}}
+		return &task{job: &backlog.Job{ID: id, SubmittedMs: now.UnixMilli(), DueWithin: dueIn, Rank: rank, Items: []backlog.Item{{Tokens: 1000}}}}
 	}
 	tasks := []*task{
 		taskDue("late", -time.Second, 0),
--- a/internal/backlog/progress.go
+++ b/internal/backlog/progress.go
@@ -92,7 +92,7 @@
 // progressRecords encodes a task's progress; nil before its first event or failure.
 func (m *Manager) progressRecords(t *task) []platform.KeyedRecord {
 	p := t.progress()
-	if !p.Begun() {
+	if !p.HasStarted() {
 		return nil
 	}
 	return m.encodeProgress(t, p)
--- a/internal/backlog/random_test.go
+++ b/internal/backlog/random_test.go
@@ -160,7 +160,7 @@
 func (fr *faultRun) checkAttempts(j *backlog.Job) {
 	for _, item := range j.Items {
 		runs := fr.targets.runCount(item.ID)
-		if strings.HasPrefix(item.ID, "fail") && runs > maxOwners*j.Attempts {
+		if strings.HasPrefix(item.ID, "fail") && runs > maxOwners*j.MaxAttempts {
 			fr.reportFailure("job %s: item %s, which always fails, was run %d times, want at most maxOwners (3) times its maximum number of attempts", j.ID, item.ID, runs)
 		}
 		if strings.HasPrefix(item.ID, "never") && runs > maxOwners {
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -71,17 +71,17 @@
 // Results returns a page of the results of the caller's job that begins at position after. If there is no
 // result there yet, it waits for one, at most for the given time. Errors: errs.NotFound,
 // errs.Unauthenticated, errs.LogDown (this process can't read the results now).
-func (m *Manager) Results(ctx context.Context, caller serving.Caller, id string, after int, wait time.Duration) (backlog.Page, error) {
+func (m *Manager) Results(ctx context.Context, caller serving.Caller, id string, after int, wait time.Duration) (backlog.ResultPage, error) {
 	id = backlog.ScopedID(caller.Workspace, id)
 	if err := m.ensureJobExists(ctx, caller, id); err != nil {
-		return backlog.Page{}, err
+		return backlog.ResultPage{}, err
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	m.catchUpIfStale(ctx, resultPartition)
 	defer m.replica.addWaiter(resultPartition)()
 	for {
-		var page backlog.Page
+		var page backlog.ResultPage
 		changed := m.replica.withState(func(st *backlog.State) { page = st.Page(id, after, maxPageBytes) })
 		if len(page.Results) > 0 || after >= page.Total {
 			return m.fillTexts(ctx, page)
@@ -110,23 +110,23 @@
 
 // currentPage returns the page of a job's results that begins at position after, from a state no older than
 // maxAnswerAge. The page may be empty.
-func (m *Manager) currentPage(ctx context.Context, id string, after int) (backlog.Page, error) {
+func (m *Manager) currentPage(ctx context.Context, id string, after int) (backlog.ResultPage, error) {
 	if m.replica.stateAge(resultPartition) > maxAnswerAge {
 		if err := m.refresh(ctx); err != nil {
-			return backlog.Page{}, err
+			return backlog.ResultPage{}, err
 		}
 	}
-	var page backlog.Page
+	var page backlog.ResultPage
 	m.replica.withState(func(st *backlog.State) { page = st.Page(id, after, maxPageBytes) })
 	return m.fillTexts(ctx, page)
 }
 
 // fillTexts reads the separately stored texts of a page's results and adds them. Errors: errs.LogDown.
-func (m *Manager) fillTexts(ctx context.Context, page backlog.Page) (backlog.Page, error) {
+func (m *Manager) fillTexts(ctx context.Context, page backlog.ResultPage) (backlog.ResultPage, error) {
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	if err := m.textStore.fillPage(ctx, &page); err != nil {
-		return backlog.Page{}, uncertainError(err)
+		return backlog.ResultPage{}, uncertainError(err)
 	}
 	return page, nil
 }
--- a/internal/backlog/replica.go
+++ b/internal/backlog/replica.go
@@ -241,7 +241,7 @@
 	defer r.mu.Unlock()
 	var tombstones []platform.KeyedRecord
 	for _, rec := range progress {
-		if r.state.Unneeded(rec.Key) {
+		if r.state.IsProgressObsolete(rec.Key) {
 			tombstones = append(tombstones, platform.KeyedRecord{Key: rec.Key})
 		}
 	}
--- a/internal/backlog/result_batch.go
+++ b/internal/backlog/result_batch.go
@@ -77,7 +77,7 @@
 	if s.m.storesInline(p.text) {
 		r.Text = p.text
 	} else {
-		r.Size, r.Sum = len(p.text), backlog.Sum(p.text)
+		r.TextSize, r.TextChecksum = len(p.text), backlog.Checksum(p.text)
 		b.texts = append(b.texts, backlog.Text{Job: r.Job, Index: r.Index, Text: p.text})
 	}
 	s.nextPositions[p.job.ID]++
@@ -104,7 +104,7 @@
 	var records []platform.KeyedRecord
 	for i := range b.results {
 		r := &b.results[i]
-		r.TextAt = offsets[r.TextKey()]
+		r.TextOffset = offsets[r.TextKey()]
 		encoded, err := backlog.EncodeResult(r)
 		if err != nil {
 			s.m.log.Error("can't encode result", "job", r.Job, "item", r.Item, "error", err)
@@ -123,14 +123,14 @@
 	if s.positioned[p.key()] {
 		return true
 	}
-	s.m.replica.withState(func(st *backlog.State) { hasResult = st.Done(p.job.ID, p.item()) })
+	s.m.replica.withState(func(st *backlog.State) { hasResult = st.HasResult(p.job.ID, p.item()) })
 	return hasResult
 }
 
 // nextPosition returns the position of a job's next result. The caller holds the shard's lock.
 func (s *shard) nextPosition(job string) int {
 	if _, ok := s.nextPositions[job]; !ok {
-		s.m.replica.withState(func(st *backlog.State) { s.nextPositions[job] = st.Listed(job) })
+		s.m.replica.withState(func(st *backlog.State) { s.nextPositions[job] = st.ListedCount(job) })
 	}
 	return s.nextPositions[job]
 }
--- a/internal/backlog/submit.go
+++ b/internal/backlog/submit.go
@@ -194,7 +194,7 @@
 // fitsLimit updates queuedTokens from the state and reports whether these and the job's tokens are within the
 // route's limit.
 func (s *submission) fitsLimit(st *backlog.State) bool {
-	s.queuedTokens = st.Queued(s.job.Workspace, s.route.Name)
+	s.queuedTokens = st.QueuedTokens(s.job.Workspace, s.route.Name)
 	return s.route.MaxQueuedTokens == 0 || s.queuedTokens+s.job.Tokens() <= s.route.MaxQueuedTokens
 }
 
@@ -256,11 +256,11 @@
 		return err
 	}
 	isCancelled := false
-	m.replica.withState(func(st *backlog.State) { isCancelled = st.Ended(id) })
+	m.replica.withState(func(st *backlog.State) { isCancelled = st.IsCancelled(id) })
 	if isCancelled {
 		return nil
 	}
-	records, err := backlog.EncodeEnd(id)
+	records, err := backlog.EncodeCancel(id)
 	if err != nil {
 		return err
 	}
--- a/internal/backlog/task.go
+++ b/internal/backlog/task.go
@@ -62,7 +62,7 @@
 func (t *task) item() *backlog.Item { return &t.job.Items[t.index] }
 
 // due returns the due time of the item in milliseconds since 1970.
-func (t *task) due() int64 { return t.job.Submitted + t.job.Due.Milliseconds() }
+func (t *task) due() int64 { return t.job.SubmittedMs + t.job.DueWithin.Milliseconds() }
 
 // lastEvent returns the id of the last event of the task's text; empty without one.
 func (t *task) lastEvent() string {
@@ -75,7 +75,7 @@
 func (t *task) progress() *backlog.Progress {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return &backlog.Progress{Job: t.job.ID, Item: t.item().ID, LastID: t.lastEventID, Text: string(t.text), Failures: t.failures, Outcome: t.outcome}
+	return &backlog.Progress{Job: t.job.ID, Item: t.item().ID, LastEventID: t.lastEventID, Text: string(t.text), Failures: t.failures, Outcome: t.outcome}
 }
 
 // mergeProgress merges the stored progress p into the task. While the task has an active run it only takes
@@ -93,7 +93,7 @@
 		return nil
 	}
 	if len(p.Text) > len(t.text) {
-		t.lastEventID, t.text = p.LastID, []byte(p.Text)
+		t.lastEventID, t.text = p.LastEventID, []byte(p.Text)
 		t.events = strings.Count(p.Text, "\n") + 1
 	}
 	switch p.Outcome {
@@ -233,7 +233,7 @@
 
 // giveUpTime returns the time from which the item is given up if it is quarantined.
 func (t *task) giveUpTime() time.Time {
-	return time.UnixMilli(t.job.Submitted).Add(t.job.Retain + maxClockSkew)
+	return time.UnixMilli(t.job.SubmittedMs).Add(t.job.RetainFor + maxClockSkew)
 }
 
 // markStarted sets the task's state at the beginning of a run. cancel cancels the run.
--- a/internal/backlog/tasks.go
+++ b/internal/backlog/tasks.go
@@ -24,7 +24,7 @@
 // applyProgress merges the stored progress of an item into its task; see mergeProgress. If the task has no
 // checkpoint, the stored progress becomes its last checkpoint, which is deleted once the item has a result.
 func (sc *scheduler) applyProgress(t *task, p backlog.Progress) *pendingResult {
-	if !p.Begun() {
+	if !p.HasStarted() {
 		return nil
 	}
 	result := t.mergeProgress(p)
@@ -63,16 +63,16 @@
 		ownedShards[s.index] = s
 	}
 	changed = sc.m.replica.withState(func(st *backlog.State) {
-		st.Open(func(j *backlog.Job) {
+		st.EachOpenJob(func(j *backlog.Job) {
 			if s, ok := ownedShards[sc.m.shardOf(j.ID)]; ok {
 				sc.addJob(st, s, j)
 			}
 		})
 		for key, t := range sc.tasks {
-			if st.Done(t.job.ID, t.item().ID) || st.Ended(t.job.ID) {
+			if st.HasResult(t.job.ID, t.item().ID) || st.IsCancelled(t.job.ID) {
 				t.cancelRun()
 				delete(sc.tasks, key)
-				sc.tombstones = append(sc.tombstones, backlog.Drop(t.lastCheckpoint())...)
+				sc.tombstones = append(sc.tombstones, backlog.Tombstones(t.lastCheckpoint())...)
 				continue
 			}
 			if result := sc.applyProgress(t, st.Progress(t.job.ID, t.item().ID)); result != nil {
@@ -88,7 +88,7 @@
 func (sc *scheduler) addJob(st *backlog.State, s *shard, j *backlog.Job) {
 	for i := range j.Items {
 		key := j.ID + "/" + j.Items[i].ID
-		if _, ok := sc.tasks[key]; ok || st.Done(j.ID, j.Items[i].ID) {
+		if _, ok := sc.tasks[key]; ok || st.HasResult(j.ID, j.Items[i].ID) {
 			continue
 		}
 		sc.tasks[key] = newTask(s, j, i)
--- a/internal/backlog/texts.go
+++ b/internal/backlog/texts.go
@@ -68,7 +68,7 @@
 // fillPage reads the separately stored texts of a page's results and adds them. It shortens the page to end
 // before the first result whose text can't be read now. If that is the first result of the page, it returns
 // errs.LogDown.
-func (t *textStore) fillPage(ctx context.Context, page *backlog.Page) error {
+func (t *textStore) fillPage(ctx context.Context, page *backlog.ResultPage) error {
 	for i := 0; i < len(page.Results); {
 		n := adjacentCount(page.Results[i:])
 		textByKey, err := t.readAdjacent(ctx, page.Results[i:i+n])
@@ -84,11 +84,11 @@
 // follow each other in the store and have at most readBytes. It is 1 if the first result has no separate
 // text.
 func adjacentCount(results []backlog.Result) int {
-	size := results[0].Size
+	size := results[0].TextSize
 	for i := 1; i < len(results); i++ {
 		previous, r := &results[i-1], &results[i]
-		size += r.Size
-		if !previous.Apart() || !r.Apart() || size > readBytes || r.TextAt != previous.TextAt+uint64(previous.TextRecords()) {
+		size += r.TextSize
+		if !previous.HasSeparateText() || !r.HasSeparateText() || size > readBytes || r.TextOffset != previous.TextOffset+uint64(previous.TextRecordCount()) {
 			return i
 		}
 	}
@@ -100,7 +100,7 @@
 func setTexts(results []backlog.Result, textByKey map[string]string) int {
 	for i := range results {
 		r := &results[i]
-		if !r.Apart() {
+		if !r.HasSeparateText() {
 			continue
 		}
 		text, ok := textByKey[r.TextKey()]
@@ -114,12 +114,12 @@
 
 // truncatePage shortens a page to the results before index, whose text could not be read because of err, or
 // is missing from the store's answer if err is nil. It returns errs.LogDown if no result is left.
-func (t *textStore) truncatePage(page *backlog.Page, index int, err error) error {
+func (t *textStore) truncatePage(page *backlog.ResultPage, index int, err error) error {
 	missing := page.Results[index]
 	if err == nil {
 		err = errs.New(errs.LogDown, "the store's answer does not contain the text")
 	}
-	t.log.Warn("text not read", "job", missing.Job, "item", missing.Item, "position", missing.Position, "text_at", missing.TextAt, "error", err)
+	t.log.Warn("text not read", "job", missing.Job, "item", missing.Item, "position", missing.Position, "text_at", missing.TextOffset, "error", err)
 	if index == 0 {
 		return errs.Newf(errs.LogDown, "can't read the text of job %s, item %s: %v", missing.Job, missing.Item, err)
 	}
@@ -130,7 +130,7 @@
 // readAdjacent reads the texts of results whose texts follow each other in the store, and returns them by
 // key. It may return some of them with an error. Errors: those of the store, errs.BadFrame.
 func (t *textStore) readAdjacent(ctx context.Context, results []backlog.Result) (map[string]string, error) {
-	if !results[0].Apart() {
+	if !results[0].HasSeparateText() {
 		return nil, nil
 	}
 	textByKey := make(map[string]string)
@@ -148,10 +148,10 @@
 	reader := backlog.NewTextReader()
 	size, records := 0, 0
 	for i := range results {
-		size += results[i].Size + textOverheadBytes
-		records += results[i].TextRecords()
+		size += results[i].TextSize + textOverheadBytes
+		records += results[i].TextRecordCount()
 	}
-	first := results[0].TextAt
+	first := results[0].TextOffset
 	for from := first; from < first+uint64(records); {
 		page, err := t.store.Read(ctx, platform.Read{Partition: textPartition, From: from, MaxBytes: size})
 		if err != nil || len(page.Records) == 0 {
@@ -188,7 +188,7 @@
 		if len(rec.Value) == 0 {
 			continue // the job was deleted meanwhile
 		}
-		key, text, isComplete, err := reader.Put(rec.KeyedRecord)
+		key, text, isComplete, err := reader.Add(rec.KeyedRecord)
 		if err != nil {
 			return err
 		}
--- a/internal/backlog/texts_test.go
+++ b/internal/backlog/texts_test.go
@@ -30,9 +30,9 @@
 		t.Fatal("write of the former owner's text returned false, want true")
 	}
 	r := resultWithText("j", 4, whole)
-	r.TextAt = offsets[r.TextKey()]
+	r.TextOffset = offsets[r.TextKey()]
 	for _, history := range []string{"kept", "expired"} {
-		page := backlog.Page{Results: []backlog.Result{r}}
+		page := backlog.ResultPage{Results: []backlog.Result{r}}
 		if err := newTestTextStore(store).fillPage(context.Background(), &page); err != nil || page.Results[0].Text != whole {
 			t.Errorf("with the history %s the position shows %q, error %v; want the owner's whole text and no error", history, page.Results[0].Text, err)
 		}
@@ -47,7 +47,7 @@
 
 // resultWithText returns a result of an item whose text is stored separately. Its TextAt is not set.
 func resultWithText(job string, index int, text string) backlog.Result {
-	return backlog.Result{Job: job, Index: index, Outcome: backlog.Complete, Size: len(text), Sum: backlog.Sum(text)}
+	return backlog.Result{Job: job, Index: index, Outcome: backlog.Complete, TextSize: len(text), TextChecksum: backlog.Checksum(text)}
 }
 
 // With many processes a text must not be stored in the record of its result, which every process reads.
@@ -128,13 +128,13 @@
 		t.Fatal("write of two texts returned false, want true")
 	}
 	first, second, missing := resultWithText("j", 0, "first"), resultWithText("j", 1, "second"), resultWithText("j", 3, "never written")
-	first.TextAt, second.TextAt, missing.TextAt = offsets[first.TextKey()], offsets[second.TextKey()], 2
+	first.TextOffset, second.TextOffset, missing.TextOffset = offsets[first.TextKey()], offsets[second.TextKey()], 2
 	first.Position, second.Position, missing.Position = 4, 5, 7
 	results := []backlog.Result{first, second, {Job: "j", Position: 6, Index: 2, Text: "short"}, missing}
 	if n := adjacentCount(results); n != 2 {
 		t.Errorf("the texts of %d results are read in one call, want 2", n)
 	}
-	page := backlog.Page{Total: 9, Next: 8, Results: results}
+	page := backlog.ResultPage{Total: 9, Next: 8, Results: results}
 	if err := texts.fillPage(context.Background(), &page); err != nil {
 		t.Fatal(err)
 	}
@@ -156,9 +156,9 @@
 		t.Fatalf("the write returned offsets %v and ok %v, want at least 4 offsets and true", offsets, ok)
 	}
 	r := resultWithText("j", 4, large)
-	r.TextAt = offsets[r.TextKey()]
+	r.TextOffset = offsets[r.TextKey()]
 	for range 2 {
-		page := backlog.Page{Results: []backlog.Result{r}}
+		page := backlog.ResultPage{Results: []backlog.Result{r}}
 		if err := newTestTextStore(store).fillPage(context.Background(), &page); err != nil || page.Results[0].Text != large {
 			t.Errorf("the text read has %d bytes, error %v; want the whole text of 1000000 bytes and no error", len(page.Results[0].Text), err)
 		}
