--- a/core/sleep/sleep.go
+++ b/core/sleep/sleep.go
@@ -9,11 +9,11 @@
 
 // For waits for d and returns true, or returns false as soon as ctx ends. If d is zero or negative, it returns
 // at once, and reports whether ctx has not ended.
-func For(ctx context.Context, d time.Duration) bool { return Or(ctx, d, nil) }
+func For(ctx context.Context, d time.Duration) bool { return ForOrSignal(ctx, d, nil) }
 
-// Or waits like For, and also returns true as soon as a value arrives on signal or signal is closed. A nil
+// ForOrSignal waits like For, and also returns true as soon as a value arrives on signal or signal is closed. A nil
 // signal never ends the wait.
-func Or(ctx context.Context, d time.Duration, signal <-chan struct{}) bool {
+func ForOrSignal(ctx context.Context, d time.Duration, signal <-chan struct{}) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/internal/batch/manager.go
+++ b/internal/batch/manager.go
@@ -143,7 +143,7 @@
 				return nil
 			})
 		}
-		if !sleep.Or(ctx, m.tune.HousekeepEvery, m.placeCh) {
+		if !sleep.ForOrSignal(ctx, m.tune.HousekeepEvery, m.placeCh) {
 			return nil
 		}
 	}
--- a/internal/side/pull.go
+++ b/internal/side/pull.go
@@ -50,7 +50,7 @@
 
 func (pl *puller) run(ctx context.Context) error {
 	for {
-		if !sleep.Or(ctx, idlePullEvery, pl.s.roomDirty) {
+		if !sleep.ForOrSignal(ctx, idlePullEvery, pl.s.roomDirty) {
 			return nil
 		}
 		wait := idlePullEvery
