--- a/internal/loadshare/batch_test.go
+++ b/internal/loadshare/batch_test.go
@@ -97,8 +97,8 @@
 			data = []byte{0x82, 0x80} // ends before the content
 		}
 		s.handleDatagram(data, testAddr(1))
-		if s.Peers() != 0 {
-			t.Errorf("%s batch: %d peers were added, want 0", name, s.Peers())
+		if s.PeerCount() != 0 {
+			t.Errorf("%s batch: %d peers were added, want 0", name, s.PeerCount())
 		}
 	}
 	data, err := cbor.Marshal(batch{Content: encodedContent})
@@ -106,8 +106,8 @@
 		t.Fatal(err)
 	}
 	s.handleDatagram(data, testAddr(1))
-	if s.Peers() != 1 || s.peers[testAddr(2)].name != fleet.Peer("peer") {
-		t.Errorf("%d peers after an undamaged batch, want only the peer that it describes", s.Peers())
+	if s.PeerCount() != 1 || s.peers[testAddr(2)].name != fleet.Peer("peer") {
+		t.Errorf("%d peers after an undamaged batch, want only the peer that it describes", s.PeerCount())
 	}
 }
 
@@ -177,7 +177,7 @@
 	defer s.conn.Close()
 	s.noteReport(testAddr(2), report{From: "new", Seq: 1, Domain: 1})
 	s.applyPeerInfos([]peerInfo{{Name: "old", Addr: testAddr(2), Domain: 1}, {Name: "other", Addr: testAddr(3), Domain: 1}, {Name: "me", Addr: s.Addr(), Domain: 1}})
-	if s.peers[testAddr(2)].name != "new" || s.peers[testAddr(3)].name != "other" || s.Peers() != 2 {
-		t.Errorf("%d peers with names %q and %q, want 2 peers named new and other", s.Peers(), s.peers[testAddr(2)].name, s.peers[testAddr(3)].name)
+	if s.peers[testAddr(2)].name != "new" || s.peers[testAddr(3)].name != "other" || s.PeerCount() != 2 {
+		t.Errorf("%d peers with names %q and %q, want 2 peers named new and other", s.PeerCount(), s.peers[testAddr(2)].name, s.peers[testAddr(3)].name)
 	}
 }
--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -124,7 +124,7 @@
 }
 
 // runHub distributes the reports that other gateways send to this one, until ctx ends.
-func (s *Share) runHub(ctx context.Context) error {
+func (s *Sharer) runHub(ctx context.Context) error {
 	refreshTimer := sleep.NewTimer(refreshInterval)
 	defer refreshTimer.Stop()
 	for {
@@ -143,11 +143,11 @@
 
 // sendHubUpdate sends the pending entries of the table to the gateways of the own domain, and the pending
 // entries of gateways of the own domain to a hub of each other domain.
-func (s *Share) sendHubUpdate(isRefresh bool) {
+func (s *Sharer) sendHubUpdate(isRefresh bool) {
 	now := time.Now()
-	oldCount := s.HubFor()
+	oldCount := s.HubReporterCount()
 	update := s.hub.takeUpdate(now, isRefresh, fanout.Domain(s.domain))
-	if count := s.HubFor(); (count > 0) != (oldCount > 0) {
+	if count := s.HubReporterCount(); (count > 0) != (oldCount > 0) {
 		s.log.Info("hub for load reports", "gateways", count, "before", oldCount)
 	}
 	if len(update.changes) == 0 && len(update.heartbeats) == 0 && len(update.announced) == 0 {
@@ -164,16 +164,16 @@
 	}
 }
 
-// HubFor returns the number of gateways of the own domain whose reports this one forwards as a hub, at its last
+// HubReporterCount returns the number of gateways of the own domain whose reports this one forwards as a hub, at its last
 // refresh; 0 if it is no hub.
-func (s *Share) HubFor() int {
+func (s *Sharer) HubReporterCount() int {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	return s.hub.reporterCount
 }
 
 // sendPeerInfos sends to the gateway at addr the descriptions of gateways that are unknown to it.
-func (s *Share) sendPeerInfos(addr netip.AddrPort, unknownIDs []fanout.ID) {
+func (s *Sharer) sendPeerInfos(addr netip.AddrPort, unknownIDs []fanout.ID) {
 	for _, data := range s.encodeContents(time.Now(), s.peerInfos(unknownIDs), hubUpdate{}) {
 		s.sendBatch(batch{Content: data}, addr)
 	}
@@ -181,7 +181,7 @@
 
 // encodeContents encodes descriptions and an update as contents of one or more batches. Contents that cannot
 // be encoded are logged and left out.
-func (s *Share) encodeContents(now time.Time, infos []peerInfo, u hubUpdate) []cbor.RawMessage {
+func (s *Sharer) encodeContents(now time.Time, infos []peerInfo, u hubUpdate) []cbor.RawMessage {
 	var reports []relayedReport
 	var heartbeats []heartbeat
 	for _, e := range u.changes {
@@ -214,7 +214,7 @@
 
 // sendToBranches sends each of the contents to the first gateway of each branch, which forwards it to the
 // others.
-func (s *Share) sendToBranches(contents []cbor.RawMessage, branches []fanout.Branch) {
+func (s *Sharer) sendToBranches(contents []cbor.RawMessage, branches []fanout.Branch) {
 	for _, data := range contents {
 		for _, b := range branches {
 			s.sendBatch(batch{Forward: b.Children, Content: data}, b.Parent)
@@ -224,7 +224,7 @@
 
 // sendBatch sends a batch to each of the given addresses. If encoding fails it logs the error and sends
 // nothing.
-func (s *Share) sendBatch(b batch, to ...netip.AddrPort) {
+func (s *Sharer) sendBatch(b batch, to ...netip.AddrPort) {
 	data, err := cbor.Marshal(b)
 	if err != nil {
 		s.log.Error("cannot encode batch of load reports", "error", err)
@@ -232,12 +232,12 @@
 	}
 	for _, addr := range to {
 		s.sendDatagram(data, addr)
-		s.traffic.PassedOn.add(len(data))
+		s.traffic.Forwarded.add(len(data))
 	}
 }
 
 // peerInfos returns the descriptions of the gateways with the given ids. Ids of unknown gateways are left out.
-func (s *Share) peerInfos(ids []fanout.ID) []peerInfo {
+func (s *Sharer) peerInfos(ids []fanout.ID) []peerInfo {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var infos []peerInfo
@@ -258,7 +258,7 @@
 }
 
 // selfInfo returns the description of this gateway.
-func (s *Share) selfInfo() peerInfo {
+func (s *Sharer) selfInfo() peerInfo {
 	return peerInfo{Name: s.self, Addr: s.Addr(), Domain: s.domain, Capacity: s.capacity}
 }
 
--- a/internal/loadshare/hub_test.go
+++ b/internal/loadshare/hub_test.go
@@ -17,7 +17,7 @@
 // (40) receivers without hubs, so that hubs distribute the reports. All gateways use one target with one slot.
 type largeFleet struct {
 	t        *testing.T
-	gateways []*Share
+	gateways []*Sharer
 	views    []*fleetview.View
 	cancels  []context.CancelFunc // cancels[i] stops gateway i
 	running  sync.WaitGroup       // calls of Run
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// Share exchanges load reports between this gateway and its peers. Its methods may be called concurrently,
+// Sharer exchanges load reports between this gateway and its peers. Its methods may be called concurrently,
 // except Run, which is called once.
-type Share struct {
+type Sharer struct {
 	self      fleet.Peer
 	domain    digest // digest of the name of this process's failure domain
 	capacity  fanout.Capacity
@@ -151,26 +151,26 @@
 	PeerStarted()
 }
 
-// Options configure a Share.
+// Options configure a Sharer.
 type Options struct {
 	Addr   string     // IP:port to listen on
 	Self   fleet.Peer // name of this process, new with each start
 	Domain string     // failure domain of this process
 	// Capacity is the processor time of this process.
 	Capacity fanout.Capacity
-	Off      policy.Disabled // mechanisms that the settings disable; only policy.ReportRelays matters here
+	Disabled policy.Disabled // mechanisms that the settings disable; only policy.ReportRelays matters here
 	View     *fleetview.View // provides this process's loads and receives those of the peers
 	Quotas   Quotas
 	// Quarantine provides the records that are sent with the loads, and receives those of the peers.
 	Quarantine Quarantine
-	// Detours reports whether this process has lost its own connection to the store. It is not called
+	// HasLostStore reports whether this process has lost its own connection to the store. It is not called
 	// before Run.
-	Detours func() bool
-	Log     hclog.Logger
+	HasLostStore func() bool
+	Log          hclog.Logger
 }
 
 // New opens the socket for the reports of peers. Run sends, receives and closes the socket.
-func New(o Options) (*Share, error) {
+func New(o Options) (*Sharer, error) {
 	ap, err := netip.ParseAddrPort(o.Addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "parse the listen address for peers")
@@ -179,19 +179,19 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for datagrams of peers")
 	}
-	return &Share{
-		self: o.Self, domain: newDigest(o.Domain), capacity: o.Capacity, hasRelays: o.Off.IsEnabled(policy.ReportRelays), view: o.View, hasLostStore: o.Detours, quotas: o.Quotas, quarantine: o.Quarantine,
+	return &Sharer{
+		self: o.Self, domain: newDigest(o.Domain), capacity: o.Capacity, hasRelays: o.Disabled.IsEnabled(policy.ReportRelays), view: o.View, hasLostStore: o.HasLostStore, quotas: o.Quotas, quarantine: o.Quarantine,
 		log: o.Log, routineLog: logging.NewRoutine(o.Log), conn: conn, hub: newHub(), peers: make(map[netip.AddrPort]*peer), byID: make(map[fanout.ID]*peer), unknownIDs: make(map[fanout.ID]struct{}), startTime: time.Now(),
 	}, nil
 }
 
 // Addr returns the address on which this process receives the reports of peers.
-func (s *Share) Addr() netip.AddrPort { return s.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+func (s *Sharer) Addr() netip.AddrPort { return s.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // AddPeer adds a peer by its address (IP:port), its failure domain and its processor time. domain is empty
 // and capacity is 0 if unknown. A peer that is already present stays as it is; this process's own address is
 // ignored.
-func (s *Share) AddPeer(addr, domain string, capacity fanout.Capacity) {
+func (s *Sharer) AddPeer(addr, domain string, capacity fanout.Capacity) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		s.log.Warn("cannot parse peer address", "addr", addr, "error", err)
@@ -212,9 +212,9 @@
 	}
 }
 
-// NoteListed records that AddPeer has been called for every gateway listed in the store. From then on Rank
+// MarkPeersListed records that AddPeer has been called for every gateway listed in the store. From then on Rank
 // reports isKnown.
-func (s *Share) NoteListed() {
+func (s *Sharer) MarkPeersListed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.isPeerListLoaded = true
@@ -227,7 +227,7 @@
 // Rank returns how many gateways that may be live come before this one when only some gateways are assigned a
 // task; see fanout.Rank. isKnown is false until the list of gateways is loaded, but not for longer than
 // peerListTimeout after the start.
-func (s *Share) Rank() (rank int, isKnown bool) {
+func (s *Sharer) Rank() (rank int, isKnown bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -242,7 +242,7 @@
 
 // upsertPeer returns the peer with a name at an address. It adds the peer if it is missing, and removes a
 // peer of another name at this address: the previous process there. The caller holds the lock.
-func (s *Share) upsertPeer(addr netip.AddrPort, name fleet.Peer) *peer {
+func (s *Sharer) upsertPeer(addr netip.AddrPort, name fleet.Peer) *peer {
 	if p, ok := s.peers[addr]; ok && p.name == name {
 		return p
 	}
@@ -255,7 +255,7 @@
 }
 
 // removePeer drops the peer at an address, if there is one. The caller holds the lock.
-func (s *Share) removePeer(addr netip.AddrPort) {
+func (s *Sharer) removePeer(addr netip.AddrPort) {
 	if p, ok := s.peers[addr]; ok && s.byID[p.id] == p {
 		delete(s.byID, p.id)
 	}
@@ -266,7 +266,7 @@
 func gatewayID(name fleet.Peer) fanout.ID { return fanout.ID(newDigest(string(name))) }
 
 // Run sends and receives reports until ctx ends, and closes the socket. It is called once.
-func (s *Share) Run(ctx context.Context) error {
+func (s *Sharer) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return s.runReceiver(ctx) })
 	g.Go(func() error { return s.runSender(ctx) })
@@ -280,7 +280,7 @@
 }
 
 // runSender sends a report after each change of the loads, and every refreshInterval, until ctx ends.
-func (s *Share) runSender(ctx context.Context) error {
+func (s *Sharer) runSender(ctx context.Context) error {
 	refreshTimer := sleep.NewTimer(refreshInterval)
 	defer refreshTimer.Stop()
 	var seq uint64
@@ -298,9 +298,9 @@
 	}
 }
 
-// Peers returns the number of known other gateways, including those that have been silent for up to
+// PeerCount returns the number of known other gateways, including those that have been silent for up to
 // removeAfter.
-func (s *Share) Peers() int {
+func (s *Sharer) PeerCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.peers)
@@ -308,15 +308,15 @@
 
 // sendReport sends the report with sequence number seq, which contains this process's loads. It returns the
 // number of receivers.
-func (s *Share) sendReport(seq uint64) int {
+func (s *Sharer) sendReport(seq uint64) int {
 	fleetReport := s.view.Report()
 	now := time.Now()
 	quotaReport := s.quotas.Report()
 	r := report{
 		IsFirst: quotaReport.IsAfterStart, Admitted: encodeCounts(quotaReport.Counts),
 		From: s.self, Seq: seq, Loads: encodeLoads(fleetReport.Loads), Items: fleetReport.Demand.Items, Due: fleetReport.Demand.StartKey,
-		ContactAge: now.Sub(fleetReport.StoreContact).Milliseconds(), Detours: s.hasLostStore(), Domain: s.domain, Suspects: newDigests(fleetReport.Suspects), Quarantine: encodeRecords(s.quarantine.ToTell()),
-		Unknown: s.takeUnknownIDs(), Capacity: s.capacity,
+		StoreContactAgeMs: now.Sub(fleetReport.StoreContact).Milliseconds(), HasLostStore: s.hasLostStore(), Domain: s.domain, Suspects: newDigests(fleetReport.Suspects), Quarantine: encodeRecords(s.quarantine.ToTell()),
+		UnknownIDs: s.takeUnknownIDs(), Capacity: s.capacity,
 	}
 	receivers := s.selectReceivers(now, seq)
 	encoded := make(map[assignment][]byte)
@@ -327,7 +327,7 @@
 		}
 		data, ok := encoded[to.assignment]
 		if !ok {
-			r.PassOn, r.Role = to.isRelay, to.role
+			r.IsForwardRequested, r.Role = to.isRelay, to.role
 			data = s.encodeReport(r)
 			encoded[to.assignment] = data
 		}
@@ -340,13 +340,13 @@
 }
 
 // putOwnReport stores this gateway's own report in its table as a hub.
-func (s *Share) putOwnReport(now time.Time, r report, role hubRole) {
-	self := peer{id: gatewayID(s.self), domain: s.domain, lastStoreContact: r.lastStoreContact(now), hasLostStore: r.Detours}
+func (s *Sharer) putOwnReport(now time.Time, r report, role hubRole) {
+	self := peer{id: gatewayID(s.self), domain: s.domain, lastStoreContact: r.lastStoreContact(now), hasLostStore: r.HasLostStore}
 	s.hub.putReport(self.hubEntry(newRelayedReport(self.id, r), now), role == roleForward)
 }
 
 // takeUnknownIDs returns and clears s.unknownIDs.
-func (s *Share) takeUnknownIDs() []fanout.ID {
+func (s *Sharer) takeUnknownIDs() []fanout.ID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ids := slices.Collect(maps.Keys(s.unknownIDs))
@@ -355,7 +355,7 @@
 }
 
 // encodeReport returns the encoded report. If encoding fails it logs the error and returns nil.
-func (s *Share) encodeReport(r report) []byte {
+func (s *Sharer) encodeReport(r report) []byte {
 	data, err := cbor.Marshal(r)
 	if err != nil {
 		s.log.Error("cannot encode load report", "from", r.From, "origin", r.Origin.String(), "error", err)
@@ -365,25 +365,25 @@
 }
 
 // sendDatagram sends one datagram. Errors are ignored, since the next report makes up for a lost datagram.
-func (s *Share) sendDatagram(data []byte, to netip.AddrPort) {
+func (s *Sharer) sendDatagram(data []byte, to netip.AddrPort) {
 	_, _ = s.conn.WriteToUDPAddrPort(data, to)
 }
 
 // forwardReport sends a report of the gateway at origin to the other gateways of this gateway's domain.
-func (s *Share) forwardReport(r report, origin netip.AddrPort) {
-	r.PassOn, r.Origin = false, origin
+func (s *Sharer) forwardReport(r report, origin netip.AddrPort) {
+	r.IsForwardRequested, r.Origin = false, origin
 	data := s.encodeReport(r)
 	if data == nil {
 		return
 	}
 	for _, to := range s.domainPeersExcept(time.Now(), origin) {
 		s.sendDatagram(data, to)
-		s.traffic.PassedOn.add(len(data))
+		s.traffic.Forwarded.add(len(data))
 	}
 }
 
 // runReceiver handles the datagrams that arrive until ctx ends.
-func (s *Share) runReceiver(ctx context.Context) error {
+func (s *Sharer) runReceiver(ctx context.Context) error {
 	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buf)
@@ -396,14 +396,14 @@
 			sleep.For(ctx, minSendInterval)
 			continue
 		}
-		s.traffic.Heard.add(n)
+		s.traffic.Received.add(n)
 		s.handleDatagram(buf[:n], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 	}
 }
 
 // handleDatagram decodes and applies a report or a batch. from is the address that the datagram comes from.
 // Only the goroutine that receives datagrams calls it.
-func (s *Share) handleDatagram(data []byte, from netip.AddrPort) {
+func (s *Sharer) handleDatagram(data []byte, from netip.AddrPort) {
 	if isBatch(data) {
 		s.handleBatch(data, from)
 		return
@@ -419,11 +419,11 @@
 	if from == s.Addr() || !s.noteReport(from, r) {
 		return
 	}
-	if r.PassOn {
+	if r.IsForwardRequested {
 		s.forwardReport(r, from)
 	}
-	if len(r.Unknown) > 0 {
-		s.sendPeerInfos(from, r.Unknown)
+	if len(r.UnknownIDs) > 0 {
+		s.sendPeerInfos(from, r.UnknownIDs)
 	}
 	ids := s.targetIDs()
 	s.view.ApplyReport(r.From, fleet.Report{
@@ -436,7 +436,7 @@
 
 // decodeRecords decodes the quarantine records of the peer at from. Records that cannot be decoded are logged
 // and left out.
-func (s *Share) decodeRecords(messages []quarantine.Message, from netip.AddrPort) []quarantine.Record {
+func (s *Sharer) decodeRecords(messages []quarantine.Message, from netip.AddrPort) []quarantine.Record {
 	var records []quarantine.Record
 	for _, m := range messages {
 		r, err := m.Record()
@@ -451,7 +451,7 @@
 
 // targetIDs returns the ids of the targets by their digests. Only the goroutine that receives datagrams calls
 // it.
-func (s *Share) targetIDs() map[digest]string {
+func (s *Sharer) targetIDs() map[digest]string {
 	if version := s.view.Listed(); s.targetIndex.idByDigest == nil || version != s.targetIndex.version {
 		s.targetIndex = newTargetIndex(version, s.view.Targets())
 	}
@@ -461,7 +461,7 @@
 // noteReport records that a report of the gateway at from has arrived, and the domain, the capacity and the
 // state of the connection to the store that it contains. It returns whether the report is newer than all
 // previous ones of that gateway's process.
-func (s *Share) noteReport(from netip.AddrPort, r report) bool {
+func (s *Sharer) noteReport(from netip.AddrPort, r report) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.upsertPeer(from, r.From)
@@ -470,7 +470,7 @@
 	isNew := r.Seq > p.seq
 	if isNew {
 		p.seq = r.Seq
-		p.lastStoreContact, p.hasLostStore = r.lastStoreContact(p.lastSeen), r.Detours
+		p.lastStoreContact, p.hasLostStore = r.lastStoreContact(p.lastSeen), r.HasLostStore
 	}
 	if r.Role != roleNone {
 		s.hub.putReport(p.hubEntry(newRelayedReport(p.id, r), p.lastSeen), r.Role == roleForward)
@@ -481,7 +481,7 @@
 // PeersWithStore returns the addresses (IP:port) of live peers that the store has answered over their own
 // connection within maxStoreContactAge. Each process returns them in another order, so that not all processes
 // use the same peer.
-func (s *Share) PeersWithStore() []string {
+func (s *Sharer) PeersWithStore() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -497,4 +497,4 @@
 
 // hashPeer returns the hash by which this process orders the peers from which it selects some. It depends on the
 // name of this process, so that not all processes select the same ones.
-func (s *Share) hashPeer(addr string) uint64 { return xxhash.Sum64String(string(s.self) + " " + addr) }
+func (s *Sharer) hashPeer(addr string) uint64 { return xxhash.Sum64String(string(s.self) + " " + addr) }
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -24,8 +24,8 @@
 func testOptions(self fleet.Peer, v *fleetview.View) Options {
 	return Options{
 		Addr: "127.0.0.1:0", Self: self, Domain: "d", View: v, Quotas: quotas.New(string(self), quota.Options{PeerShareTTL: time.Minute}, metrics.NewRegistry()),
-		Quarantine: &fakeQuarantine{},
-		Detours:    func() bool { return false }, Log: hclog.NewNullLogger(),
+		Quarantine:   &fakeQuarantine{},
+		HasLostStore: func() bool { return false }, Log: hclog.NewNullLogger(),
 	}
 }
 
@@ -72,7 +72,7 @@
 
 // newTestSharer returns a gateway named self that does not run yet, and its view of the fleet with one target
 // that has one slot.
-func newTestSharer(t testing.TB, self fleet.Peer) (*Share, *fleetview.View) {
+func newTestSharer(t testing.TB, self fleet.Peer) (*Sharer, *fleetview.View) {
 	t.Helper()
 	v := fleetview.New(fleet.Options{Self: self, PeerTTL: PeerTTL})
 	v.Put([]serving.Target{{ID: "t", Service: "s", Slots: 1}}, nil)
@@ -176,7 +176,7 @@
 	if len(s.selectReceivers(silentTime, 0)) != 1 || len(s.selectReceivers(silentTime.Add(silentSendInterval/2), 0)) != 0 || len(s.selectReceivers(silentTime.Add(2*silentSendInterval), 0)) != 1 {
 		t.Error("reports are not sent to a silent peer exactly once in silentSendInterval")
 	}
-	if len(s.selectReceivers(now.Add(2*removeAfter), 0)) != 0 || s.Peers() != 0 {
+	if len(s.selectReceivers(now.Add(2*removeAfter), 0)) != 0 || s.PeerCount() != 0 {
 		t.Error("a peer that has been silent for twice removeAfter is still present, want it removed")
 	}
 }
@@ -187,10 +187,10 @@
 	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
 	reports := map[string]report{
-		"127.0.0.1:1": {From: "fresh", Seq: 1, ContactAge: 10},
-		"127.0.0.1:2": {From: "stale", Seq: 1, ContactAge: maxStoreContactAge.Milliseconds() + 10},
-		"127.0.0.1:3": {From: "detours", Seq: 1, ContactAge: 10, Detours: true},
-		"127.0.0.1:4": {From: "silent", Seq: 1, ContactAge: 10},
+		"127.0.0.1:1": {From: "fresh", Seq: 1, StoreContactAgeMs: 10},
+		"127.0.0.1:2": {From: "stale", Seq: 1, StoreContactAgeMs: maxStoreContactAge.Milliseconds() + 10},
+		"127.0.0.1:3": {From: "detours", Seq: 1, StoreContactAgeMs: 10, HasLostStore: true},
+		"127.0.0.1:4": {From: "silent", Seq: 1, StoreContactAgeMs: 10},
 	}
 	for addr, r := range reports {
 		s.noteReport(netip.MustParseAddrPort(addr), r)
@@ -265,7 +265,7 @@
 	other, view := newTestSharer(t, "other")
 	defer other.conn.Close()
 	relay.noteReport(other.Addr(), report{From: "other", Seq: 1, Domain: relay.domain})
-	r := report{From: "sender", Seq: 3, Domain: newDigest("far"), Loads: []targetLoad{{Target: newDigest("t"), Online: 1}}, PassOn: true}
+	r := report{From: "sender", Seq: 3, Domain: newDigest("far"), Loads: []targetLoad{{Target: newDigest("t"), Online: 1}}, IsForwardRequested: true}
 	data, err := cbor.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/loadshare/message.go
+++ b/internal/loadshare/message.go
@@ -20,16 +20,16 @@
 	Loads []targetLoad `cbor:"3,keyasint"` // targets at which the sender has no load are left out
 	Items int          `cbor:"4,keyasint"` // number of batch items at the sender that wait for a slot
 	Due   int64        `cbor:"5,keyasint"` // when the earliest of them is due, in milliseconds since 1970
-	// ContactAge is how long ago the store last answered the sender, in milliseconds. It is an age and not a
+	// StoreContactAgeMs is how long ago the store last answered the sender, in milliseconds. It is an age and not a
 	// time because the clocks of hosts differ.
-	ContactAge int64 `cbor:"6,keyasint"`
-	// Detours is set if the sender has lost its own connection to the store: it has reached the store through
+	StoreContactAgeMs int64 `cbor:"6,keyasint"`
+	// HasLostStore is set if the sender has lost its own connection to the store: it has reached the store through
 	// a peer, if at all, and cannot give others access to it.
-	Detours bool `cbor:"7,keyasint,omitempty"`
+	HasLostStore bool `cbor:"7,keyasint,omitempty"`
 	// Domain is the digest of the name of the sender's failure domain.
 	Domain digest `cbor:"8,keyasint"`
-	// PassOn is set if the receiver is to forward the report to the other gateways of its own domain.
-	PassOn bool `cbor:"9,keyasint,omitempty"`
+	// IsForwardRequested is set if the receiver is to forward the report to the other gateways of its own domain.
+	IsForwardRequested bool `cbor:"9,keyasint,omitempty"`
 	// Origin is the address that the sender listens on, in a forwarded report: the datagram then comes from
 	// another address.
 	Origin netip.AddrPort `cbor:"10,keyasint,omitzero"`
@@ -45,9 +45,9 @@
 	Quarantine []quarantine.Message `cbor:"14,keyasint,omitempty"`
 	// Role is what the receiver does with the report as a hub.
 	Role hubRole `cbor:"15,keyasint,omitempty"`
-	// Unknown identifies gateways that appear in the batches of hubs and that the sender has no description
+	// UnknownIDs identifies gateways that appear in the batches of hubs and that the sender has no description
 	// of. The receiver sends the descriptions that it has.
-	Unknown []fanout.ID `cbor:"16,keyasint,omitempty"`
+	UnknownIDs []fanout.ID `cbor:"16,keyasint,omitempty"`
 	// Capacity is the processor time available to the sender.
 	Capacity fanout.Capacity `cbor:"17,keyasint,omitempty"`
 }
@@ -97,7 +97,7 @@
 
 // lastStoreContact returns when the store last answered the sender, by this process's clock.
 func (r report) lastStoreContact(now time.Time) time.Time {
-	return now.Add(-time.Duration(r.ContactAge) * time.Millisecond)
+	return now.Add(-time.Duration(r.StoreContactAgeMs) * time.Millisecond)
 }
 
 // targetLoad is the number of online requests and batch items that the sender runs at one target.
--- a/internal/loadshare/probe.go
+++ b/internal/loadshare/probe.go
@@ -27,7 +27,7 @@
 // probePeers detects which silent peers have stopped, until ctx ends: the host of a stopped process refuses
 // connections, while the host of a peer that is cut off does not answer. A stopped peer admits no requests,
 // so its share of the quotas goes to the other gateways at once.
-func (s *Share) probePeers(ctx context.Context) error {
+func (s *Sharer) probePeers(ctx context.Context) error {
 	for sleep.For(ctx, probeInterval) {
 		for _, addr := range s.peersToProbe(time.Now()) {
 			if isProcessStopped(ctx, addr) {
@@ -41,7 +41,7 @@
 }
 
 // markPeerStopped marks the process of a peer as stopped in the table of this gateway as a hub.
-func (s *Share) markPeerStopped(addr netip.AddrPort) {
+func (s *Sharer) markPeerStopped(addr netip.AddrPort) {
 	s.mu.Lock()
 	p, ok := s.peers[addr]
 	s.mu.Unlock()
@@ -54,7 +54,7 @@
 // probeAfter and were not probed within probeRepeatInterval. It sets lastProbed of these peers to now.
 // Peers without a direct datagram for longer than silentAfter are left out: they report only to hubs, which
 // probe them, or they have been due for several probes already.
-func (s *Share) peersToProbe(now time.Time) []netip.AddrPort {
+func (s *Sharer) peersToProbe(now time.Time) []netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var addrs []netip.AddrPort
--- a/internal/loadshare/quota_test.go
+++ b/internal/loadshare/quota_test.go
@@ -28,11 +28,11 @@
 }
 
 // newSharerWithQuotas returns a gateway named self that uses q and does not run yet.
-func newSharerWithQuotas(t *testing.T, self fleet.Peer, q *quotas.Quotas) *Share {
+func newSharerWithQuotas(t *testing.T, self fleet.Peer, q *quotas.Quotas) *Sharer {
 	t.Helper()
 	s, err := New(Options{
 		Addr: "127.0.0.1:0", Self: self, Domain: "d", View: fleetview.New(fleet.Options{Self: self, PeerTTL: PeerTTL}), Quotas: q, Quarantine: &fakeQuarantine{},
-		Detours: func() bool { return false }, Log: hclog.NewNullLogger(),
+		HasLostStore: func() bool { return false }, Log: hclog.NewNullLogger(),
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/loadshare/receive.go
+++ b/internal/loadshare/receive.go
@@ -12,7 +12,7 @@
 
 // handleBatch forwards a batch of a hub to the gateways that the batch names, and applies its content. from
 // is the address that the datagram comes from.
-func (s *Share) handleBatch(data []byte, from netip.AddrPort) {
+func (s *Sharer) handleBatch(data []byte, from netip.AddrPort) {
 	b, c, heartbeats, err := decodeBatch(data)
 	if err != nil {
 		s.log.Warn("cannot decode batch of load reports", "from", from.String(), "error", err)
@@ -30,7 +30,7 @@
 }
 
 // applyPeerInfos adds peers for the gateways that a hub describes, and updates their domains and capacities.
-func (s *Share) applyPeerInfos(infos []peerInfo) {
+func (s *Sharer) applyPeerInfos(infos []peerInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -49,7 +49,7 @@
 }
 
 // markHubSeen records that a batch of the hub at addr has arrived, so that the hub counts as live.
-func (s *Share) markHubSeen(addr netip.AddrPort) {
+func (s *Sharer) markHubSeen(addr netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p, ok := s.peers[addr]; ok {
@@ -60,7 +60,7 @@
 // applyContent applies the reports and heartbeats of a hub to the peers, the quotas and the quarantine, and
 // returns the updates for the view of the fleet. What a hub of another domain sends is also put into this
 // gateway's own table, from which runHub distributes it in the own domain.
-func (s *Share) applyContent(c batchContent, heartbeats []heartbeat) []fleetview.PeerNews {
+func (s *Sharer) applyContent(c batchContent, heartbeats []heartbeat) []fleetview.PeerNews {
 	now := time.Now()
 	ids := s.targetIDs()
 	var updates []fleetview.PeerNews
@@ -103,7 +103,7 @@
 
 // lookUpPeer returns the peer with an id. If there is none it returns nil, and the next report requests the
 // peerInfo of this id. The caller holds the lock.
-func (s *Share) lookUpPeer(id fanout.ID) *peer {
+func (s *Sharer) lookUpPeer(id fanout.ID) *peer {
 	p, ok := s.byID[id]
 	if !ok && id != gatewayID(s.self) && len(s.unknownIDs) < maxUnknownIDs {
 		s.unknownIDs[id] = struct{}{}
@@ -120,7 +120,7 @@
 
 // applyAdmissionsAndRecords applies the quarantine records and the counts of admitted requests in reports
 // that arrived through hubs. An empty report still records in the quotas that its gateway is live.
-func (s *Share) applyAdmissionsAndRecords(reports []peerReport) {
+func (s *Sharer) applyAdmissionsAndRecords(reports []peerReport) {
 	for _, r := range reports {
 		s.quarantine.Apply(s.decodeRecords(r.Quarantine, r.addr))
 		s.quotas.Apply(r.addr.String(), quota.Report{StartID: string(r.name), IsAfterStart: r.IsFirst, Counts: decodeCounts(r.Admitted), ForwardDelay: maxHubDelay})
@@ -129,7 +129,7 @@
 
 // applyHeartbeat records a heartbeat of p and returns the update for the view of the fleet. isCrossDomain is
 // set if a hub of another domain has sent it. The caller holds the lock.
-func (s *Share) applyHeartbeat(now time.Time, p *peer, h heartbeat, isCrossDomain bool) fleetview.PeerNews {
+func (s *Sharer) applyHeartbeat(now time.Time, p *peer, h heartbeat, isCrossDomain bool) fleetview.PeerNews {
 	seenAt := now.Add(-h.age)
 	if seenAt.After(p.lastSeen) {
 		p.lastSeen = seenAt
--- a/internal/loadshare/receivers.go
+++ b/internal/loadshare/receivers.go
@@ -28,7 +28,7 @@
 
 // selectReceivers returns the receivers of the report with sequence number seq, and drops peers that have
 // been silent for longer than removeAfter.
-func (s *Share) selectReceivers(now time.Time, seq uint64) []receiver {
+func (s *Sharer) selectReceivers(now time.Time, seq uint64) []receiver {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for ap, p := range s.peers {
@@ -44,7 +44,7 @@
 
 // isLargeFleet reports whether hubs are used: a report without hubs would have more than maxDirectReceivers
 // receivers, and the settings allow that gateways forward reports (hasRelays). The caller holds the lock.
-func (s *Share) isLargeFleet(now time.Time) bool {
+func (s *Sharer) isLargeFleet(now time.Time) bool {
 	otherDomainSet := make(map[digest]bool)
 	ownDomainPeers := 0
 	for _, p := range s.peers {
@@ -62,7 +62,7 @@
 // domainMembers returns the gateways of a domain that have not been silent for longer than silentAfter,
 // including this one. IsHeard is set for this one and for those whose name is known and which were seen within
 // PeerTTL. The caller holds the lock.
-func (s *Share) domainMembers(now time.Time, domain digest) []fanout.Member {
+func (s *Sharer) domainMembers(now time.Time, domain digest) []fanout.Member {
 	var members []fanout.Member
 	if domain == s.domain {
 		members = append(members, s.selfMember())
@@ -76,7 +76,7 @@
 }
 
 // selfMember returns the Member that stands for this gateway in fanout.Hubs and fanout.Rank.
-func (s *Share) selfMember() fanout.Member {
+func (s *Sharer) selfMember() fanout.Member {
 	return fanout.Member{Addr: s.Addr(), Domain: fanout.Domain(s.domain), Capacity: s.capacity, IsLive: true}
 }
 
@@ -86,7 +86,7 @@
 // no entry for this gateway yet, so up to maxUnconfirmedHubs of them receive the report too. Gateways whose
 // domain is unknown also receive it, at most every silentSendInterval, since no hub sends to them. The caller
 // holds the lock.
-func (s *Share) hubModeReceivers(now time.Time, seq uint64) []receiver {
+func (s *Sharer) hubModeReceivers(now time.Time, seq uint64) []receiver {
 	hubs, unconfirmed := fanout.Hubs(s.domainMembers(now, s.domain))
 	// Right after the start the peers are listed but have not reported yet. With this many unconfirmed
 	// gateways before it, this gateway does not use itself as a hub.
@@ -116,7 +116,7 @@
 // hubUpdateReceivers returns the receivers of an update of this gateway as a hub: the other gateways of its
 // domain, of which those silent for longer than silentAfter are included only every silentSendInterval; and in
 // each other domain one hub and at most one unconfirmed gateway of fanout.Hubs.
-func (s *Share) hubUpdateReceivers(now time.Time) (ownDomainReceivers, otherDomainReceivers []netip.AddrPort) {
+func (s *Sharer) hubUpdateReceivers(now time.Time) (ownDomainReceivers, otherDomainReceivers []netip.AddrPort) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	otherDomainSet := make(map[digest]bool) // false for 0, the unknown domain
@@ -155,7 +155,7 @@
 // domains is the most costly. Gateways of other domains that have not reported yet, or were not seen within
 // PeerTTL, receive the report directly, as do all gateways if relays are disabled. Gateways that are silent for
 // longer than silentAfter are included only every silentSendInterval. The caller holds the lock.
-func (s *Share) directModeReceivers(now time.Time, seq uint64) []receiver {
+func (s *Sharer) directModeReceivers(now time.Time, seq uint64) []receiver {
 	var receivers []receiver
 	relayCandidates := make(map[digest][]netip.AddrPort) // live gateways of each other domain
 	for ap, p := range s.peers {
@@ -180,7 +180,7 @@
 
 // domainPeersExcept returns the addresses of the other gateways of the own domain that have been silent for
 // less than silentAfter, without the address except.
-func (s *Share) domainPeersExcept(now time.Time, except netip.AddrPort) []netip.AddrPort {
+func (s *Sharer) domainPeersExcept(now time.Time, except netip.AddrPort) []netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var addrs []netip.AddrPort
--- a/internal/loadshare/traffic.go
+++ b/internal/loadshare/traffic.go
@@ -20,10 +20,10 @@
 // Traffic counts the datagrams with load reports that a process sends and receives. They are the cost of
 // distributing the loads of the fleet.
 type Traffic struct {
-	Own      Flow // sent with the process's own report, counted once for each receiver
-	PassedOn Flow // sent with reports of other gateways, as a hub or after PassOn, or with descriptions of gateways
-	Heard    Flow // all received datagrams, including batches of hubs
+	Own       Flow // sent with the process's own report, counted once for each receiver
+	Forwarded Flow // sent with reports of other gateways, as a hub or after IsForwardRequested, or with descriptions of gateways
+	Received  Flow // all received datagrams, including batches of hubs
 }
 
 // Traffic returns the counters of this process. They continue to change.
-func (s *Share) Traffic() *Traffic { return &s.traffic }
+func (s *Sharer) Traffic() *Traffic { return &s.traffic }
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -69,7 +69,7 @@
 	view      *fleetview.View
 	watch     *watch.Watch
 	jobs      *backlog.Manager
-	loadShare *loadshare.Share
+	loadShare *loadshare.Sharer
 	quotas    *quotas.Quotas
 	// quarantine blocks requests whose content has crashed targets.
 	quarantine   *quarantine.Quarantine
--- a/internal/node/gateway_listen.go
+++ b/internal/node/gateway_listen.go
@@ -57,8 +57,8 @@
 			return nil, errors.Wrap(err, "listen for peers")
 		}
 		if g.loadShare, err = loadshare.New(loadshare.Options{
-			Addr: ln.Addr().String(), Self: self, Domain: string(g.settings.Host.Domain), Capacity: cpuCapacity(g.settings), Off: g.settings.Off,
-			View: g.view, Quotas: g.quotas, Quarantine: g.quarantine, Detours: isStoreLost, Log: log,
+			Addr: ln.Addr().String(), Self: self, Domain: string(g.settings.Host.Domain), Capacity: cpuCapacity(g.settings), Disabled: g.settings.Off,
+			View: g.view, Quotas: g.quotas, Quarantine: g.quarantine, HasLostStore: isStoreLost, Log: log,
 		}); err == nil {
 			return ln, nil
 		}
--- a/internal/node/peerdirectory.go
+++ b/internal/node/peerdirectory.go
@@ -31,7 +31,7 @@
 // which load reports are sent.
 type peerDirectory struct {
 	store     platform.Store
-	loadShare *loadshare.Share
+	loadShare *loadshare.Sharer
 	self      peerRecord       // published for this gateway
 	storeLink *dependency.Link // tracks whether the store answers
 	log       hclog.Logger
@@ -84,7 +84,7 @@
 		return true
 	})
 	if err == nil {
-		d.loadShare.NoteListed()
+		d.loadShare.MarkPeersListed()
 	}
 	return err
 }
