--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -101,7 +101,7 @@
 	g := &Gateway{settings: s, log: logger, reg: reg, view: view, began: time.Now()}
 	g.quotas = quotas.New(self, quota.Options{Window: s.QuotaWindow, MaxExcessShare: s.QuotaExcess, MaxExcessRequests: float64(s.QuotaSlack), PeerShareTTL: claimTTL(s)}, reg)
 	g.quarantine = quarantine.New(quarantine.Options{
-		Threshold: s.QuarantineAfter, Hold: s.QuarantineHold, Off: s.Off, Prober: targets, Fleet: view, Log: logger.Named("quarantine"), Metrics: reg,
+		Threshold: s.QuarantineAfter, Hold: s.QuarantineHold, Disabled: s.Off, Prober: targets, Fleet: view, Log: logger.Named("quarantine"), Metrics: reg,
 	})
 	if err := g.openStorePaths(client, fleet.Peer(self)); err != nil {
 		return nil, err
@@ -191,7 +191,7 @@
 		return "configuration not confirmed for too long"
 	case !g.jobs.Loaded():
 		return "backlog not read"
-	case !g.quarantine.Loaded():
+	case !g.quarantine.IsLoaded():
 		return "quarantine not read"
 	}
 	return ""
--- a/internal/quarantine/logstore_test.go
+++ b/internal/quarantine/logstore_test.go
@@ -50,7 +50,7 @@
 		}
 		log.SetFaults(logmem.Faults{Retention: time.Millisecond})
 		time.Sleep(time.Minute)
-		if !start().Loaded() {
+		if !start().IsLoaded() {
 			t.Error("process has not loaded the records a second after its start; the entries of the log have expired")
 		}
 		stop()
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -72,7 +72,7 @@
 type Options struct {
 	Threshold int                   // crashes of targets after which a content is quarantined
 	Hold      time.Duration         // how long a content stays quarantined after its last crash or rejected request
-	Off       policy.Disabled       // policies that are disabled
+	Disabled  policy.Disabled       // policies that are disabled
 	Prober    platform.TargetProber // probes targets that have broken off requests
 	Fleet     Fleet
 	Log       hclog.Logger
@@ -120,7 +120,7 @@
 // New returns a Quarantine without records, and registers its metrics. Run loads the records from the store.
 func New(o Options) *Quarantine {
 	q := &Quarantine{
-		isOn: o.Off.IsEnabled(policy.Quarantine), hasScopes: o.Off.IsEnabled(policy.QuarantineScopes), prober: o.Prober, fleet: o.Fleet, log: o.Log, routineLog: logging.NewRoutine(o.Log),
+		isOn: o.Disabled.IsEnabled(policy.Quarantine), hasScopes: o.Disabled.IsEnabled(policy.QuarantineScopes), prober: o.Prober, fleet: o.Fleet, log: o.Log, routineLog: logging.NewRoutine(o.Log),
 		brokenOff:   metrics.GetOrRegisterCounter(brokenOffMetric, o.Metrics),
 		fellSilent:  metrics.GetOrRegisterCounter(fellSilentMetric, o.Metrics),
 		crashes:     metrics.GetOrRegisterCounter(crashesMetric, o.Metrics),
@@ -161,9 +161,9 @@
 	return g.Wait()
 }
 
-// Loaded reports whether the newest records in the store have been read. It is true if the quarantine is
+// IsLoaded reports whether the newest records in the store have been read. It is true if the quarantine is
 // disabled.
-func (q *Quarantine) Loaded() bool { return !q.isOn || q.isLoaded.Load() }
+func (q *Quarantine) IsLoaded() bool { return !q.isOn || q.isLoaded.Load() }
 
 // IsEmpty reports whether this process has no records, so that no request needs to be checked.
 func (q *Quarantine) IsEmpty() bool { return q.recordCount.Load() == 0 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -89,7 +89,7 @@
 // newTestQuarantine returns a Quarantine in which the named policies are off.
 func newTestQuarantine(f *testFleet, off ...string) *Quarantine {
 	disabled, _ := policy.Parse(off) // the tests pass valid names only
-	return New(Options{Threshold: quarantine.DefaultThreshold, Hold: quarantine.DefaultHold, Off: disabled, Prober: f, Fleet: f,
+	return New(Options{Threshold: quarantine.DefaultThreshold, Hold: quarantine.DefaultHold, Disabled: disabled, Prober: f, Fleet: f,
 		Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
 }
 
@@ -335,7 +335,7 @@
 		time.Sleep(3 * time.Second)
 		late, _, _ := g.start()
 		time.Sleep(time.Second)
-		if !late.Loaded() {
+		if !late.IsLoaded() {
 			t.Error("gateway has not loaded the records a second after its start")
 		}
 		for i, q := range append(quarantines, late) {
@@ -415,7 +415,7 @@
 		for i := range quarantine.DefaultThreshold {
 			breakOffAndWait(q, "body", fmt.Sprint(i))
 		}
-		if isQuarantined(q, "body") || !q.Loaded() || q.Run(context.Background(), nil) != nil {
+		if isQuarantined(q, "body") || !q.IsLoaded() || q.Run(context.Background(), nil) != nil {
 			t.Error("disabled quarantine: a request is rejected, or it is not loaded at once, or Run fails")
 		}
 	})
