--- a/internal/backlog/bench_test.go
+++ b/internal/backlog/bench_test.go
@@ -20,7 +20,7 @@
 	for _, jobs := range []int{50, 500} {
 		b.Run(fmt.Sprintf("%d jobs", jobs), func(b *testing.B) {
 			view := fleetview.New(fleet.Options{Self: "self", PeerTTL: time.Minute})
-			m := New(Options{Member: "self", Shards: testShards}, keyedlog.New(testShards).View(), nil, view, nil, testLogger("self"), metrics.NewRegistry())
+			m := New(Options{MemberID: "self", Shards: testShards}, keyedlog.New(testShards).View(), nil, view, nil, testLogger("self"), metrics.NewRegistry())
 			for i := range jobs {
 				m.replica.applyOwn(encodedJob(b, i, items))
 			}
--- a/internal/backlog/compact.go
+++ b/internal/backlog/compact.go
@@ -34,9 +34,9 @@
 }
 
 // expiredJobs returns the ids of the jobs of this process's shards that have expired: they are cancelled or
-// complete, and were submitted longer ago than Options.Keep.
+// complete, and were submitted longer ago than Options.KeepFor.
 func (m *Manager) expiredJobs(now time.Time) []string {
-	submittedBefore := now.Add(-m.opts.Keep - maxClockSkew).UnixMilli()
+	submittedBefore := now.Add(-m.opts.KeepFor - maxClockSkew).UnixMilli()
 	var ids []string
 	m.replica.withState(func(st *backlog.State) {
 		st.EachExpiredJob(submittedBefore, func(j *backlog.Job) {
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -45,8 +45,8 @@
 	isRouteRemoved     atomic.Bool // the current configuration lacks the route
 	nodesMu            sync.Mutex  // held for changes of nodes, and for reads outside the test's goroutine
 	nodes              []*node
-	keepFor            time.Duration // see Options.Keep
-	maxInlineReadBytes int           // see Options.SpreadBytes; 0 stores all texts separately
+	keepFor            time.Duration // see Options.KeepFor
+	maxInlineReadBytes int           // see Options.MaxInlineReadBytes; 0 stores all texts separately
 	// wrapStore wraps the store of each process that is started; nil leaves it as it is.
 	wrapStore func(platform.Store) platform.Store
 	// rank is Options.Rank of each process that is started; nil makes all processes members.
@@ -143,7 +143,7 @@
 	n.quarantine = quarantine.New(quarantine.Options{
 		Threshold: corequarantine.DefaultThreshold, Hold: corequarantine.DefaultHold, Prober: cl.targets, Fleet: n.fleet, Log: log, Metrics: metrics.NewRegistry(),
 	})
-	o := Options{Member: name, Shards: testShards, MinTTL: testMinTTL, Keep: cl.keepFor, SpreadBytes: cl.maxInlineReadBytes, Quarantine: n.quarantine}
+	o := Options{MemberID: name, Shards: testShards, MinTTL: testMinTTL, KeepFor: cl.keepFor, MaxInlineReadBytes: cl.maxInlineReadBytes, Quarantine: n.quarantine}
 	if cl.rank != nil {
 		o.Rank = func() (int, bool) { return cl.rank(n) }
 	}
--- a/internal/backlog/manager.go
+++ b/internal/backlog/manager.go
@@ -52,21 +52,21 @@
 
 // Options are the settings of a Manager.
 type Options struct {
-	// Member identifies this start of this process among the members of the group that owns the shards. It must
+	// MemberID identifies this start of this process among the members of the group that owns the shards. It must
 	// never be reused.
-	Member string
+	MemberID string
 	// Shards is the number of shards into which jobs are divided: the number of partitions of each of the store's
 	// topics.
 	Shards int
 	// MinTTL is the shortest time without a call after which the store may remove a member from the group.
 	MinTTL time.Duration
-	// SpreadBytes bounds the length of a text that is stored in the record of its result: all processes together
+	// MaxInlineReadBytes bounds the length of a text that is stored in the record of its result: all processes together
 	// read at most that many bytes of it. Longer texts are stored separately.
-	SpreadBytes int
-	// Keep is the minimum time for which a job stays readable after its submission.
-	Keep time.Duration
-	// Off holds the mechanisms that are switched off.
-	Off policy.Disabled
+	MaxInlineReadBytes int
+	// KeepFor is the minimum time for which a job stays readable after its submission.
+	KeepFor time.Duration
+	// Disabled holds the mechanisms that are switched off.
+	Disabled policy.Disabled
 	// Quarantine decides before each run of an item whether it may be sent.
 	Quarantine Quarantine
 	// Rank returns how many other processes precede this one as members of the group; isKnown is false while
@@ -105,7 +105,7 @@
 	m := &Manager{
 		opts: o, store: store, targets: targets, view: view, router: router, log: log, registry: reg, runTimes: backlog.NewRunTimeEstimator(),
 		sentLog: logging.NewRoutine(log), runLog: logging.NewRoutine(log), bodyLog: logging.NewRoutine(log),
-		replica: NewReplica(o.Member, store, view.SetContact, view.Peers, log),
+		replica: NewReplica(o.MemberID, store, view.SetContact, view.Peers, log),
 	}
 	m.replica.isFollowing = m.isMember.Load
 	m.textStore = &textStore{store: store, log: log}
@@ -114,26 +114,26 @@
 	return m
 }
 
-// Loaded reports whether all jobs have been read from the store, so that new ones can be accepted. The
+// IsLoaded reports whether all jobs have been read from the store, so that new ones can be accepted. The
 // results are many times as large; until they have been read, calls of Results return an error that asks for
 // a retry.
-func (m *Manager) Loaded() bool {
+func (m *Manager) IsLoaded() bool {
 	_, isLoaded := m.replica.nextOffset(jobPartition)
 	return isLoaded
 }
 
 // Counts is a snapshot of a manager's load.
 type Counts struct {
-	Items   int           // unfinished items of the shards that the process owns
-	Running int           // those of the items that have an active run
-	Shards  int           // shards that the process owns
-	JobsAge time.Duration // maximum age of the process's state of jobs and cancellations
+	Items        int           // unfinished items of the shards that the process owns
+	RunningItems int           // those of the items that have an active run
+	Shards       int           // shards that the process owns
+	JobStateAge  time.Duration // maximum age of the process's state of jobs and cancellations
 }
 
 // Counts returns the manager's current load.
 func (m *Manager) Counts() Counts {
 	c := m.scheduler.counts()
-	c.JobsAge = m.replica.stateAge(jobPartition)
+	c.JobStateAge = m.replica.stateAge(jobPartition)
 	return c
 }
 
--- a/internal/backlog/membership.go
+++ b/internal/backlog/membership.go
@@ -86,7 +86,7 @@
 	m.isMember.Store(true)
 	m.replica.requestReads()
 	ttl := time.Duration(float64(m.opts.MinTTL) * memberTTLFactor)
-	membership := platform.Membership{Group: shardGroup, Member: m.opts.Member, Topics: []string{shardTopic}, TTL: ttl}
+	membership := platform.Membership{Group: shardGroup, Member: m.opts.MemberID, Topics: []string{shardTopic}, TTL: ttl}
 	shards := make(map[int]*shard)
 	var formerOwnersDoneAt time.Time // after an outage: when former owners have written their progress
 	var requestedAt time.Time
@@ -154,7 +154,7 @@
 		s.handOver(ctx)
 	}
 	m.awaitSaves(ctx)
-	if err := m.store.Leave(ctx, shardGroup, m.opts.Member); err != nil {
+	if err := m.store.Leave(ctx, shardGroup, m.opts.MemberID); err != nil {
 		m.log.Warn("leave request failed: shards move once the lease has expired", "error", err)
 	}
 }
--- a/internal/backlog/order.go
+++ b/internal/backlog/order.go
@@ -31,7 +31,7 @@
 // startKey returns a task's sort key in the start order, lowest first. With policy.FeasibleFirst switched off,
 // the key depends only on the due time and the rank.
 func (sc *scheduler) startKey(t *task, now time.Time) int64 {
-	if !sc.m.opts.Off.IsEnabled(policy.FeasibleFirst) {
+	if !sc.m.opts.Disabled.IsEnabled(policy.FeasibleFirst) {
 		return backlog.StartKey(time.UnixMilli(0), t.due(), 0, t.job.Rank)
 	}
 	return backlog.StartKey(now, t.due(), sc.m.runTimes.Remaining(t.job.Route, t.item().Tokens, t.eventCount()), t.job.Rank)
--- a/internal/backlog/random_test.go
+++ b/internal/backlog/random_test.go
@@ -99,7 +99,7 @@
 // jobs at its end.
 const randomKeepFor = time.Hour
 
-// inlineAll is a value of Options.SpreadBytes with which all texts are stored in the records of their results.
+// inlineAll is a value of Options.MaxInlineReadBytes with which all texts are stored in the records of their results.
 const inlineAll = 1 << 30
 
 // newFaultRun returns a random run without processes. Runs of an even seed store all texts in the records of
--- a/internal/backlog/result_batch.go
+++ b/internal/backlog/result_batch.go
@@ -86,9 +86,9 @@
 
 // storesInline reports whether a text is stored in the record of its result, which every process reads. With
 // few processes these reads cost less than one separate read for each text that a caller asks for; see
-// Options.SpreadBytes.
+// Options.MaxInlineReadBytes.
 func (m *Manager) storesInline(text string) bool {
-	return len(text)*(1+m.view.Peers()) <= m.opts.SpreadBytes
+	return len(text)*(1+m.view.Peers()) <= m.opts.MaxInlineReadBytes
 }
 
 // prepare writes the separately stored texts of a batch and encodes its results. It returns false if the
--- a/internal/backlog/scheduler.go
+++ b/internal/backlog/scheduler.go
@@ -95,7 +95,7 @@
 	records := sc.tombstones
 	sc.tombstones = nil
 	for _, t := range sc.tasks {
-		if !sc.m.opts.Off.IsEnabled(policy.Checkpoints) || !t.isCheckpointDue() {
+		if !sc.m.opts.Disabled.IsEnabled(policy.Checkpoints) || !t.isCheckpointDue() {
 			continue
 		}
 		saved := sc.m.progressRecords(t)
@@ -112,7 +112,7 @@
 	c := Counts{Items: len(sc.tasks), Shards: len(sc.shards)}
 	for _, t := range sc.tasks {
 		if t.isRunning() {
-			c.Running++
+			c.RunningItems++
 		}
 	}
 	return c
--- a/internal/backlog/texts_test.go
+++ b/internal/backlog/texts_test.go
@@ -68,12 +68,12 @@
 	})
 }
 
-// A text must be stored in the record of its result if all processes together read at most SpreadBytes of it,
+// A text must be stored in the record of its result if all processes together read at most MaxInlineReadBytes of it,
 // which saves a separate read.
 func TestShortTextStoredInResult(t *testing.T) {
 	withCluster(t, 2, func(t *testing.T, cl *cluster) {
 		n := cl.nodes[0]
-		n.manager.opts.SpreadBytes = 100
+		n.manager.opts.MaxInlineReadBytes = 100
 		n.fleet.ApplyReport("other", fleet.Report{})
 		for size, want := range map[int]bool{0: true, 50: true, 51: false} {
 			if got := n.manager.storesInline(strings.Repeat("x", size)); got != want {
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -110,7 +110,7 @@
 		Directory: directory.New(g.storePaths, self), View: view, Quotas: g.quotas, Observer: g.quarantine, RevokeWithin: s.RevokeWithin,
 		Clock: bootclock.Now, Log: logger.Named("watch"),
 	})
-	g.jobs = backlog.New(backlog.Options{Member: self, Shards: s.Shards, MinTTL: s.MinTTL, Keep: s.Keep, SpreadBytes: inlineReadBytes, Off: s.Off, Quarantine: g.quarantine, Rank: g.loadShare.Rank},
+	g.jobs = backlog.New(backlog.Options{MemberID: self, Shards: s.Shards, MinTTL: s.MinTTL, KeepFor: s.Keep, MaxInlineReadBytes: inlineReadBytes, Disabled: s.Off, Quarantine: g.quarantine, Rank: g.loadShare.Rank},
 		g.storePaths, targets, view, g.watch, logger.Named("backlog"), reg)
 	online := gateway.New(gateway.Options{
 		Targets: targets, View: view, Beliefs: g.watch, Access: g.watch, Quotas: g.quotas, Quarantine: g.quarantine, Off: s.Off,
@@ -189,7 +189,7 @@
 		return "configuration or targets not read"
 	case g.watch.IsStale():
 		return "configuration not confirmed for too long"
-	case !g.jobs.Loaded():
+	case !g.jobs.IsLoaded():
 		return "backlog not read"
 	case !g.quarantine.IsLoaded():
 		return "quarantine not read"
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -40,9 +40,9 @@
 		reportsReceivedBytesMetric:  g.loadShare.Traffic().Received.Bytes,
 		inFlightMetric:              g.inFlight,
 		itemsMetric:                 func() int64 { return int64(g.jobs.Counts().Items) },
-		itemsRunningMetric:          func() int64 { return int64(g.jobs.Counts().Running) },
+		itemsRunningMetric:          func() int64 { return int64(g.jobs.Counts().RunningItems) },
 		shardsMetric:                func() int64 { return int64(g.jobs.Counts().Shards) },
-		jobsAgeMetric:               func() int64 { return g.jobs.Counts().JobsAge.Milliseconds() },
+		jobsAgeMetric:               func() int64 { return g.jobs.Counts().JobStateAge.Milliseconds() },
 	} {
 		g.reg.GetOrRegister(name, metrics.NewFunctionalGauge(read))
 	}
