--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -93,11 +93,11 @@
 	cl.restarts.Go(func() {
 		time.Sleep(restartTime / 2)
 		cl.eachNode(func(n *node) {
-			n.fleet.Put(nil, []string{target})
+			n.fleet.UpdateTargets(nil, []string{target})
 			n.quarantine.TargetsGone([]string{target})
 		})
 		time.Sleep(restartTime / 2)
-		cl.eachNode(func(n *node) { n.fleet.Put([]serving.Target{replacement}, nil) })
+		cl.eachNode(func(n *node) { n.fleet.UpdateTargets([]serving.Target{replacement}, nil) })
 	})
 }
 
@@ -133,7 +133,7 @@
 	n := &node{cl: cl, name: name, view: cl.store.View(), done: make(chan struct{})}
 	n.fleet = fleetview.New(fleet.Options{Domain: "d", Self: fleet.Peer(name), MinFreeAfterStart: 0, PeerTTL: time.Second})
 	for i := range 3 {
-		n.fleet.Put([]serving.Target{{ID: fmt.Sprintf("target-%d", i), Service: "llm", Addr: "127.0.0.1:1", Domain: "d", Slots: 8}}, nil)
+		n.fleet.UpdateTargets([]serving.Target{{ID: fmt.Sprintf("target-%d", i), Service: "llm", Addr: "127.0.0.1:1", Domain: "d", Slots: 8}}, nil)
 	}
 	log := testLogger(name)
 	var store platform.Store = n.view
--- a/internal/backlog/item.go
+++ b/internal/backlog/item.go
@@ -57,7 +57,7 @@
 	v, err := m.streamItem(ctx, t, r, route)
 	r.Done()
 	took := time.Since(began)
-	timeToFirstEvent, timeSinceLastEvent := r.Times()
+	timeToFirstEvent, timeSinceLastEvent := r.EventTimes()
 	telemetry.Observe(m.registry, runMetric, took)
 	m.runTimes.ObserveRun(t.job.Route, t.eventCount()-eventsBefore, took)
 	if v == runComplete {
@@ -137,7 +137,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	wd := newWatchdog(ctx, cancel, r)
-	r.WhenEnded(cancel)
+	r.OnTargetEnd(cancel)
 	fromEvent := t.lastEvent()
 	answer, err := m.targets.Send(ctx, platform.TargetCall{Target: r.Target, Request: t.content.Request, ResumeAfter: fromEvent})
 	if err != nil {
@@ -158,7 +158,7 @@
 			return runInterrupted, m.classifyRunError(ctx, t, wd, fromEvent, err)
 		}
 		wd.noteEvent()
-		if r.Event() >= quarantine.MinPassDuration && t.markPassed() {
+		if r.RecordEvent() >= quarantine.MinPassDuration && t.markPassed() {
 			m.opts.Quarantine.Passed(t.content)
 		}
 		t.appendEvent(e)
@@ -183,7 +183,7 @@
 func (m *Manager) classifyAnswer(t *task, r *fleetview.Run, answer *platform.TargetAnswer) (runVerdict, error) {
 	switch {
 	case answer.OtherInstance:
-		m.view.Drop(r.Target.ID)
+		m.view.RemoveTarget(r.Target.ID)
 		return runInterrupted, errs.New(errs.TargetFailed, "the target's address now belongs to another target")
 	case answer.NotRun:
 		return runInterrupted, errs.Newf(errs.TargetFailed, "the target rejected the item with status %d", answer.Status)
@@ -203,8 +203,8 @@
 // item's output was complete. The run began after the event fromEvent; err is the reason of its end.
 func brokenRun(t *task, r *fleetview.Run, fromEvent string, err error) quarantine.BrokenRun {
 	return quarantine.BrokenRun{
-		Content: t.content, Target: r.Target, StartID: r.Target.ID, BeganAt: r.Began(), FromEvent: fromEvent, ToEvent: t.lastEvent(),
-		HasPassed: r.AnsweredFor() >= quarantine.MinPassDuration, HasCrashed: r.HasEnded(), Err: err,
+		Content: t.content, Target: r.Target, StartID: r.Target.ID, BeganAt: r.StartedAt(), FromEvent: fromEvent, ToEvent: t.lastEvent(),
+		HasPassed: r.SinceFirstEvent() >= quarantine.MinPassDuration, HasCrashed: r.HasTargetEnded(), Err: err,
 	}
 }
 
@@ -213,7 +213,7 @@
 // run.
 func (m *Manager) classifyRunError(ctx context.Context, t *task, wd *watchdog, fromEvent string, err error) error {
 	r := wd.run
-	if r.HasEnded() && errs.As(err).Ran != errs.RanNo {
+	if r.HasTargetEnded() && errs.As(err).Ran != errs.RanNo {
 		err = errs.New(errs.StreamBroken, "the target has restarted")
 		m.opts.Quarantine.BrokenOff(brokenRun(t, r, fromEvent, err))
 		return err
@@ -227,7 +227,7 @@
 		m.opts.Quarantine.Interrupted(brokenRun(t, r, fromEvent, err))
 		return errs.Newf(errs.Cancelled, "%v", ctx.Err())
 	}
-	if r.Failed() {
+	if r.RecordFailure() {
 		m.log.Warn("target suspect", "target", r.Target.ID, "addr", r.Target.Addr, "why", err.Error(), "item", t.item().ID)
 	}
 	if errs.As(err).Ran != errs.RanNo {
--- a/internal/backlog/manager.go
+++ b/internal/backlog/manager.go
@@ -105,7 +105,7 @@
 	m := &Manager{
 		opts: o, store: store, targets: targets, view: view, router: router, log: log, registry: reg, runTimes: backlog.NewRunTimeEstimator(),
 		sentLog: logging.NewRoutine(log), runLog: logging.NewRoutine(log), bodyLog: logging.NewRoutine(log),
-		replica: NewReplica(o.MemberID, store, view.SetContact, view.Peers, log),
+		replica: NewReplica(o.MemberID, store, view.RecordStoreContact, view.LivePeerCount, log),
 	}
 	m.replica.isFollowing = m.isMember.Load
 	m.textStore = &textStore{store: store, log: log}
--- a/internal/backlog/manager_test.go
+++ b/internal/backlog/manager_test.go
@@ -300,7 +300,7 @@
 		cl.nodes[1].kill() // only the isolated process runs items
 		outageStart := time.Now()
 		cl.exchangeReports(func() bool {
-			cl.nodes[1].fleet.SetContact()
+			cl.nodes[1].fleet.RecordStoreContact()
 			return time.Since(outageStart) < 6*time.Second
 		})
 		if last := cl.targets.lastStartOf(j); last.After(outageStart.Add(maxCancelAge + testMinTTL*3/2)) {
--- a/internal/backlog/restart_test.go
+++ b/internal/backlog/restart_test.go
@@ -18,7 +18,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		time.Sleep(10 * eventInterval)
-		cl.nodes[0].fleet.Ended([]string{"target-0", "target-1", "target-2"})
+		cl.nodes[0].fleet.EndTargets([]string{"target-0", "target-1", "target-2"})
 		restartedAt := time.Now()
 		time.Sleep(retryDelay + 50*time.Millisecond)
 		if n := cl.targets.runCount(id); n != 2 {
--- a/internal/backlog/result_batch.go
+++ b/internal/backlog/result_batch.go
@@ -88,7 +88,7 @@
 // few processes these reads cost less than one separate read for each text that a caller asks for; see
 // Options.MaxInlineReadBytes.
 func (m *Manager) storesInline(text string) bool {
-	return len(text)*(1+m.view.Peers()) <= m.opts.MaxInlineReadBytes
+	return len(text)*(1+m.view.LivePeerCount()) <= m.opts.MaxInlineReadBytes
 }
 
 // prepare writes the separately stored texts of a batch and encodes its results. It returns false if the
--- a/internal/backlog/scheduler.go
+++ b/internal/backlog/scheduler.go
@@ -175,7 +175,7 @@
 	if len(sc.tasks) == 0 {
 		return nil
 	}
-	return sc.m.view.Freed()
+	return sc.m.view.SlotFreed()
 }
 
 // publishDemand reports to the other gateways how many items of this process could start now and the lowest of
@@ -274,7 +274,7 @@
 		return false
 	}
 	isCurrent := sc.m.replica.stateAge(jobPartition) <= maxCancelAge && now.Before(leaseEnd)
-	return isCurrent || sc.m.view.StoreDownForAll()
+	return isCurrent || sc.m.view.IsStoreDownForPeers()
 }
 
 // An item is given up, with the outcome Errored, after maxUnroutedChecks consecutive checks that found no
--- a/internal/backlog/watchdog.go
+++ b/internal/backlog/watchdog.go
@@ -33,7 +33,7 @@
 	w.mu.Lock()
 	w.lastActivity = time.Now()
 	w.mu.Unlock()
-	w.run.NoteActivity()
+	w.run.RecordActivity()
 }
 
 // watch cancels the run once the target has sent nothing on any stream for too long, which also counts as a
@@ -46,9 +46,9 @@
 		w.mu.Unlock()
 		isTargetIdle := w.run.IsIdle(lastActivity)
 		if isTargetIdle {
-			w.run.Failed()
+			w.run.RecordFailure()
 		}
-		if isTargetIdle || time.Since(lastActivity) > max(itemIdleTimeout, 2*w.run.IdleLimit())+w.run.QueueWait() {
+		if isTargetIdle || time.Since(lastActivity) > max(itemIdleTimeout, 2*w.run.IdleLimit())+w.run.MaxQueueWait() {
 			w.hasCancelledRun.Store(true)
 			cancel()
 			return
--- a/internal/fleetview/run.go
+++ b/internal/fleetview/run.go
@@ -26,7 +26,7 @@
 	rank         int    // of a batch run: its urgency, 0 the most urgent
 	preempt      func() // of a batch run: makes it release its slot
 	isDone       bool
-	// onTargetEnd is called when the target is known to have restarted; see WhenEnded.
+	// onTargetEnd is called when the target is known to have restarted; see OnTargetEnd.
 	onTargetEnd    func()
 	hasTargetEnded bool
 }
@@ -48,9 +48,9 @@
 	}
 }
 
-// WhenEnded sets the function that is called, at most once, when the target of the run is known to have
+// OnTargetEnd sets the function that is called, at most once, when the target of the run is known to have
 // restarted, so that no answer can arrive. If that is known already, f is called at once. f must not block.
-func (r *Run) WhenEnded(f func()) {
+func (r *Run) OnTargetEnd(f func()) {
 	r.view.mu.Lock()
 	r.onTargetEnd = f
 	hasTargetEnded := r.hasTargetEnded
@@ -60,21 +60,21 @@
 	}
 }
 
-// Began returns when the run started.
-func (r *Run) Began() time.Time { return r.startedAt }
+// StartedAt returns when the run started.
+func (r *Run) StartedAt() time.Time { return r.startedAt }
 
-// HasEnded reports whether the target of the run is known to have restarted since the run began.
-func (r *Run) HasEnded() bool {
+// HasTargetEnded reports whether the target of the run is known to have restarted since the run began.
+func (r *Run) HasTargetEnded() bool {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	return r.hasTargetEnded
 }
 
-// Ended calls the WhenEnded functions of all runs at the targets with these ids, which are known to have
+// EndTargets calls the OnTargetEnd functions of all runs at the targets with these ids, which are known to have
 // restarted. An id names one start of a target: the restarted target has another id. Without this call such
 // a run could last forever: a crash behind a network partition closes no connection, and data from the
 // restarted target resets the idle time by which the run would detect the crash.
-func (v *View) Ended(ids []string) {
+func (v *View) EndTargets(ids []string) {
 	var callbacks []func()
 	v.mu.Lock()
 	for _, id := range ids {
@@ -107,17 +107,17 @@
 	signal(v.roomFreed)
 }
 
-// NoteActivity records that the target of the run has just sent data to this process.
-func (r *Run) NoteActivity() {
+// RecordActivity records that the target of the run has just sent data to this process.
+func (r *Run) RecordActivity() {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	r.view.fleet.RecordActivity(time.Now(), r.Target.ID)
 }
 
-// Event records that an event of the run's stream has just arrived, and adds the time it took to the response
-// times of the service; the first event is left out there if the run may have waited for a slot. Event returns
+// RecordEvent records that an event of the run's stream has just arrived, and adds the time it took to the response
+// times of the service; the first event is left out there if the run may have waited for a slot. RecordEvent returns
 // how long ago the first event of the run arrived, 0 for the first event.
-func (r *Run) Event() (sinceFirst time.Duration) {
+func (r *Run) RecordEvent() (sinceFirst time.Duration) {
 	v := r.view
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -136,8 +136,8 @@
 	return now.Sub(r.firstEventAt)
 }
 
-// AnsweredFor returns how long ago the first event of the run arrived, 0 if none has arrived.
-func (r *Run) AnsweredFor() time.Duration {
+// SinceFirstEvent returns how long ago the first event of the run arrived, 0 if none has arrived.
+func (r *Run) SinceFirstEvent() time.Duration {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	if r.firstEventAt.IsZero() {
@@ -146,9 +146,9 @@
 	return time.Since(r.firstEventAt)
 }
 
-// Times returns how long after the start of the run its first event arrived, and how long ago its last event
+// EventTimes returns how long after the start of the run its first event arrived, and how long ago its last event
 // arrived. Both are the time since the start of the run if no event has arrived.
-func (r *Run) Times() (first, sinceLast time.Duration) {
+func (r *Run) EventTimes() (first, sinceLast time.Duration) {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	if r.firstEventAt.IsZero() {
@@ -165,9 +165,9 @@
 	return r.view.fleet.SilenceLimit(r.Target.Service)
 }
 
-// Failed records that the run has failed at its target. It reports whether this failure made the target
+// RecordFailure records that the run has failed at its target. It reports whether this failure made the target
 // suspect, that is, avoided by later requests.
-func (r *Run) Failed() bool {
+func (r *Run) RecordFailure() bool {
 	v := r.view
 	v.mu.Lock()
 	now := time.Now()
@@ -189,16 +189,16 @@
 	return r.view.fleet.IsSilentSince(time.Now(), sentAt, r.Target.ID)
 }
 
-// QueueWait returns the longest time that the run may have to wait for a slot at its target, by the known loads.
-func (r *Run) QueueWait() time.Duration {
+// MaxQueueWait returns the longest time that the run may have to wait for a slot at its target, by the known loads.
+func (r *Run) MaxQueueWait() time.Duration {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	return r.view.fleet.QueueWait(r.Target.ID)
 }
 
-// Held records that the run has received its complete answer. The duration of the run counts towards the mean
+// RecordHoldTime records that the run has received its complete answer. The duration of the run counts towards the mean
 // time that requests of its service hold a slot, unless the run may have waited for a slot.
-func (r *Run) Held() {
+func (r *Run) RecordHoldTime() {
 	if r.Choice.IsQueued() {
 		return
 	}
--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -24,9 +24,9 @@
 	// listRevision counts the calls of Put.
 	listRevision uint64
 
-	// loadsChanged holds a value while a load report to the peers is due; see Changed.
+	// loadsChanged holds a value while a load report to the peers is due; see LoadsChanged.
 	loadsChanged chan struct{}
-	// roomFreed holds a value while a slot may have become free for a batch item; see Freed.
+	// roomFreed holds a value while a slot may have become free for a batch item; see SlotFreed.
 	roomFreed chan struct{}
 }
 
@@ -41,12 +41,12 @@
 	}
 }
 
-// Changed returns the channel on which a value arrives after a run of this process has started or finished, a
+// LoadsChanged returns the channel on which a value arrives after a run of this process has started or finished, a
 // target became suspect, or ReportSoon was called. A receiver sends a load report to the peers.
-func (v *View) Changed() <-chan struct{} { return v.loadsChanged }
+func (v *View) LoadsChanged() <-chan struct{} { return v.loadsChanged }
 
-// Freed returns the channel on which a value arrives when a slot may have become free for a batch item.
-func (v *View) Freed() <-chan struct{} { return v.roomFreed }
+// SlotFreed returns the channel on which a value arrives when a slot may have become free for a batch item.
+func (v *View) SlotFreed() <-chan struct{} { return v.roomFreed }
 
 // signal sends a value on c unless one is pending. It never blocks.
 func signal(c chan struct{}) {
@@ -115,26 +115,26 @@
 	preemptAll(victims)
 }
 
-// PeerNews is the load report of a peer, or only its liveness, as relayed by another gateway.
-type PeerNews struct {
-	// From is the peer that the report is about.
-	From fleet.Peer
-	// Report is the newest report of the peer; nil if only Sign is relayed.
+// PeerUpdate is the load report of a peer, or only its liveness, as relayed by another gateway.
+type PeerUpdate struct {
+	// Peer is the peer that the report is about.
+	Peer fleet.Peer
+	// Report is the newest report of the peer; nil if only Heartbeat is relayed.
 	Report *fleet.Report
-	// Sign says when the peer was last alive; it is used only if Report is nil.
-	Sign fleet.Heartbeat
+	// Heartbeat says when the peer was last alive; it is used only if Report is nil.
+	Heartbeat fleet.Heartbeat
 }
 
-// ApplyNews records the reports of peers that another gateway has relayed, and preempts as ApplyReport does.
-func (v *View) ApplyNews(reports []PeerNews) {
+// ApplyPeerUpdates records the reports of peers that another gateway has relayed, and preempts as ApplyReport does.
+func (v *View) ApplyPeerUpdates(reports []PeerUpdate) {
 	v.mu.Lock()
 	now := time.Now()
 	for _, r := range reports {
 		if r.Report != nil {
-			v.fleet.ApplyReport(now, r.From, *r.Report)
+			v.fleet.ApplyReport(now, r.Peer, *r.Report)
 			continue
 		}
-		v.fleet.ApplyHeartbeat(now, r.From, r.Sign)
+		v.fleet.ApplyHeartbeat(now, r.Peer, r.Heartbeat)
 	}
 	victims := v.takeVictims(now)
 	v.mu.Unlock()
@@ -157,30 +157,30 @@
 	v.fleet.SetDemand(demand)
 }
 
-// SetContact records that the platform's store has just answered this process.
-func (v *View) SetContact() {
+// RecordStoreContact records that the platform's store has just answered this process.
+func (v *View) RecordStoreContact() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.fleet.RecordStoreContact(time.Now())
 }
 
-// Peers returns the number of other gateways that are alive, by the reports that this one has received.
-func (v *View) Peers() int {
+// LivePeerCount returns the number of other gateways that are alive, by the reports that this one has received.
+func (v *View) LivePeerCount() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.LivePeerCount(time.Now())
 }
 
-// StoreDownForAll reports whether no live peer has reached the platform's store since this process last reached
+// IsStoreDownForPeers reports whether no live peer has reached the platform's store since this process last reached
 // it. It is false without live peers, since this process alone may be separated from the store.
-func (v *View) StoreDownForAll() bool {
+func (v *View) IsStoreDownForPeers() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.IsStoreDownForPeers(time.Now())
 }
 
-// Put adds or updates the targets in present, and removes the targets whose ids are in goneIDs.
-func (v *View) Put(present []serving.Target, goneIDs []string) {
+// UpdateTargets adds or updates the targets in present, and removes the targets whose ids are in goneIDs.
+func (v *View) UpdateTargets(present []serving.Target, goneIDs []string) {
 	v.mu.Lock()
 	now := time.Now()
 	v.listRevision++
@@ -196,8 +196,8 @@
 	preemptAll(victims)
 }
 
-// Listed returns the revision of the target list, which rises by 1 with each call of Put.
-func (v *View) Listed() uint64 {
+// ListRevision returns the revision of the target list, which rises by 1 with each call of Put.
+func (v *View) ListRevision() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.listRevision
@@ -227,5 +227,5 @@
 // ReportSoon triggers a load report to the peers before the next regular one.
 func (v *View) ReportSoon() { signal(v.loadsChanged) }
 
-// Drop removes the target with this id at once. It is called when another target answers at its address.
-func (v *View) Drop(id string) { v.Put(nil, []string{id}) }
+// RemoveTarget removes the target with this id at once. It is called when another target answers at its address.
+func (v *View) RemoveTarget(id string) { v.UpdateTargets(nil, []string{id}) }
--- a/internal/fleetview/view_test.go
+++ b/internal/fleetview/view_test.go
@@ -12,7 +12,7 @@
 // newView returns a view with one target "t" of service "s" that has the given number of slots.
 func newView(slots int) *View {
 	v := New(fleet.Options{Self: "self", PeerTTL: time.Minute})
-	v.Put([]serving.Target{{ID: "t", Service: "s", Slots: slots}}, nil)
+	v.UpdateTargets([]serving.Target{{ID: "t", Service: "s", Slots: slots}}, nil)
 	return v
 }
 
@@ -63,7 +63,7 @@
 		}
 	}
 	r, ok := v.StartOnline("s", nil)
-	if !ok || !r.Failed() || preempted != 3 {
+	if !ok || !r.RecordFailure() || preempted != 3 {
 		t.Errorf("%d of 3 batch runs at a failed target were preempted, want 3", preempted)
 	}
 }
@@ -71,12 +71,12 @@
 // The test blocks forever, and so fails, if a signal is missing.
 func TestChangesSendSignals(t *testing.T) {
 	v := newView(1)
-	<-v.Freed() // from adding the target
+	<-v.SlotFreed() // from adding the target
 	r, _ := v.StartOnline("s", nil)
-	<-v.Changed()
+	<-v.LoadsChanged()
 	r.Done()
-	<-v.Changed()
-	<-v.Freed()
+	<-v.LoadsChanged()
+	<-v.SlotFreed()
 }
 
 // Guards against priority inversion: a batch run of an urgent route is preempted while a less urgent one, with
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -72,7 +72,7 @@
 	canRetryElsewhere := a.route.IsIdempotent() && a.possibleRuns < a.route.MaxAttempts
 	stop := a.watchIdle(ctx, sentAt, canRetryElsewhere)
 	defer stop()
-	a.run.WhenEnded(a.cancel)
+	a.run.OnTargetEnd(a.cancel)
 	ans, err := a.gw.targets.Send(ctx, platform.TargetCall{
 		Target: a.run.Target, Request: a.req, TimeLeft: a.deadline.Sub(sentAt),
 		ResumeAfter: a.resumedAfter, Once: !a.route.IsIdempotent(),
@@ -127,13 +127,13 @@
 	if a.route.Kind == serving.KindSafe {
 		answerTimeout = max(minCallAnswerTimeout, a.route.LatencyGoal*3/2)
 	}
-	return time.Since(a.req.Arrived)-time.Duration(a.lastActivity.Load()) > answerTimeout+a.run.QueueWait()
+	return time.Since(a.req.Arrived)-time.Duration(a.lastActivity.Load()) > answerTimeout+a.run.MaxQueueWait()
 }
 
 // noteActivity records that the target has sent a part of the answer.
 func (a *attempt) noteActivity() {
 	a.lastActivity.Store(int64(time.Since(a.req.Arrived)))
-	a.run.NoteActivity()
+	a.run.RecordActivity()
 }
 
 // logSent logs the request and its target before the request is sent. If this process is killed during the
@@ -146,7 +146,7 @@
 // noteTargetFailure records that the target failed this attempt, and logs if that makes the target suspect, so
 // that other targets are preferred.
 func (a *attempt) noteTargetFailure(reason string) {
-	if a.run.Failed() {
+	if a.run.RecordFailure() {
 		a.gw.log.Warn("target suspect", "target", a.run.Target.ID, "addr", a.run.Target.Addr, "why", reason, "request", a.req.ID)
 	}
 }
@@ -155,7 +155,7 @@
 // because the target sent nothing for too long (an error of type timeoutType), or because ctx has ended. It
 // returns nil if none of these applies.
 func (a *attempt) localError(ctx context.Context, timeoutType errs.Type) error {
-	if a.run.HasEnded() {
+	if a.run.HasTargetEnded() {
 		err := errs.New(errs.StreamBroken, "the target has restarted").WithRan(errs.RanUnknown)
 		a.recordBrokenOff(err)
 		return err
@@ -191,12 +191,12 @@
 	switch {
 	case ans.OtherInstance:
 		a.possibleRuns--
-		a.gw.view.Drop(a.run.Target.ID)
+		a.gw.view.RemoveTarget(a.run.Target.ID)
 		a.gw.log.Warn("target gone", "target", a.run.Target.ID, "addr", a.run.Target.Addr, "why", "another instance answers", "request", a.req.ID)
 		return errs.New(errs.TargetFailed, "another target uses the address").WithRan(errs.RanNo)
 	case ans.NotRun:
 		a.possibleRuns--
-		a.run.NoteActivity()
+		a.run.RecordActivity()
 		return errs.Newf(errs.TargetFailed, "the target refused the request with status %d", ans.Status).WithRan(errs.RanNo)
 	case ans.Foreign:
 		a.cancel() // requests and answers on the connection no longer match: it must not be reused
@@ -224,7 +224,7 @@
 			return a.brokenOffError(ctx, err)
 		}
 		a.noteActivity()
-		if sinceFirst := a.run.Event(); !isPassRecorded && sinceFirst >= quarantine.MinPassDuration {
+		if sinceFirst := a.run.RecordEvent(); !isPassRecorded && sinceFirst >= quarantine.MinPassDuration {
 			isPassRecorded = true
 			a.gw.quarantine.Passed(a.content)
 		}
@@ -269,8 +269,8 @@
 // brokenRun describes this attempt, which ended with err, for the quarantine.
 func (a *attempt) brokenRun(err error) quarantine.BrokenRun {
 	return quarantine.BrokenRun{
-		Content: a.content, Target: a.run.Target, StartID: a.run.Target.ID, BeganAt: a.run.Began(), FromEvent: a.resumedAfter, ToEvent: a.lastEventID,
-		HasPassed: a.run.AnsweredFor() >= quarantine.MinPassDuration, HasCrashed: a.run.HasEnded(), Err: err,
+		Content: a.content, Target: a.run.Target, StartID: a.run.Target.ID, BeganAt: a.run.StartedAt(), FromEvent: a.resumedAfter, ToEvent: a.lastEventID,
+		HasPassed: a.run.SinceFirstEvent() >= quarantine.MinPassDuration, HasCrashed: a.run.HasTargetEnded(), Err: err,
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -222,7 +222,7 @@
 	a := &attempt{exchange: ex, run: run}
 	err := a.sendAndRelay(ctx)
 	if err == nil {
-		run.Held()
+		run.RecordHoldTime()
 		ex.gw.quarantine.Served(ex.content)
 	}
 	return err
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -73,7 +73,7 @@
 func newHarness(targetCount int, scripts ...script) *harness {
 	h := &harness{scripts: scripts, callerTimeout: 5 * time.Second, view: fleetview.New(fleet.Options{Self: "self", PeerTTL: time.Second})}
 	for i := range targetCount {
-		h.view.Put([]serving.Target{{ID: fmt.Sprintf("t%d", i), Service: "s", Slots: 4}}, nil)
+		h.view.UpdateTargets([]serving.Target{{ID: fmt.Sprintf("t%d", i), Service: "s", Slots: 4}}, nil)
 	}
 	h.gw = New(Options{Targets: h, View: h.view, Beliefs: h, Access: h, Quotas: h, Quarantine: h, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
 	return h
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -98,7 +98,7 @@
 				go func() {
 					time.Sleep(100 * time.Millisecond)
 					if len(c.want) > 0 && c.want[0].hasCrashed {
-						h.view.Ended([]string{h.firstTarget()})
+						h.view.EndTargets([]string{h.firstTarget()})
 					}
 				}()
 				h.serve(context.Background(), c.route, &fakeCaller{})
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -54,7 +54,7 @@
 				h := newHarness(2, c.scripts...)
 				go func() {
 					time.Sleep(restartKnownAfter)
-					h.view.Ended([]string{h.firstTarget()})
+					h.view.EndTargets([]string{h.firstTarget()})
 				}()
 				caller := &fakeCaller{}
 				h.serve(context.Background(), c.route, caller)
--- a/internal/loadshare/bench_test.go
+++ b/internal/loadshare/bench_test.go
@@ -23,7 +23,7 @@
 	for i := range targetCount {
 		targets = append(targets, serving.Target{ID: fmt.Sprintf("i-%08x", i), Service: "llm", Slots: 7})
 	}
-	view.Put(targets, nil)
+	view.UpdateTargets(targets, nil)
 	sharer, err := New(testOptions("self", view))
 	if err != nil {
 		b.Fatal(err)
--- a/internal/loadshare/hub_test.go
+++ b/internal/loadshare/hub_test.go
@@ -40,7 +40,7 @@
 func (f *largeFleet) add(domain string) {
 	name := fleet.Peer(fmt.Sprintf("gateway-%d", len(f.gateways)))
 	view := fleetview.New(fleet.Options{Self: name, Domain: domain, PeerTTL: PeerTTL})
-	view.Put([]serving.Target{{ID: "t", Service: "s", Slots: 1}}, nil)
+	view.UpdateTargets([]serving.Target{{ID: "t", Service: "s", Slots: 1}}, nil)
 	o := testOptions(name, view)
 	o.Domain = domain
 	s, err := New(o)
@@ -74,7 +74,7 @@
 
 // awaitPeers waits until the view of gateway i contains exactly count live peers.
 func (f *largeFleet) awaitPeers(i, count int) {
-	for f.views[i].Peers() != count {
+	for f.views[i].LivePeerCount() != count {
 		time.Sleep(10 * time.Millisecond) // the test's time limit ends the loop
 	}
 }
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -289,7 +289,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-refreshTimer.C:
-		case <-s.view.Changed():
+		case <-s.view.LoadsChanged():
 		}
 		seq++
 		receiverCount := s.sendReport(seq)
@@ -452,7 +452,7 @@
 // targetIDs returns the ids of the targets by their digests. Only the goroutine that receives datagrams calls
 // it.
 func (s *Sharer) targetIDs() map[digest]string {
-	if version := s.view.Listed(); s.targetIndex.idByDigest == nil || version != s.targetIndex.version {
+	if version := s.view.ListRevision(); s.targetIndex.idByDigest == nil || version != s.targetIndex.version {
 		s.targetIndex = newTargetIndex(version, s.view.Targets())
 	}
 	return s.targetIndex.idByDigest
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -75,7 +75,7 @@
 func newTestSharer(t testing.TB, self fleet.Peer) (*Sharer, *fleetview.View) {
 	t.Helper()
 	v := fleetview.New(fleet.Options{Self: self, PeerTTL: PeerTTL})
-	v.Put([]serving.Target{{ID: "t", Service: "s", Slots: 1}}, nil)
+	v.UpdateTargets([]serving.Target{{ID: "t", Service: "s", Slots: 1}}, nil)
 	s, err := New(testOptions(self, v))
 	if err != nil {
 		t.Fatal(err)
@@ -119,7 +119,7 @@
 		if ok == wantFreeSlot {
 			return
 		}
-		<-v.Freed()
+		<-v.SlotFreed()
 	}
 }
 
--- a/internal/loadshare/receive.go
+++ b/internal/loadshare/receive.go
@@ -25,7 +25,7 @@
 	s.markHubSeen(c.Hub)
 	updates := s.applyContent(c, heartbeats)
 	if len(updates) > 0 {
-		s.view.ApplyNews(updates)
+		s.view.ApplyPeerUpdates(updates)
 	}
 }
 
@@ -60,10 +60,10 @@
 // applyContent applies the reports and heartbeats of a hub to the peers, the quotas and the quarantine, and
 // returns the updates for the view of the fleet. What a hub of another domain sends is also put into this
 // gateway's own table, from which runHub distributes it in the own domain.
-func (s *Sharer) applyContent(c batchContent, heartbeats []heartbeat) []fleetview.PeerNews {
+func (s *Sharer) applyContent(c batchContent, heartbeats []heartbeat) []fleetview.PeerUpdate {
 	now := time.Now()
 	ids := s.targetIDs()
-	var updates []fleetview.PeerNews
+	var updates []fleetview.PeerUpdate
 	s.mu.Lock()
 	hubPeer, isKnown := s.peers[c.Hub]
 	isCrossDomain := isKnown && hubPeer.domain != s.domain
@@ -76,7 +76,7 @@
 		p.seq = r.Seq
 		p.lastSeen = now
 		newReports = append(newReports, peerReport{p.addr, p.name, r})
-		updates = append(updates, fleetview.PeerNews{From: p.name, Report: &fleet.Report{
+		updates = append(updates, fleetview.PeerUpdate{Peer: p.name, Report: &fleet.Report{
 			Loads: decodeLoads(r.Loads, ids), Suspects: resolveTargets(r.Suspects, ids), Demand: fleet.Demand{Items: r.Items, StartKey: r.Due}, StoreContact: p.lastStoreContact,
 		}})
 		if isCrossDomain {
@@ -129,7 +129,7 @@
 
 // applyHeartbeat records a heartbeat of p and returns the update for the view of the fleet. isCrossDomain is
 // set if a hub of another domain has sent it. The caller holds the lock.
-func (s *Sharer) applyHeartbeat(now time.Time, p *peer, h heartbeat, isCrossDomain bool) fleetview.PeerNews {
+func (s *Sharer) applyHeartbeat(now time.Time, p *peer, h heartbeat, isCrossDomain bool) fleetview.PeerUpdate {
 	seenAt := now.Add(-h.age)
 	if seenAt.After(p.lastSeen) {
 		p.lastSeen = seenAt
@@ -151,5 +151,5 @@
 		e.IsIdle, e.HasStopped = isIdle, h.hasStopped
 		s.hub.putHeartbeat(e)
 	}
-	return fleetview.PeerNews{From: p.name, Sign: fleet.Heartbeat{LastSeen: seenAt, StoreContact: now.Add(-h.storeContactAge), IsIdle: isIdle}}
+	return fleetview.PeerUpdate{Peer: p.name, Heartbeat: fleet.Heartbeat{LastSeen: seenAt, StoreContact: now.Add(-h.storeContactAge), IsIdle: isIdle}}
 }
--- a/internal/watch/access.go
+++ b/internal/watch/access.go
@@ -74,7 +74,7 @@
 
 // chooseStaleRetry returns the retry delay for a request that is rejected with errs.ConfigStale.
 func (w *Watch) chooseStaleRetry() time.Duration {
-	if w.view.Peers() > 0 {
+	if w.view.LivePeerCount() > 0 {
 		return staleRetryAfterWithPeers
 	}
 	return staleRetryAfter
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -162,7 +162,7 @@
 		answer, err := w.directory.Config(ctx, news.Known, link.Patience(w.configWait()))
 		if err == nil {
 			news = answer
-			w.view.SetContact()
+			w.view.RecordStoreContact()
 		}
 		return err
 	}
@@ -233,7 +233,7 @@
 		answer, err := w.directory.Targets(ctx, news.Known, wait)
 		if err == nil {
 			news = answer
-			w.view.SetContact()
+			w.view.RecordStoreContact()
 		}
 		return err
 	}
@@ -272,8 +272,8 @@
 	if len(changes.put) == 0 && len(changes.goneIDs) == 0 {
 		return
 	}
-	w.view.Put(changes.put, changes.goneIDs)
-	w.view.Ended(changes.endedIDs)
+	w.view.UpdateTargets(changes.put, changes.goneIDs)
+	w.view.EndTargets(changes.endedIDs)
 	w.observer.TargetsGone(changes.goneIDs)
 	for _, t := range changes.put {
 		w.targetLog.Info(time.Now(), "target", "target", t.ID, "addr", t.Addr, "service", t.Service, "slots", t.Slots, "domain", t.Domain, "draining", t.IsDraining)
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -382,7 +382,7 @@
 			if !ok {
 				t.Fatal("no target for an online request")
 			}
-			r.WhenEnded(func() {
+			r.OnTargetEnd(func() {
 				mu.Lock()
 				defer mu.Unlock()
 				endCalls[r.Target.ID]++
