--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -185,7 +185,7 @@
 	switch {
 	case g.isStopping.Load():
 		return "stopping"
-	case !g.watch.Ready():
+	case !g.watch.IsReady():
 		return "configuration or targets not read"
 	case g.watch.IsStale():
 		return "configuration not confirmed for too long"
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -132,9 +132,9 @@
 	return w.config.Version
 }
 
-// Ready reports whether a configuration and at least a part of the target list have been read. Before that this
+// IsReady reports whether a configuration and at least a part of the target list have been read. Before that this
 // process rejects all requests, while other processes can serve them.
-func (w *Watch) Ready() bool {
+func (w *Watch) IsReady() bool {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	return w.config != nil && w.hasTargets
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -176,7 +176,7 @@
 	runWatch(t, func(d *fakeDirectory, w *Watch, _ *fleetview.View) {
 		d.update(func(d *fakeDirectory) { d.isDown = true })
 		time.Sleep(2 * time.Second)
-		if w.Ready() {
+		if w.IsReady() {
 			t.Error("the process reports that it is ready without a configuration and targets")
 		}
 		d.update(func(d *fakeDirectory) {
@@ -186,14 +186,14 @@
 		// A failed read is repeated after retryPause, so the configuration is read within 5 of them. The fake
 		// directory has no target list yet.
 		time.Sleep(5 * retryPause)
-		if w.Version() != 1 || w.Ready() {
-			t.Errorf("before targets are read: version %d, ready %v, want version 1, ready false", w.Version(), w.Ready())
+		if w.Version() != 1 || w.IsReady() {
+			t.Errorf("before targets are read: version %d, ready %v, want version 1, ready false", w.Version(), w.IsReady())
 		}
 		d.update(func(d *fakeDirectory) {
 			d.targets = append(d.targets, platform.TargetNews{Known: 1, Whole: true, Present: []serving.Target{newTarget("a")}})
 		})
 		time.Sleep(time.Second)
-		if !w.Ready() {
+		if !w.IsReady() {
 			t.Error("the process reports that it is not ready with a configuration and targets")
 		}
 	})
@@ -211,8 +211,8 @@
 			d.targets = append(d.targets, newPart("a"))
 		})
 		time.Sleep(20 * time.Millisecond)
-		if r, ok := v.StartOnline("s", nil); !ok || r.Target.ID != "a" || !w.Ready() {
-			t.Errorf("after the first part of the list: target found %v, ready %v, want target a and ready true", ok, w.Ready())
+		if r, ok := v.StartOnline("s", nil); !ok || r.Target.ID != "a" || !w.IsReady() {
+			t.Errorf("after the first part of the list: target found %v, ready %v, want target a and ready true", ok, w.IsReady())
 		}
 		d.update(func(d *fakeDirectory) {
 			complete := platform.TargetNews{Known: 9, Whole: true, Present: []serving.Target{newTarget("b"), newTarget("c")}}
