--- a/internal/node/detour_test.go
+++ b/internal/node/detour_test.go
@@ -35,7 +35,7 @@
 		time.Sleep(10 * time.Millisecond) // bounded by the timeout of the test
 	}
 	s.runJob(addr, addr)
-	if !refusedGateway.storePaths.Lost() {
+	if !refusedGateway.storePaths.IsDirectLost() {
 		t.Error("the gateway has not lost its direct path to the store, want it lost: the calls were not relayed by a peer")
 	}
 }
--- a/internal/node/gateway_listen.go
+++ b/internal/node/gateway_listen.go
@@ -47,7 +47,7 @@
 // the system chooses a port that is free for TCP but may be in use for UDP, which would make a start fail now
 // and then. In that case listenForPeers tries another port.
 func (g *Gateway) listenForPeers(self fleet.Peer, log hclog.Logger) (ln net.Listener, err error) {
-	isStoreLost := func() bool { return g.storePaths.Lost() }
+	isStoreLost := func() bool { return g.storePaths.IsDirectLost() }
 	tries := 1
 	if _, port, splitErr := net.SplitHostPort(g.settings.PeerAddr); splitErr == nil && port == "0" {
 		tries = maxPortTries
--- a/internal/storepath/paths.go
+++ b/internal/storepath/paths.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// Lost reports whether the direct path is lost, that is, whether maxUnansweredCalls direct calls in a row were
+// IsDirectLost reports whether the direct path is lost, that is, whether maxUnansweredCalls direct calls in a row were
 // not answered and no later one was.
-func (p *Paths) Lost() bool {
+func (p *Paths) IsDirectLost() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.lostSince.IsZero()
--- a/internal/storepath/paths_test.go
+++ b/internal/storepath/paths_test.go
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 	}
-	if !h.paths.Lost() {
+	if !h.paths.IsDirectLost() {
 		t.Error("the direct path counts as good after maxUnansweredCalls failed calls, want lost")
 	}
 }
@@ -88,7 +88,7 @@
 						t.Errorf("write %d: error %v after %v, want success in time", i, err, time.Since(start))
 					}
 				}
-				if !h.paths.Lost() {
+				if !h.paths.IsDirectLost() {
 					t.Error("the direct path counts as good after three writes, want lost")
 				}
 			})
@@ -104,8 +104,8 @@
 		h.direct.Set(keyedlog.Faults{})
 		h.peer.Set(keyedlog.Faults{Refuse: true})
 		time.Sleep(directProbeInterval)
-		if _, err := h.paths.Append(t.Context(), newWrite("b")); err != nil || h.paths.Lost() {
-			t.Errorf("write after the direct path is restored: error %v, direct path lost %v, want neither", err, h.paths.Lost())
+		if _, err := h.paths.Append(t.Context(), newWrite("b")); err != nil || h.paths.IsDirectLost() {
+			t.Errorf("write after the direct path is restored: error %v, direct path lost %v, want neither", err, h.paths.IsDirectLost())
 		}
 	})
 }
@@ -118,8 +118,8 @@
 		h.loseDirectPath(t)
 		h.direct.Set(keyedlog.Faults{Delay: hedgeDelay / 2})
 		time.Sleep(directProbeInterval)
-		if _, err := h.paths.Append(t.Context(), newWrite("b")); err != nil || h.paths.Lost() || h.paths.unansweredCalls != 0 {
-			t.Errorf("write on a slow direct path: error %v, lost %v, %d unanswered calls, want success, lost false, 0", err, h.paths.Lost(), h.paths.unansweredCalls)
+		if _, err := h.paths.Append(t.Context(), newWrite("b")); err != nil || h.paths.IsDirectLost() || h.paths.unansweredCalls != 0 {
+			t.Errorf("write on a slow direct path: error %v, lost %v, %d unanswered calls, want success, lost false, 0", err, h.paths.IsDirectLost(), h.paths.unansweredCalls)
 		}
 	})
 }
@@ -136,8 +136,8 @@
 			t.Errorf("conditional write with a lost answer: error %v, want errs.AppendUnknown", err)
 		}
 		h.direct.Set(keyedlog.Faults{Silent: true})
-		if _, err := h.paths.Read(t.Context(), platform.Read{Partition: testPartition}); err != nil || !h.paths.Lost() {
-			t.Fatalf("read while the store is silent: error %v, direct path lost %v, want success and lost", err, h.paths.Lost())
+		if _, err := h.paths.Read(t.Context(), platform.Read{Partition: testPartition}); err != nil || !h.paths.IsDirectLost() {
+			t.Fatalf("read while the store is silent: error %v, direct path lost %v, want success and lost", err, h.paths.IsDirectLost())
 		}
 		var moved *platform.EndMoved
 		if _, err := h.paths.Append(t.Context(), write); !errors.As(err, &moved) || moved.End != 1 {
@@ -187,8 +187,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost()
 		h.direct.Set(keyedlog.Faults{Refuse: true})
-		if _, err := h.paths.Read(t.Context(), platform.Read{Partition: testPartition}); err != nil || h.paths.Lost() {
-			t.Errorf("read that the store breaks off: error %v, direct path lost %v, want neither", err, h.paths.Lost())
+		if _, err := h.paths.Read(t.Context(), platform.Read{Partition: testPartition}); err != nil || h.paths.IsDirectLost() {
+			t.Errorf("read that the store breaks off: error %v, direct path lost %v, want neither", err, h.paths.IsDirectLost())
 		}
 		h.direct.Set(keyedlog.Faults{})
 		if _, err := h.paths.Read(t.Context(), platform.Read{Partition: testPartition}); err != nil || h.paths.unansweredCalls != 0 {
@@ -244,8 +244,8 @@
 		if read, err := h.paths.Read(t.Context(), platform.Read{Partition: testPartition, Wait: wait}); err != nil || len(read.Records) > 0 {
 			t.Errorf("read of an empty partition: %+v, error %v, want no records", read, err)
 		}
-		if h.paths.Lost() || time.Since(start) != wait {
-			t.Errorf("direct path lost %v after a read of %v, want lost false after 1s", h.paths.Lost(), time.Since(start))
+		if h.paths.IsDirectLost() || time.Since(start) != wait {
+			t.Errorf("direct path lost %v after a read of %v, want lost false after 1s", h.paths.IsDirectLost(), time.Since(start))
 		}
 	})
 }
@@ -261,7 +261,7 @@
 		if _, err := h.paths.Read(ctx, platform.Read{Partition: testPartition}); err == nil {
 			t.Error("cancelled read returned no error")
 		}
-		if h.paths.Lost() {
+		if h.paths.IsDirectLost() {
 			t.Error("the direct path counts as lost after a cancelled read, want good")
 		}
 	})
