--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -88,7 +88,7 @@
 		o.View = func() plan.View { return plan.View{} }
 	}
 	if o.Keys == nil {
-		o.Keys = keyring.New(keyring.Values{Operators: o.Self.OperatorKeys, RevokedOperators: o.Self.RevokedOperatorKeys})
+		o.Keys = keyring.New(keyring.Values{OperatorKeySums: o.Self.OperatorKeys, RevokedOperatorKeySums: o.Self.RevokedOperatorKeys})
 	}
 	return &Admin{
 		opts:     o,
--- a/internal/admin/auth.go
+++ b/internal/admin/auth.go
@@ -18,5 +18,5 @@
 	if !ok || key == "" {
 		return "", errs.New(errs.Unauthenticated, "no operator's key was sent; send Authorization: Bearer KEY")
 	}
-	return a.opts.Keys.Operator(key)
+	return a.opts.Keys.FindOperator(key)
 }
--- a/internal/entry/dial.go
+++ b/internal/entry/dial.go
@@ -18,7 +18,7 @@
 			Incarnation: e.now().UnixMilli(),
 		},
 		PeerKeys:   e.secrets.PeerKeys,
-		RetiredKey: e.secrets.RetiredPeerKey,
+		RetiredKey: e.secrets.IsRetiredPeerKey,
 		Logger:     e.log,
 		Version:    func() structs.Version { return e.config.Current().Version },
 	}
--- a/internal/keyring/certificate.go
+++ b/internal/keyring/certificate.go
@@ -30,12 +30,12 @@
 
 // CallerTLS returns the TLS settings of the listener for callers; nil if it serves plain HTTP.
 func (k *Keyring) CallerTLS() *tls.Config {
-	return k.newTLSConfig(func(v *Values) *tls.Certificate { return v.Callers })
+	return k.newTLSConfig(func(v *Values) *tls.Certificate { return v.CallerCertificate })
 }
 
 // AdminTLS returns the TLS settings of the administration listener; nil if it serves plain HTTP.
 func (k *Keyring) AdminTLS() *tls.Config {
-	return k.newTLSConfig(func(v *Values) *tls.Certificate { return v.Admin })
+	return k.newTLSConfig(func(v *Values) *tls.Certificate { return v.AdminCertificate })
 }
 
 // newTLSConfig returns TLS settings for the certificate that selectCertificate picks from the values in force;
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -24,14 +24,14 @@
 	PeerKeys []settings.PeerKey
 	// RetiredPeerKeys are the IDs of peer keys that were valid once and no longer are.
 	RetiredPeerKeys []string
-	// Operators maps the name of an operator to the SHA-256 sum, in hex, of the operator's valid key.
-	Operators map[string]string
-	// RevokedOperators maps the name of an operator to the SHA-256 sum, in hex, of a key of the operator that
+	// OperatorKeySums maps the name of an operator to the SHA-256 sum, in hex, of the operator's valid key.
+	OperatorKeySums map[string]string
+	// RevokedOperatorKeySums maps the name of an operator to the SHA-256 sum, in hex, of a key of the operator that
 	// was valid once and no longer is.
-	RevokedOperators map[string]string
-	// Callers and Admin are the certificates of the listener for callers and of the administration listener;
+	RevokedOperatorKeySums map[string]string
+	// CallerCertificate and AdminCertificate are the certificates of the listener for callers and of the administration listener;
 	// nil means plain HTTP.
-	Callers, Admin *tls.Certificate
+	CallerCertificate, AdminCertificate *tls.Certificate
 }
 
 // EntryValues returns the values that the settings of an entry process specify. It reads the certificate files.
@@ -40,12 +40,12 @@
 	callers, callersErr := readCertificate(s.CallerCert, s.CallerKey)
 	admin, adminErr := readCertificate(s.AdminCert, s.AdminKey)
 	v := Values{
-		PeerKeys:         s.PeerKeys,
-		RetiredPeerKeys:  s.RetiredPeerKeys,
-		Operators:        s.OperatorKeys,
-		RevokedOperators: s.RevokedOperatorKeys,
-		Callers:          callers,
-		Admin:            admin,
+		PeerKeys:               s.PeerKeys,
+		RetiredPeerKeys:        s.RetiredPeerKeys,
+		OperatorKeySums:        s.OperatorKeys,
+		RevokedOperatorKeySums: s.RevokedOperatorKeys,
+		CallerCertificate:      callers,
+		AdminCertificate:       admin,
 	}
 	return v, joinErrors(callersErr, adminErr)
 }
@@ -96,12 +96,12 @@
 	for _, key := range v.PeerKeys {
 		delete(s.retired, key.ID)
 	}
-	for _, keySums := range []map[string]string{previous.Operators, v.RevokedOperators} {
+	for _, keySums := range []map[string]string{previous.OperatorKeySums, v.RevokedOperatorKeySums} {
 		for name, sum := range keySums {
 			s.revoked[sum] = name
 		}
 	}
-	for _, sum := range v.Operators {
+	for _, sum := range v.OperatorKeySums {
 		delete(s.revoked, sum)
 	}
 	return s
@@ -135,10 +135,10 @@
 			problems = append(problems, errs.Newf(errs.BadSettings, "[peer_keys] %s: another secret than before; allowed: a new ID for a new secret", key.ID))
 		}
 	}
-	if (previous.Callers == nil) != (v.Callers == nil) {
+	if (previous.CallerCertificate == nil) != (v.CallerCertificate == nil) {
 		problems = append(problems, errs.New(errs.BadSettings, "[tls] caller_cert: turning TLS on or off needs a restart"))
 	}
-	if (previous.Admin == nil) != (v.Admin == nil) {
+	if (previous.AdminCertificate == nil) != (v.AdminCertificate == nil) {
 		problems = append(problems, errs.New(errs.BadSettings, "[tls] admin_cert: turning TLS on or off needs a restart"))
 	}
 	return joinErrors(problems...)
@@ -154,23 +154,23 @@
 	if !slices.Equal(previous.RetiredPeerKeys, next.RetiredPeerKeys) {
 		changes = append(changes, "retired peer keys")
 	}
-	for _, name := range slices.Sorted(maps.Keys(next.Operators)) {
-		if previous.Operators[name] != next.Operators[name] {
+	for _, name := range slices.Sorted(maps.Keys(next.OperatorKeySums)) {
+		if previous.OperatorKeySums[name] != next.OperatorKeySums[name] {
 			changes = append(changes, "key of operator "+name)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(previous.Operators)) {
-		if _, ok := next.Operators[name]; !ok {
+	for _, name := range slices.Sorted(maps.Keys(previous.OperatorKeySums)) {
+		if _, ok := next.OperatorKeySums[name]; !ok {
 			changes = append(changes, "operator "+name+" removed")
 		}
 	}
-	if !maps.Equal(previous.RevokedOperators, next.RevokedOperators) {
+	if !maps.Equal(previous.RevokedOperatorKeySums, next.RevokedOperatorKeySums) {
 		changes = append(changes, "revoked operators")
 	}
-	if !equalCertificates(previous.Callers, next.Callers) {
+	if !equalCertificates(previous.CallerCertificate, next.CallerCertificate) {
 		changes = append(changes, "certificate of the callers' listener")
 	}
-	if !equalCertificates(previous.Admin, next.Admin) {
+	if !equalCertificates(previous.AdminCertificate, next.AdminCertificate) {
 		changes = append(changes, "certificate of the administration listener")
 	}
 	return changes
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -39,7 +39,7 @@
 // rejectionText returns the text of the error with which FindPeerKey rejects this id.
 func rejectionText(t *testing.T, k *Keyring, id string) string {
 	t.Helper()
-	_, err := FindPeerKey(k.PeerKeys(), k.RetiredPeerKey, id)
+	_, err := FindPeerKey(k.PeerKeys(), k.IsRetiredPeerKey, id)
 	if !errs.Is(err, errs.Unauthenticated) {
 		t.Fatalf("FindPeerKey for ID %q: error %v, want errs.Unauthenticated", id, err)
 	}
@@ -52,7 +52,7 @@
 func TestRejectionDistinguishesOldPeerKey(t *testing.T) {
 	k := New(Values{PeerKeys: newPeerKeys("k1"), RetiredPeerKeys: []string{"k0"}})
 	mustReplace(t, k, Values{PeerKeys: newPeerKeys("k1", "k2")})
-	if _, err := FindPeerKey(k.PeerKeys(), k.RetiredPeerKey, "k1"); err != nil {
+	if _, err := FindPeerKey(k.PeerKeys(), k.IsRetiredPeerKey, "k1"); err != nil {
 		t.Errorf("FindPeerKey for k1 while k1 and k2 are valid: error %v, want none", err)
 	}
 	mustReplace(t, k, Values{PeerKeys: newPeerKeys("k2", "k3")})
@@ -69,31 +69,31 @@
 
 // Guards against a key that is still rejected as an old one after the operator has put it in force again.
 func TestRetiredKeyCanBeRestored(t *testing.T) {
-	k := New(Values{PeerKeys: newPeerKeys("k1"), Operators: newOperatorKeySums("ann", "one")})
-	mustReplace(t, k, Values{PeerKeys: newPeerKeys("k2"), Operators: newOperatorKeySums("ann", "two")})
-	mustReplace(t, k, Values{PeerKeys: newPeerKeys("k1"), Operators: newOperatorKeySums("ann", "one")})
-	if _, err := FindPeerKey(k.PeerKeys(), k.RetiredPeerKey, "k1"); err != nil {
+	k := New(Values{PeerKeys: newPeerKeys("k1"), OperatorKeySums: newOperatorKeySums("ann", "one")})
+	mustReplace(t, k, Values{PeerKeys: newPeerKeys("k2"), OperatorKeySums: newOperatorKeySums("ann", "two")})
+	mustReplace(t, k, Values{PeerKeys: newPeerKeys("k1"), OperatorKeySums: newOperatorKeySums("ann", "one")})
+	if _, err := FindPeerKey(k.PeerKeys(), k.IsRetiredPeerKey, "k1"); err != nil {
 		t.Error(err)
 	}
-	if name, err := k.Operator("one"); name != "ann" || err != nil {
+	if name, err := k.FindOperator("one"); name != "ann" || err != nil {
 		t.Errorf("operator with the restored key: %q, error %v, want ann", name, err)
 	}
-	if _, err := k.Operator("two"); err == nil || !strings.Contains(err.Error(), "old one of operator ann") {
+	if _, err := k.FindOperator("two"); err == nil || !strings.Contains(err.Error(), "old one of operator ann") {
 		t.Error(err)
 	}
 }
 
 func TestOperatorKeys(t *testing.T) {
-	k := New(Values{PeerKeys: newPeerKeys("k"), Operators: newOperatorKeySums("ann", "a1", "ben", "b1"), RevokedOperators: newOperatorKeySums("ann", "a0")})
-	changes := mustReplace(t, k, Values{PeerKeys: newPeerKeys("k"), Operators: newOperatorKeySums("ann", "a2")})
+	k := New(Values{PeerKeys: newPeerKeys("k"), OperatorKeySums: newOperatorKeySums("ann", "a1", "ben", "b1"), RevokedOperatorKeySums: newOperatorKeySums("ann", "a0")})
+	changes := mustReplace(t, k, Values{PeerKeys: newPeerKeys("k"), OperatorKeySums: newOperatorKeySums("ann", "a2")})
 	if want := "key of operator ann; operator ben removed; revoked operators"; strings.Join(changes, "; ") != want {
 		t.Errorf("changes %q, want ann's key, the removal of ben and the revoked operators", changes)
 	}
-	if name, err := k.Operator("a2"); name != "ann" || err != nil {
+	if name, err := k.FindOperator("a2"); name != "ann" || err != nil {
 		t.Errorf("operator with key a2: %q, error %v, want ann", name, err)
 	}
 	for key, wantText := range map[string]string{"a0": "old one of operator ann", "a1": "old one of operator ann", "b1": "old one of operator ben", "x": "not known"} {
-		_, err := k.Operator(key)
+		_, err := k.FindOperator(key)
 		if !errs.Is(err, errs.Unauthenticated) || !strings.Contains(err.Error(), wantText) {
 			t.Errorf("operator with key %q: error %v, want 'old one' and the name for a0, a1 and b1, 'not known' for x", key, err)
 		}
@@ -104,22 +104,22 @@
 // in force one by one. The replacement has a valid new operator's key, but also another secret under the ID of
 // the peer key in force. Processes with different secrets under one ID reject each other.
 func TestRejectedReplacementChangesNothing(t *testing.T) {
-	k := New(Values{PeerKeys: newPeerKeys("k1"), Operators: newOperatorKeySums("ann", "a1")})
+	k := New(Values{PeerKeys: newPeerKeys("k1"), OperatorKeySums: newOperatorKeySums("ann", "a1")})
 	invalid := Values{
-		PeerKeys:  []settings.PeerKey{{ID: "k1", Secret: []byte("another")}},
-		Operators: newOperatorKeySums("ann", "a2"),
+		PeerKeys:        []settings.PeerKey{{ID: "k1", Secret: []byte("another")}},
+		OperatorKeySums: newOperatorKeySums("ann", "a2"),
 	}
 	_, err := k.Replace(invalid)
 	if !errs.Is(err, errs.BadSettings) || !strings.Contains(err.Error(), "[peer_keys] k1") || strings.Contains(err.Error(), "another secret of") {
 		t.Errorf("replacement with another secret for k1: error %v, want errs.BadSettings that names [peer_keys] k1", err)
 	}
-	if _, err := k.Replace(Values{Operators: newOperatorKeySums("ann", "a2")}); !errs.Is(err, errs.BadSettings) {
+	if _, err := k.Replace(Values{OperatorKeySums: newOperatorKeySums("ann", "a2")}); !errs.Is(err, errs.BadSettings) {
 		t.Errorf("replacement without a peer key: error %v, want errs.BadSettings", err)
 	}
 	if got := k.PeerKeys(); string(got[0].Secret) != "secret of k1" {
 		t.Error("the secret of k1 was replaced by a rejected replacement")
 	}
-	if name, err := k.Operator("a1"); name != "ann" || err != nil {
+	if name, err := k.FindOperator("a1"); name != "ann" || err != nil {
 		t.Errorf("operator with key a1 after rejected replacements: %q, error %v, want ann", name, err)
 	}
 }
--- a/internal/keyring/operators.go
+++ b/internal/keyring/operators.go
@@ -8,12 +8,12 @@
 	"arbutusramp/core/errs"
 )
 
-// Operator returns the name of the operator whose valid key is key. Error: errs.Unauthenticated, whose text says
+// FindOperator returns the name of the operator whose valid key is key. Error: errs.Unauthenticated, whose text says
 // whether the key was valid once or is unknown.
-func (k *Keyring) Operator(key string) (string, error) {
+func (k *Keyring) FindOperator(key string) (string, error) {
 	current := k.current.Load()
 	sum := sha256.Sum256([]byte(key))
-	for name, hexSum := range current.Operators {
+	for name, hexSum := range current.OperatorKeySums {
 		if equalSums(hexSum, sum[:]) {
 			return name, nil
 		}
--- a/internal/keyring/peers.go
+++ b/internal/keyring/peers.go
@@ -8,8 +8,8 @@
 // PeerKeys returns the valid peer keys; the first is used for new sessions.
 func (k *Keyring) PeerKeys() []settings.PeerKey { return k.current.Load().PeerKeys }
 
-// RetiredPeerKey reports whether the peer key with this id was valid once but no longer is.
-func (k *Keyring) RetiredPeerKey(id string) bool {
+// IsRetiredPeerKey reports whether the peer key with this id was valid once but no longer is.
+func (k *Keyring) IsRetiredPeerKey(id string) bool {
 	_, ok := k.current.Load().retired[id]
 	return ok
 }
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -108,7 +108,7 @@
 		Metrics:    reg,
 		Check:      overrides.Check,
 		PeerKeys:   c.keys.PeerKeys,
-		RetiredKey: c.keys.RetiredPeerKey,
+		RetiredKey: c.keys.IsRetiredPeerKey,
 	})
 	c.quarantine = newEntryQuarantine(logger.Named("quarantine"), reg)
 	c.fleet = reconcile.NewFleet(reconcile.FleetOptions{
@@ -164,7 +164,7 @@
 		Broken:     c.overrides.Broken,
 		Tuning:     c.overrides.Tuning,
 		PeerKeys:   c.keys.PeerKeys,
-		RetiredKey: c.keys.RetiredPeerKey,
+		RetiredKey: c.keys.IsRetiredPeerKey,
 	})
 }
 
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -65,10 +65,10 @@
 	if got := keys.PeerKeys(); len(got) != 2 || got[0].ID != "next" || got[1].ID != "new" {
 		t.Errorf("peer keys after the reload: %v, want those named next and new", got)
 	}
-	if name, err := keys.Operator("second"); name != "ann" || err != nil {
+	if name, err := keys.FindOperator("second"); name != "ann" || err != nil {
 		t.Errorf("operator of the new key: %q, error %v; want ann and no error", name, err)
 	}
-	if _, err := keys.Operator("first"); !errs.Is(err, errs.Unauthenticated) || !strings.Contains(err.Error(), "old one of operator ann") {
+	if _, err := keys.FindOperator("first"); !errs.Is(err, errs.Unauthenticated) || !strings.Contains(err.Error(), "old one of operator ann") {
 		t.Errorf("operator of the replaced key: error %v, want type unauthenticated that names the old key of operator ann", err)
 	}
 	for _, want := range []string{"settings differ that need a restart: keys=\"[online] max_body\""} {
--- a/internal/side/side.go
+++ b/internal/side/side.go
@@ -215,7 +215,7 @@
 			Targets:     []structs.TargetInfo{s.target},
 		},
 		PeerKeys:   s.o.Keys.PeerKeys,
-		RetiredKey: s.o.Keys.RetiredPeerKey,
+		RetiredKey: s.o.Keys.IsRetiredPeerKey,
 		Logger:     s.log,
 		Version:    s.config.version,
 	}
