--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,7 +33,7 @@
 type Gateway struct {
 	targets   platform.TargetCaller
 	view      *fleetview.View
-	config    Beliefs
+	config    ConfigStatus
 	log       hclog.Logger     // failed requests and failures of targets
 	servedLog *logging.Routine // requests that were served
 	sentLog   *logging.Routine // requests that are sent to a target
@@ -81,34 +81,34 @@
 	Served(c *quarantine.Content)
 }
 
-// Beliefs provides the version and age of the configuration, which are logged with each request.
-type Beliefs interface {
+// ConfigStatus provides the version and age of the configuration, which are logged with each request.
+type ConfigStatus interface {
 	// Version returns the version of the configuration that this process uses.
 	Version() uint64
 	// Age returns the time since the store last confirmed that this version is the newest.
 	Age() time.Duration
 }
 
-// Options configures a Gateway. All fields but Off are required.
+// Options configures a Gateway. All fields but Disabled are required.
 type Options struct {
 	Targets platform.TargetCaller // sends requests to targets
 	View    *fleetview.View       // chooses the targets
-	Beliefs Beliefs
+	Config  ConfigStatus
 	Access  Access // checks keys again before each send
 	Quotas  Quotas
 	// Quarantine is checked when a request arrives and before each send.
 	Quarantine Quarantine
 
-	Off     policy.Disabled // policies that are disabled
-	Log     hclog.Logger
-	Metrics metrics.Registry
+	Disabled policy.Disabled // policies that are disabled
+	Log      hclog.Logger
+	Metrics  metrics.Registry
 }
 
 // New returns a Gateway with the given options.
 func New(o Options) *Gateway {
-	return &Gateway{targets: o.Targets, view: o.View, config: o.Beliefs, access: o.Access, quotas: o.Quotas, quarantine: o.Quarantine, log: o.Log,
+	return &Gateway{targets: o.Targets, view: o.View, config: o.Config, access: o.Access, quotas: o.Quotas, quarantine: o.Quarantine, log: o.Log,
 		servedLog: logging.NewRoutine(o.Log), sentLog: logging.NewRoutine(o.Log), shedLog: logging.NewRoutine(o.Log),
-		reg: o.Metrics, timeouts: shed.NewCallerTimeouts(), controllers: newControllers(o.Off)}
+		reg: o.Metrics, timeouts: shed.NewCallerTimeouts(), controllers: newControllers(o.Disabled)}
 }
 
 // exchange is the state of one request of a caller, over all its attempts at targets.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -75,7 +75,7 @@
 	for i := range targetCount {
 		h.view.UpdateTargets([]serving.Target{{ID: fmt.Sprintf("t%d", i), Service: "s", Slots: 4}}, nil)
 	}
-	h.gw = New(Options{Targets: h, View: h.view, Beliefs: h, Access: h, Quotas: h, Quarantine: h, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
+	h.gw = New(Options{Targets: h, View: h.view, Config: h, Access: h, Quotas: h, Quarantine: h, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
 	return h
 }
 
@@ -406,7 +406,7 @@
 			}
 			return wholeAnswer(200, "ok", nil)(nil, platform.TargetCall{})
 		})
-		h.gw = New(Options{Targets: h, View: h.view, Beliefs: h, Access: h, Quotas: h, Quarantine: h, Metrics: metrics.NewRegistry(),
+		h.gw = New(Options{Targets: h, View: h.view, Config: h, Access: h, Quotas: h, Quarantine: h, Metrics: metrics.NewRegistry(),
 			Log: hclog.New(&hclog.LoggerOptions{Output: &logLines, JSONFormat: true})})
 		h.serve(context.Background(), newRoute(serving.KindSafe, 2, false), &fakeCaller{})
 	})
