--- a/internal/lab/faults/world.go
+++ b/internal/lab/faults/world.go
@@ -55,8 +55,8 @@
 		HostListLag:    hostListLag,
 		EntrySettings:  w.entrySettings,
 		SideSettings:   sideSettings,
-		Variant: node.Variant{
-			Check: w.check, Broken: broken, Tuning: batch.Tuning{OnceGrace: onceGrace},
+		Variant: node.EntryOverrides{
+			Checker: w.check, DisabledGuards: broken, Tuning: batch.Tuning{OnceGrace: onceGrace},
 		},
 		Started: w.hist.started,
 		Called:  w.hist.called,
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -23,14 +23,14 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Variant overrides the construction of an entry for tests and experiments. The zero value overrides nothing.
-type Variant struct {
-	// Check counts violations of the system's invariants. Several entries may share it; if it is nil, each
+// EntryOverrides overrides the construction of an entry for tests and experiments. The zero value overrides nothing.
+type EntryOverrides struct {
+	// Checker counts violations of the system's invariants. Several entries may share it; if it is nil, each
 	// entry counts its own.
-	Check *invariant.Checker
-	// Broken disables guards in the state of job shards, so that tests can show that the invariants detect
+	Checker *invariant.Checker
+	// DisabledGuards disables guards in the state of job shards, so that tests can show that the invariants detect
 	// the resulting faults.
-	Broken jobs.Broken
+	DisabledGuards jobs.Broken
 	// Tuning replaces durations and bounds of the job shards that are not settings.
 	Tuning batch.Tuning
 }
@@ -38,11 +38,11 @@
 // NewEntry returns an entry, which is the process that accepts requests of callers and sends them to sides. The
 // entry listens, but serves only after its Run is called. Error: errs.BadSettings.
 func NewEntry(s settings.Entry, logger hclog.Logger, reg metrics.Registry) (*entry.Entry, error) {
-	return NewEntryVariant(s, logger, reg, Variant{})
+	return NewEntryWithOverrides(s, logger, reg, EntryOverrides{})
 }
 
-// NewEntryVariant is like NewEntry, with overrides applied.
-func NewEntryVariant(s settings.Entry, logger hclog.Logger, reg metrics.Registry, overrides Variant) (*entry.Entry, error) {
+// NewEntryWithOverrides is like NewEntry, with overrides applied.
+func NewEntryWithOverrides(s settings.Entry, logger hclog.Logger, reg metrics.Registry, overrides EntryOverrides) (*entry.Entry, error) {
 	c, err := newEntryComponents(s, logger, reg, overrides)
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 // entryComponents holds the settings, clients and state that the parts of one entry process share.
 type entryComponents struct {
 	settings    settings.Entry
-	overrides   Variant
+	overrides   EntryOverrides
 	logger      hclog.Logger
 	metrics     metrics.Registry
 	platformLog platform.Log
@@ -83,7 +83,7 @@
 }
 
 // newEntryComponents creates the components of an entry with settings s. Error: errs.BadSettings.
-func newEntryComponents(s settings.Entry, logger hclog.Logger, reg metrics.Registry, overrides Variant) (*entryComponents, error) {
+func newEntryComponents(s settings.Entry, logger hclog.Logger, reg metrics.Registry, overrides EntryOverrides) (*entryComponents, error) {
 	values, err := keyring.EntryValues(s)
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 		Members:    c.hosts.lastHosts,
 		Logger:     logger,
 		Metrics:    reg,
-		Check:      overrides.Check,
+		Check:      overrides.Checker,
 		PeerKeys:   c.keys.PeerKeys,
 		RetiredKey: c.keys.IsRetiredPeerKey,
 	})
@@ -160,8 +160,8 @@
 		Logger:     c.logger,
 		Metrics:    c.metrics,
 		PeerAddr:   peerAddr,
-		Check:      c.overrides.Check,
-		Broken:     c.overrides.Broken,
+		Check:      c.overrides.Checker,
+		Broken:     c.overrides.DisabledGuards,
 		Tuning:     c.overrides.Tuning,
 		PeerKeys:   c.keys.PeerKeys,
 		RetiredKey: c.keys.IsRetiredPeerKey,
--- a/test/cluster/options.go
+++ b/test/cluster/options.go
@@ -56,7 +56,7 @@
 	EntrySettings func(*settings.Entry)
 	SideSettings  func(*settings.Side)
 	// Variant changes every entry.
-	Variant node.Variant
+	Variant node.EntryOverrides
 	// Started and Called are told what begins at engines and services; they may be nil.
 	Started func(request string)
 	Called  func(request, method string)
--- a/test/cluster/process.go
+++ b/test/cluster/process.go
@@ -63,7 +63,7 @@
 	logger := p.c.o.Logger.Named(string(p.ID))
 	if p.isEntry() {
 		p.entry.PeerAddr = addr
-		e, err := node.NewEntryVariant(p.entry, logger, p.Metrics, p.c.o.Variant)
+		e, err := node.NewEntryWithOverrides(p.entry, logger, p.Metrics, p.c.o.Variant)
 		if err != nil {
 			return nil, err
 		}
