--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -122,7 +122,7 @@
 	peersLog := logger.Named("peers")
 	g.peers = &peerDirectory{store: g.storePaths, loadShare: g.loadShare, self: peerRecord{Domain: s.Host.Domain, Capacity: cpuCapacity(s)}, storeLink: dependency.NewLink(peersLog, "peer addresses"), log: peersLog}
 	g.registerGauges()
-	g.server = g.newCallerServer(&ingress.Handler{Router: g.watch, Online: online, Jobs: g.jobs, Closing: g.isStopping.Load, Rejecting: g.isRejecting.Load, Rejected: g.newRejectionRecorder()})
+	g.server = g.newCallerServer(&ingress.Handler{Router: g.watch, Online: online, Jobs: g.jobs, IsClosing: g.isStopping.Load, IsRejecting: g.isRejecting.Load, OnRejected: g.newRejectionRecorder()})
 	g.log.Info("started", "id", s.Host.ID, "member", self, "domain", s.Host.Domain, "callers", s.CallerAddr, "store", s.StoreAddr, "shards", s.Shards, "policies_off", len(s.Off))
 	return g, nil
 }
