--- a/internal/dev/gateways.go
+++ b/internal/dev/gateways.go
@@ -62,7 +62,7 @@
 
 func (g *Gateways) start(ctx context.Context, logger hclog.Logger) error {
 	view := g.store.View()
-	if err := wiretest.Configure(ctx, view, wiretest.Routes); err != nil {
+	if err := wiretest.PutConfig(ctx, view, wiretest.Routes); err != nil {
 		return err
 	}
 	for i := range gatewayTargets {
@@ -80,11 +80,11 @@
 
 func (g *Gateways) startTarget(ctx context.Context, view platform.Store, i int) error {
 	id := numbered("target", i)
-	addr, err := g.serve(&wiretest.Target{ID: id, Events: targetEvents, Gap: targetGap})
+	addr, err := g.serve(&wiretest.Target{ID: id, Events: targetEvents, EventGap: targetGap})
 	if err != nil {
 		return err
 	}
-	return wiretest.List(ctx, view, wiretest.Listing{Name: id, Addr: addr, Domain: numbered("domain", i%domains), Slots: targetSlots})
+	return wiretest.PutTarget(ctx, view, wiretest.TargetEntry{Name: id, Addr: addr, Domain: numbered("domain", i%domains), Slots: targetSlots})
 }
 
 func (g *Gateways) startGateway(i int, logger hclog.Logger) error {
@@ -124,7 +124,7 @@
 // ready says whether every gateway takes callers.
 func (g *Gateways) ready() bool {
 	for _, n := range g.Nodes {
-		if status, _ := g.caller.Ready(n.ReadyAddr()); status != http.StatusOK {
+		if status, _ := g.caller.CheckReady(n.ReadyAddr()); status != http.StatusOK {
 			return false
 		}
 	}
@@ -155,7 +155,7 @@
 	for i, n := range g.Nodes {
 		fmt.Fprintf(out, "gateway-%d  callers http://%s  metrics http://%s/metrics\n", i+1, n.CallerAddr(), n.MetricsAddr())
 	}
-	for _, line := range wiretest.Tries(g.Nodes[0].CallerAddr(), g.Nodes[1].CallerAddr()) {
+	for _, line := range wiretest.ExampleCommands(g.Nodes[0].CallerAddr(), g.Nodes[1].CallerAddr()) {
 		fmt.Fprintln(out, line)
 	}
 	fmt.Fprintln(out, "SIGINT stops it")
--- a/internal/dev/gateways_once.go
+++ b/internal/dev/gateways_once.go
@@ -48,7 +48,7 @@
 	const id = "dev-stream"
 	start := time.Now()
 	status, text := o.caller.Send(o.addr(0), http.MethodPost, "/stream/x", id, "")
-	if status != http.StatusOK || text != wiretest.Stream(id, targetEvents) {
+	if status != http.StatusOK || text != wiretest.StreamBody(id, targetEvents) {
 		return errs.Newf(errs.StreamBroken, "status %d, %d bytes", status, len(text))
 	}
 	fmt.Fprintf(o.out, "stream: %d events in %s, whole and in order\n", targetEvents, time.Since(start).Round(time.Millisecond))
@@ -58,7 +58,7 @@
 func (o *gatewaysOnce) callStep(context.Context) error {
 	const id, body = "dev-call", "slot 14:30"
 	status, text := o.caller.Send(o.addr(1), http.MethodPost, "/call/x", id, body)
-	if status != http.StatusOK || text != wiretest.AnswerTo(id, body) {
+	if status != http.StatusOK || text != wiretest.CallAnswer(id, body) {
 		return errs.Newf(errs.Internal, "status %d, answer %q", status, text)
 	}
 	fmt.Fprintf(o.out, "call: %s\n", text)
@@ -102,7 +102,7 @@
 	return poll(ctx, jobTimeout, jobPoll, func() bool {
 		_, page := g.caller.Results(g.addr(i), job, len(seen), resultWait)
 		for _, r := range page.Results {
-			if r.Text == wiretest.Text(r.ID, targetEvents) {
+			if r.Text == wiretest.ItemText(r.ID, targetEvents) {
 				seen[r.ID] = true
 			}
 		}
@@ -135,7 +135,7 @@
 	if status != http.StatusServiceUnavailable {
 		return errs.Newf(errs.Internal, "without the store a job was answered %d, want %d", status, http.StatusServiceUnavailable)
 	}
-	if status, text := o.caller.Send(o.addr(0), http.MethodPost, "/stream/x", id, ""); status != http.StatusOK || text != wiretest.Stream(id, targetEvents) {
+	if status, text := o.caller.Send(o.addr(0), http.MethodPost, "/stream/x", id, ""); status != http.StatusOK || text != wiretest.StreamBody(id, targetEvents) {
 		return errs.Newf(errs.StreamBroken, "without the store a stream got status %d, %d bytes", status, len(text))
 	}
 	o.setFaults(keyedlog.Faults{})
--- a/internal/node/detour_test.go
+++ b/internal/node/detour_test.go
@@ -26,7 +26,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	directStore.Set(keyedlog.Faults{Refuse: true})
-	s.must(wiretest.Configure(t.Context(), s.store, wiretest.MoreRoutes()))
+	s.must(wiretest.PutConfig(t.Context(), s.store, wiretest.NextRoutes()))
 	addr := refusedGateway.CallerAddr()
 	for {
 		if status, _ := s.caller.Send(addr, http.MethodPost, "/new/x", "r1", "echo"); status == http.StatusOK {
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -54,7 +54,7 @@
 	s := newSystemWithoutTargets(t, config)
 	for i := range 2 {
 		id := fmt.Sprintf("i-%d", i)
-		target := httptest.NewServer(&wiretest.Target{ID: id, Events: itemEvents, RanFor: noteRun})
+		target := httptest.NewServer(&wiretest.Target{ID: id, Events: itemEvents, OnRunFor: noteRun})
 		t.Cleanup(target.Close)
 		s.listTarget(id, target)
 	}
@@ -68,13 +68,13 @@
 	server := httptest.NewServer(wiretest.StoreHandler(s.store))
 	t.Cleanup(server.Close)
 	s.storeAddr = strings.TrimPrefix(server.URL, "http://")
-	s.must(wiretest.Configure(t.Context(), s.store, config))
+	s.must(wiretest.PutConfig(t.Context(), s.store, config))
 	return s
 }
 
 // listTarget adds a target to the list of targets in the store.
 func (s *system) listTarget(id string, target *httptest.Server) {
-	s.must(wiretest.List(s.t.Context(), s.store, wiretest.Listing{Name: id, Addr: target.Listener.Addr().String(), Domain: "d", Slots: targetSlots}))
+	s.must(wiretest.PutTarget(s.t.Context(), s.store, wiretest.TargetEntry{Name: id, Addr: target.Listener.Addr().String(), Domain: "d", Slots: targetSlots}))
 }
 
 // startGateways starts n more gateways that use the address of the system's store.
@@ -120,7 +120,7 @@
 
 // ready returns status and text of a readiness check of g.
 func (s *system) ready(g *Gateway) (int, string) {
-	return s.caller.Ready(g.ReadyAddr())
+	return s.caller.CheckReady(g.ReadyAddr())
 }
 
 // stopAll stops all gateways and waits until they have ended without error.
@@ -139,10 +139,10 @@
 	s := newSystem(t, 2)
 	defer s.stopAll()
 	addr1, addr2 := s.gateways[0].CallerAddr(), s.gateways[1].CallerAddr()
-	if status, text := s.caller.Send(addr1, http.MethodPost, "/call/x?y", "r1", "echo"); status != 200 || text != wiretest.AnswerTo("r1", "echo") {
+	if status, text := s.caller.Send(addr1, http.MethodPost, "/call/x?y", "r1", "echo"); status != 200 || text != wiretest.CallAnswer("r1", "echo") {
 		t.Errorf("call: status %d, text %s; want 200 and the echo of the body", status, text)
 	}
-	if status, text := s.caller.Send(addr2, http.MethodPost, "/stream/x", "r2", ""); status != 200 || text != wiretest.Stream("r2", itemEvents) {
+	if status, text := s.caller.Send(addr2, http.MethodPost, "/stream/x", "r2", ""); status != 200 || text != wiretest.StreamBody("r2", itemEvents) {
 		t.Errorf("stream: status %d, text %s; want 200 and all 20 events", status, text)
 	}
 	if status, _ := s.caller.Send(addr1, http.MethodPost, "/none/x", "r3", ""); status != 404 {
@@ -161,7 +161,7 @@
 	if status, text := s.caller.Submit(submitAddr, "job-1", items); status != 202 {
 		s.t.Fatalf("submit of job-1: status %d, text %s; want 202", status, text)
 	}
-	if status, text := s.caller.Body(readAddr, "job-1", "i1"); status != 200 || text != "hi" {
+	if status, text := s.caller.ItemBody(readAddr, "job-1", "i1"); status != 200 || text != "hi" {
 		s.t.Errorf("body of item i1: status %d, %q; want 200 and hi", status, text)
 	}
 	for next := 0; next < len(items); {
@@ -171,7 +171,7 @@
 		}
 		next = page.Next
 		for _, r := range page.Results {
-			if r.State != "complete" || r.Text != wiretest.Text(r.ID, itemEvents) {
+			if r.State != "complete" || r.Text != wiretest.ItemText(r.ID, itemEvents) {
 				s.t.Errorf("result of job-1: %+v, want state complete and the text of 20 events", r)
 			}
 		}
@@ -191,7 +191,7 @@
 	for status, _ := s.ready(g); status == http.StatusOK; status, _ = s.ready(g) {
 		time.Sleep(10 * time.Millisecond)
 	}
-	if status, text := s.caller.Send(g.CallerAddr(), http.MethodPost, "/call/x", "r1", "echo"); status != 200 || text != wiretest.AnswerTo("r1", "echo") {
+	if status, text := s.caller.Send(g.CallerAddr(), http.MethodPost, "/call/x", "r1", "echo"); status != 200 || text != wiretest.CallAnswer("r1", "echo") {
 		t.Errorf("call after the stop signal: status %d, text %s; want 200 and the echo of the body", status, text)
 	}
 	if err := <-s.done[0]; err != nil {
@@ -251,7 +251,7 @@
 	}
 	for id, body := range bodies {
 		for _, g := range s.gateways {
-			if status, got := s.caller.Body(g.CallerAddr(), "job", id); status != http.StatusOK || got != body {
+			if status, got := s.caller.ItemBody(g.CallerAddr(), "job", id); status != http.StatusOK || got != body {
 				t.Errorf("body of item %s: status %d and %d bytes read at %s, want 200 and the same %d bytes", id, status, len(got), g.CallerAddr(), len(body))
 			}
 		}
--- a/internal/node/keys_test.go
+++ b/internal/node/keys_test.go
@@ -39,7 +39,7 @@
 func TestKeysEndToEnd(t *testing.T) {
 	recorder := &runRecorder{workspaces: make(map[string]string)}
 	keysByWorkspace := map[string][]string{"w1": {"k1", "k1b"}, "w2": {"k2"}}
-	s := newSystemWith(t, 2, wiretest.KeyedRoutes(1, keysByWorkspace, nil), recorder.note)
+	s := newSystemWith(t, 2, wiretest.RoutesWithKeys(1, keysByWorkspace, nil), recorder.note)
 	defer s.stopAll()
 	addr1, addr2 := s.gateways[0].CallerAddr(), s.gateways[1].CallerAddr()
 	callerOfW1, callerOfW2 := s.caller.WithKey("k1"), s.caller.WithKey("k2")
@@ -76,7 +76,7 @@
 	if workspace, keys := recorder.get("i1"); workspace != "w1" || keys > 0 {
 		t.Errorf("the item ran for workspace %q, want w1; %d requests reached targets with a key, want 0", workspace, keys)
 	}
-	s.must(wiretest.Configure(t.Context(), s.store, wiretest.KeyedRoutes(2, map[string][]string{"w1": {"k1b"}, "w2": {"k2"}}, nil)))
+	s.must(wiretest.PutConfig(t.Context(), s.store, wiretest.RoutesWithKeys(2, map[string][]string{"w1": {"k1b"}, "w2": {"k2"}}, nil)))
 	for _, addr := range []string{addr1, addr2} {
 		for status := http.StatusOK; status != http.StatusUnauthorized; {
 			status, _ = callerOfW1.Send(addr, http.MethodPost, "/call/x", "r5", "")
@@ -96,7 +96,7 @@
 func TestQuotaAppliesAcrossGateways(t *testing.T) {
 	recorder := &runRecorder{workspaces: make(map[string]string)}
 	const quotaPerSecond = 1
-	s := newSystemWith(t, 2, wiretest.KeyedRoutes(1, map[string][]string{"w1": {"k1"}}, map[string]int{"w1": quotaPerSecond}), recorder.note)
+	s := newSystemWith(t, 2, wiretest.RoutesWithKeys(1, map[string][]string{"w1": {"k1"}}, map[string]int{"w1": quotaPerSecond}), recorder.note)
 	defer s.stopAll()
 	caller := s.caller.WithKey("k1")
 	rejected := 0
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -148,7 +148,7 @@
 			return // the target stays listed: only the closed connections at its address show the crash
 		}
 		time.Sleep(unlistDelay)
-		if err := wiretest.Unlist(f.s.t.Context(), f.s.store, id); err != nil {
+		if err := wiretest.RemoveTarget(f.s.t.Context(), f.s.store, id); err != nil {
 			f.s.t.Logf("crashed target %s was not removed from the list of targets: %v", id, err)
 		}
 	})
