--- a/core/fleet/health.go
+++ b/core/fleet/health.go
@@ -100,8 +100,8 @@
 	return ok && !ts.IsDraining
 }
 
-// HeardSince reports whether a target has sent something to this gateway after t.
-func (f *Fleet) HeardSince(id string, t time.Time) bool {
+// HasActivitySince reports whether a target has sent something to this gateway after t.
+func (f *Fleet) HasActivitySince(id string, t time.Time) bool {
 	ts, ok := f.targets[id]
 	return ok && ts.health.lastReceived.After(t)
 }
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -94,7 +94,7 @@
 		time.Sleep(restartTime / 2)
 		cl.eachNode(func(n *node) {
 			n.fleet.UpdateTargets(nil, []string{target})
-			n.quarantine.TargetsGone([]string{target})
+			n.quarantine.NoteTargetsGone([]string{target})
 		})
 		time.Sleep(restartTime / 2)
 		cl.eachNode(func(n *node) { n.fleet.UpdateTargets([]serving.Target{replacement}, nil) })
--- a/internal/backlog/item.go
+++ b/internal/backlog/item.go
@@ -61,7 +61,7 @@
 	telemetry.Observe(m.registry, runMetric, took)
 	m.runTimes.ObserveRun(t.job.Route, t.eventCount()-eventsBefore, took)
 	if v == runComplete {
-		m.opts.Quarantine.Served(t.content)
+		m.opts.Quarantine.NoteServed(t.content)
 		m.runTimes.ObserveItem(t.job.Route, t.eventCount(), t.item().Tokens)
 	}
 	toEvent, isPreempted := t.lastEvent(), t.finishRun(r.Target.ID, v)
@@ -159,7 +159,7 @@
 		}
 		wd.noteEvent()
 		if r.RecordEvent() >= quarantine.MinPassDuration && t.markPassed() {
-			m.opts.Quarantine.Passed(t.content)
+			m.opts.Quarantine.NotePassed(t.content)
 		}
 		t.appendEvent(e)
 	}
@@ -215,23 +215,23 @@
 	r := wd.run
 	if r.HasTargetEnded() && errs.As(err).Ran != errs.RanNo {
 		err = errs.New(errs.StreamBroken, "the target has restarted")
-		m.opts.Quarantine.BrokenOff(brokenRun(t, r, fromEvent, err))
+		m.opts.Quarantine.NoteBrokenOff(brokenRun(t, r, fromEvent, err))
 		return err
 	}
 	if wd.hasCancelledRun.Load() {
 		err = errs.New(errs.TargetTimeout, "the target sent nothing for too long")
-		m.opts.Quarantine.FellSilent(brokenRun(t, r, fromEvent, err))
+		m.opts.Quarantine.NoteSilent(brokenRun(t, r, fromEvent, err))
 		return err
 	}
 	if ctx.Err() != nil {
-		m.opts.Quarantine.Interrupted(brokenRun(t, r, fromEvent, err))
+		m.opts.Quarantine.NoteInterrupted(brokenRun(t, r, fromEvent, err))
 		return errs.Newf(errs.Cancelled, "%v", ctx.Err())
 	}
 	if r.RecordFailure() {
 		m.log.Warn("target suspect", "target", r.Target.ID, "addr", r.Target.Addr, "why", err.Error(), "item", t.item().ID)
 	}
 	if errs.As(err).Ran != errs.RanNo {
-		m.opts.Quarantine.BrokenOff(brokenRun(t, r, fromEvent, err))
+		m.opts.Quarantine.NoteBrokenOff(brokenRun(t, r, fromEvent, err))
 	}
 	return err
 }
--- a/internal/backlog/manager.go
+++ b/internal/backlog/manager.go
@@ -37,17 +37,17 @@
 	// AdmitRequest is called right before an item is sent. It returns an error like Check if the item must not be
 	// sent.
 	AdmitRequest(c *quarantine.Content) error
-	// BrokenOff records a run that its target has broken off, or whose connection was lost.
-	BrokenOff(b quarantine.BrokenRun)
-	// Interrupted records a run that this process has cancelled. Its target may still have crashed because of it.
-	Interrupted(b quarantine.BrokenRun)
-	// FellSilent records a run that this process has cancelled because its target sent nothing for too long.
-	FellSilent(b quarantine.BrokenRun)
-	// Passed records that a run has gone on for quarantine.MinPassDuration after its first event: the content does not
+	// NoteBrokenOff records a run that its target has broken off, or whose connection was lost.
+	NoteBrokenOff(b quarantine.BrokenRun)
+	// NoteInterrupted records a run that this process has cancelled. Its target may still have crashed because of it.
+	NoteInterrupted(b quarantine.BrokenRun)
+	// NoteSilent records a run that this process has cancelled because its target sent nothing for too long.
+	NoteSilent(b quarantine.BrokenRun)
+	// NotePassed records that a run has gone on for quarantine.MinPassDuration after its first event: the content does not
 	// crash targets at the start of a run.
-	Passed(c *quarantine.Content)
-	// Served records that a target has sent the whole output for the content.
-	Served(c *quarantine.Content)
+	NotePassed(c *quarantine.Content)
+	// NoteServed records that a target has sent the whole output for the content.
+	NoteServed(c *quarantine.Content)
 }
 
 // Options are the settings of a Manager.
--- a/internal/backlog/manager_test.go
+++ b/internal/backlog/manager_test.go
@@ -238,7 +238,7 @@
 		j := cl.job("a", repeat("ok", 60)...)
 		cl.nodes[0].submit(j)
 		time.Sleep(200 * time.Millisecond)
-		if err := cl.nodes[1].manager.End(context.Background(), serving.Caller{}, "a"); err != nil {
+		if err := cl.nodes[1].manager.Cancel(context.Background(), serving.Caller{}, "a"); err != nil {
 			t.Fatal(err)
 		}
 		cancelledAt := time.Now()
@@ -248,7 +248,7 @@
 				t.Errorf("item %s was started %v after the cancellation, want within 1 s or not at all", item.ID, last.Sub(cancelledAt))
 			}
 		}
-		if err := cl.nodes[0].manager.End(context.Background(), serving.Caller{}, "a"); err != nil {
+		if err := cl.nodes[0].manager.Cancel(context.Background(), serving.Caller{}, "a"); err != nil {
 			t.Errorf("second cancellation: error is %v, want none", err)
 		}
 	})
@@ -422,7 +422,7 @@
 		cl.nodes[0].submit(finished)
 		cl.nodes[1].submit(cancelled)
 		cl.checkResults(finished, cl.nodes[0].results(finished, 10*time.Second))
-		if err := cl.nodes[0].manager.End(context.Background(), serving.Caller{}, "crashed"); err != nil {
+		if err := cl.nodes[0].manager.Cancel(context.Background(), serving.Caller{}, "crashed"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(testKeepFor - 15*time.Second)
--- a/internal/backlog/members_test.go
+++ b/internal/backlog/members_test.go
@@ -144,7 +144,7 @@
 		if list := otherNode.results(j, time.Second); len(list) != len(j.Items) {
 			t.Errorf("%d results were returned after the job was resubmitted, want one for each of the 6 items", len(list))
 		}
-		if err := lc.nodes[largeClusterSize-4].manager.End(context.Background(), serving.Caller{}, "none"); !errs.Is(err, errs.NotFound) {
+		if err := lc.nodes[largeClusterSize-4].manager.Cancel(context.Background(), serving.Caller{}, "none"); !errs.Is(err, errs.NotFound) {
 			t.Errorf("cancellation of a job that does not exist: error is %v, want errs.NotFound", err)
 		}
 	})
--- a/internal/backlog/quarantine_test.go
+++ b/internal/backlog/quarantine_test.go
@@ -91,7 +91,7 @@
 		j := cl.job("j", "ok")
 		content := contentOf(j, 0)
 		for i := range 3 {
-			n.quarantine.BrokenOff(brokenRunAt(content, fmt.Sprintf("gone-%d", i)))
+			n.quarantine.NoteBrokenOff(brokenRunAt(content, fmt.Sprintf("gone-%d", i)))
 			time.Sleep(time.Second)
 		}
 		n.submit(j)
@@ -99,7 +99,7 @@
 		if runs := cl.targets.runCount(j.Items[0].ID); runs != 0 {
 			t.Errorf("the quarantined item was run %d times, want 0", runs)
 		}
-		n.quarantine.Served(content)
+		n.quarantine.NoteServed(content)
 		cl.checkResults(j, n.results(j, 10*time.Second))
 	})
 }
@@ -112,7 +112,7 @@
 		j := cl.job("j", "ok", "ok", "ok")
 		content := contentOf(j, 0)
 		for i := range 3 {
-			n.quarantine.BrokenOff(brokenRunAt(content, fmt.Sprintf("gone-%d", i)))
+			n.quarantine.NoteBrokenOff(brokenRunAt(content, fmt.Sprintf("gone-%d", i)))
 		}
 		n.submit(j)
 		cl.checkResults(j, n.results(j, 10*time.Second))
@@ -132,7 +132,7 @@
 			if i > 0 {
 				run.FromEvent, run.ToEvent = fmt.Sprint(i), fmt.Sprint(i+1)
 			}
-			n.quarantine.BrokenOff(run)
+			n.quarantine.NoteBrokenOff(run)
 		}
 		cl.checkResults(j, n.results(j, 20*time.Second))
 	})
--- a/internal/backlog/random_test.go
+++ b/internal/backlog/random_test.go
@@ -272,7 +272,7 @@
 	}
 	j := fr.accepted[fr.rng.IntN(len(fr.accepted))]
 	fr.cancelled[j.ID] = true // even if the call fails, the cancellation may have been stored
-	err := fr.any().manager.End(context.Background(), serving.Caller{}, j.ID)
+	err := fr.any().manager.Cancel(context.Background(), serving.Caller{}, j.ID)
 	if _, isAcked := fr.cancelAckedAt[j.ID]; err == nil && !isAcked {
 		fr.cancelAckedAt[j.ID] = time.Now()
 	}
--- a/internal/backlog/submit.go
+++ b/internal/backlog/submit.go
@@ -237,10 +237,10 @@
 	}
 }
 
-// End cancels the caller's job. It returns nil once the cancellation is in the store; a second cancellation
+// Cancel cancels the caller's job. It returns nil once the cancellation is in the store; a second cancellation
 // is a success as well. Errors: errs.NotFound, errs.Unauthenticated, errs.LogDown, errs.AppendUnknown (the
 // cancellation may have been stored).
-func (m *Manager) End(ctx context.Context, caller serving.Caller, id string) error {
+func (m *Manager) Cancel(ctx context.Context, caller serving.Caller, id string) error {
 	id = backlog.ScopedID(caller.Workspace, id)
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
--- a/internal/backlog/workspace_test.go
+++ b/internal/backlog/workspace_test.go
@@ -32,7 +32,7 @@
 			if _, err := otherManager.ItemBody(ctx, c.caller, "a", ownJob.Items[0].ID); !errs.Is(err, c.want) {
 				t.Errorf("item body of another workspace's job for caller %+v: error is %v, want errs.NotFound, or errs.Unauthenticated without a key", c.caller, err)
 			}
-			if err := otherManager.End(ctx, c.caller, "a"); !errs.Is(err, c.want) {
+			if err := otherManager.Cancel(ctx, c.caller, "a"); !errs.Is(err, c.want) {
 				t.Errorf("cancellation of another workspace's job by caller %+v: error is %v, want errs.NotFound, or errs.Unauthenticated without a key", c.caller, err)
 			}
 		}
@@ -47,7 +47,7 @@
 			}
 			cl.checkResults(job, page.Results)
 		}
-		if err := manager.End(ctx, ownCaller, "a"); err != nil {
+		if err := manager.Cancel(ctx, ownCaller, "a"); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -24,7 +24,7 @@
 		case <-look.C:
 		}
 		look.Reset(tellInterval)
-		for list := e.quarantine.ToTell(); len(list) > 0; list = e.quarantine.ToTell() {
+		for list := e.quarantine.DueForPeers(); len(list) > 0; list = e.quarantine.DueForPeers() {
 			e.sendCrashes(list)
 		}
 	}
@@ -56,5 +56,5 @@
 		}
 		list = append(list, r)
 	}
-	s.pool.crashes.Apply(list)
+	s.pool.crashes.ApplyRecords(list)
 }
--- a/internal/entry/pool.go
+++ b/internal/entry/pool.go
@@ -241,7 +241,7 @@
 	k.session = s
 	p.mark(k)
 	p.mu.Unlock()
-	p.crashes.PeerStarted()
+	p.crashes.NotePeerStarted()
 	select {
 	case <-s.gone:
 	case <-ctx.Done():
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -14,18 +14,18 @@
 	Check(c *quarantine.Content) error
 	// AdmitRequest is Check for a request that is about to be sent.
 	AdmitRequest(c *quarantine.Content) error
-	// BrokenOff notes a run that a target has broken off.
-	BrokenOff(b quarantine.BrokenRun)
-	// Served notes that a target has served a request whole.
-	Served(c *quarantine.Content)
-	// ToTell returns the records that other entries should be told now.
-	ToTell() []quarantine.Record
+	// NoteBrokenOff notes a run that a target has broken off.
+	NoteBrokenOff(b quarantine.BrokenRun)
+	// NoteServed notes that a target has served a request whole.
+	NoteServed(c *quarantine.Content)
+	// DueForPeers returns the records that other entries should be told now.
+	DueForPeers() []quarantine.Record
 	// Changed gets a token when there are some.
 	Changed() <-chan struct{}
-	// Apply takes in what another entry tells.
-	Apply(list []quarantine.Record)
-	// PeerStarted has what is quarantined told again.
-	PeerStarted()
+	// ApplyRecords takes in what another entry tells.
+	ApplyRecords(list []quarantine.Record)
+	// NotePeerStarted has what is quarantined told again.
+	NotePeerStarted()
 }
 
 // noQuarantine sends every request on.
@@ -33,12 +33,12 @@
 
 func (noQuarantine) Check(*quarantine.Content) error        { return nil }
 func (noQuarantine) AdmitRequest(*quarantine.Content) error { return nil }
-func (noQuarantine) BrokenOff(quarantine.BrokenRun)         {}
-func (noQuarantine) Served(*quarantine.Content)             {}
-func (noQuarantine) ToTell() []quarantine.Record            { return nil }
+func (noQuarantine) NoteBrokenOff(quarantine.BrokenRun)     {}
+func (noQuarantine) NoteServed(*quarantine.Content)         {}
+func (noQuarantine) DueForPeers() []quarantine.Record       { return nil }
 func (noQuarantine) Changed() <-chan struct{}               { return nil }
-func (noQuarantine) Apply([]quarantine.Record)              {}
-func (noQuarantine) PeerStarted()                           {}
+func (noQuarantine) ApplyRecords([]quarantine.Record)       {}
+func (noQuarantine) NotePeerStarted()                       {}
 
 // contentOf is what the request and its repeats have in common.
 func contentOf(a *accepted, req *classified) *quarantine.Content {
@@ -52,7 +52,7 @@
 	if err.Type != errs.TargetCrashed {
 		return
 	}
-	c.e.quarantine.BrokenOff(quarantine.BrokenRun{
+	c.e.quarantine.NoteBrokenOff(quarantine.BrokenRun{
 		Content: c.content, Target: serving.Target{ID: string(c.target.id)}, StartID: err.Start, BeganAt: c.sentAt,
 		FromEvent: position(c.from), ToEvent: position(c.progress.next), HasPassed: c.hasPassed(), HasCrashed: true, Err: err,
 	})
--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -42,7 +42,7 @@
 }
 
 // LoadsChanged returns the channel on which a value arrives after a run of this process has started or finished, a
-// target became suspect, or ReportSoon was called. A receiver sends a load report to the peers.
+// target became suspect, or RequestReport was called. A receiver sends a load report to the peers.
 func (v *View) LoadsChanged() <-chan struct{} { return v.loadsChanged }
 
 // SlotFreed returns the channel on which a value arrives when a slot may have become free for a batch item.
@@ -217,15 +217,15 @@
 	return v.fleet.IsInService(id)
 }
 
-// HeardSince reports whether the target with this id has sent data to this process later than since.
-func (v *View) HeardSince(id string, since time.Time) bool {
+// HasActivitySince reports whether the target with this id has sent data to this process later than since.
+func (v *View) HasActivitySince(id string, since time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fleet.HeardSince(id, since)
+	return v.fleet.HasActivitySince(id, since)
 }
 
-// ReportSoon triggers a load report to the peers before the next regular one.
-func (v *View) ReportSoon() { signal(v.loadsChanged) }
+// RequestReport triggers a load report to the peers before the next regular one.
+func (v *View) RequestReport() { signal(v.loadsChanged) }
 
 // RemoveTarget removes the target with this id at once. It is called when another target answers at its address.
 func (v *View) RemoveTarget(id string) { v.UpdateTargets(nil, []string{id}) }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -162,7 +162,7 @@
 	}
 	if a.hasTimedOut.Load() {
 		err := errs.New(timeoutType, "the target has sent nothing for too long")
-		a.gw.quarantine.FellSilent(a.brokenRun(err))
+		a.gw.quarantine.NoteSilent(a.brokenRun(err))
 		return err
 	}
 	if ctx.Err() != nil {
@@ -226,7 +226,7 @@
 		a.noteActivity()
 		if sinceFirst := a.run.RecordEvent(); !isPassRecorded && sinceFirst >= quarantine.MinPassDuration {
 			isPassRecorded = true
-			a.gw.quarantine.Passed(a.content)
+			a.gw.quarantine.NotePassed(a.content)
 		}
 		a.sendHeader(ans, -1)
 		if err := a.write(event.Raw); err != nil {
@@ -264,7 +264,7 @@
 }
 
 // recordBrokenOff reports to the quarantine that the target broke off the attempt or restarted during it.
-func (a *attempt) recordBrokenOff(err error) { a.gw.quarantine.BrokenOff(a.brokenRun(err)) }
+func (a *attempt) recordBrokenOff(err error) { a.gw.quarantine.NoteBrokenOff(a.brokenRun(err)) }
 
 // brokenRun describes this attempt, which ended with err, for the quarantine.
 func (a *attempt) brokenRun(err error) quarantine.BrokenRun {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -69,16 +69,16 @@
 	Check(c *quarantine.Content) error
 	// AdmitRequest is Check for a request that is sent to a target immediately afterwards.
 	AdmitRequest(c *quarantine.Content) error
-	// BrokenOff records a run that its target broke off: the connection failed before the answer was complete,
+	// NoteBrokenOff records a run that its target broke off: the connection failed before the answer was complete,
 	// or the target has restarted.
-	BrokenOff(run quarantine.BrokenRun)
-	// FellSilent records a run that this process ended because its target sent nothing for too long.
-	FellSilent(run quarantine.BrokenRun)
-	// Passed records that a run has sent events for quarantine.MinPassDuration, which shows that its content does not
+	NoteBrokenOff(run quarantine.BrokenRun)
+	// NoteSilent records a run that this process ended because its target sent nothing for too long.
+	NoteSilent(run quarantine.BrokenRun)
+	// NotePassed records that a run has sent events for quarantine.MinPassDuration, which shows that its content does not
 	// crash a target at the beginning of a run.
-	Passed(c *quarantine.Content)
-	// Served records that a target has answered a request completely.
-	Served(c *quarantine.Content)
+	NotePassed(c *quarantine.Content)
+	// NoteServed records that a target has answered a request completely.
+	NoteServed(c *quarantine.Content)
 }
 
 // ConfigStatus provides the version and age of the configuration, which are logged with each request.
@@ -223,7 +223,7 @@
 	err := a.sendAndRelay(ctx)
 	if err == nil {
 		run.RecordHoldTime()
-		ex.gw.quarantine.Served(ex.content)
+		ex.gw.quarantine.NoteServed(ex.content)
 	}
 	return err
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -103,25 +103,25 @@
 // AdmitRequest implements Quarantine.
 func (h *harness) AdmitRequest(c *quarantine.Content) error { return h.Check(c) }
 
-// BrokenOff implements Quarantine.
-func (h *harness) BrokenOff(run quarantine.BrokenRun) {
+// NoteBrokenOff implements Quarantine.
+func (h *harness) NoteBrokenOff(run quarantine.BrokenRun) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.brokenRuns = append(h.brokenRuns, run)
 }
 
-// FellSilent implements Quarantine.
-func (h *harness) FellSilent(run quarantine.BrokenRun) {
+// NoteSilent implements Quarantine.
+func (h *harness) NoteSilent(run quarantine.BrokenRun) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.silentRuns = append(h.silentRuns, run)
 }
 
-// Passed implements Quarantine.
-func (h *harness) Passed(*quarantine.Content) {}
+// NotePassed implements Quarantine.
+func (h *harness) NotePassed(*quarantine.Content) {}
 
-// Served implements Quarantine.
-func (h *harness) Served(*quarantine.Content) {
+// NoteServed implements Quarantine.
+func (h *harness) NoteServed(*quarantine.Content) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.served++
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -131,24 +131,24 @@
 type Quotas interface {
 	// Report returns the counts of admitted requests to send to peers now.
 	Report() quota.Report
-	// Apply records the counts that the peer at an address (IP:port) has reported.
-	Apply(addr string, r quota.Report)
+	// ApplyReport records the counts that the peer at an address (IP:port) has reported.
+	ApplyReport(addr string, r quota.Report)
 	// AddPeer adds the address of a peer that has not reported yet.
 	AddPeer(addr string)
-	// Forget drops a peer whose process has stopped; its share of the quotas goes to the other gateways.
-	Forget(addr string)
+	// RemovePeer drops a peer whose process has stopped; its share of the quotas goes to the other gateways.
+	RemovePeer(addr string)
 }
 
 // Quarantine holds records of requests under which targets crash, which gateways exchange.
 type Quarantine interface {
-	// ToTell returns the records to send to peers now. It returns a record several times, at growing
+	// DueForPeers returns the records to send to peers now. It returns a record several times, at growing
 	// intervals.
-	ToTell() []quarantine.Record
-	// Apply adds the records that a peer has sent.
-	Apply(records []quarantine.Record)
-	// PeerStarted is called when a new or restarted peer has reported for the first time or was described by
+	DueForPeers() []quarantine.Record
+	// ApplyRecords adds the records that a peer has sent.
+	ApplyRecords(records []quarantine.Record)
+	// NotePeerStarted is called when a new or restarted peer has reported for the first time or was described by
 	// a hub.
-	PeerStarted()
+	NotePeerStarted()
 }
 
 // Options configure a Sharer.
@@ -246,7 +246,7 @@
 	if p, ok := s.peers[addr]; ok && p.name == name {
 		return p
 	}
-	s.quarantine.PeerStarted()
+	s.quarantine.NotePeerStarted()
 	s.routineLog.Info(time.Now(), "peer", "peer", name, "addr", addr.String())
 	s.removePeer(addr)
 	p := &peer{addr: addr, name: name, id: gatewayID(name), lastSeen: time.Now()}
@@ -315,7 +315,7 @@
 	r := report{
 		IsFirst: quotaReport.IsAfterStart, Admitted: encodeCounts(quotaReport.Counts),
 		From: s.self, Seq: seq, Loads: encodeLoads(fleetReport.Loads), Items: fleetReport.Demand.Items, Due: fleetReport.Demand.StartKey,
-		StoreContactAgeMs: now.Sub(fleetReport.StoreContact).Milliseconds(), HasLostStore: s.hasLostStore(), Domain: s.domain, Suspects: newDigests(fleetReport.Suspects), Quarantine: encodeRecords(s.quarantine.ToTell()),
+		StoreContactAgeMs: now.Sub(fleetReport.StoreContact).Milliseconds(), HasLostStore: s.hasLostStore(), Domain: s.domain, Suspects: newDigests(fleetReport.Suspects), Quarantine: encodeRecords(s.quarantine.DueForPeers()),
 		UnknownIDs: s.takeUnknownIDs(), Capacity: s.capacity,
 	}
 	receivers := s.selectReceivers(now, seq)
@@ -430,8 +430,8 @@
 		Loads: decodeLoads(r.Loads, ids), Suspects: resolveTargets(r.Suspects, ids), Demand: fleet.Demand{Items: r.Items, StartKey: r.Due},
 		StoreContact: r.lastStoreContact(time.Now()),
 	})
-	s.quarantine.Apply(s.decodeRecords(r.Quarantine, from))
-	s.quotas.Apply(from.String(), quota.Report{StartID: string(r.From), IsAfterStart: r.IsFirst, Counts: decodeCounts(r.Admitted)})
+	s.quarantine.ApplyRecords(s.decodeRecords(r.Quarantine, from))
+	s.quotas.ApplyReport(from.String(), quota.Report{StartID: string(r.From), IsAfterStart: r.IsFirst, Counts: decodeCounts(r.Admitted)})
 }
 
 // decodeRecords decodes the quarantine records of the peer at from. Records that cannot be decoded are logged
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -31,20 +31,20 @@
 
 // fakeQuarantine returns its pending records once, and stores the records that are applied.
 type fakeQuarantine struct {
-	pending      []quarantine.Record // returned by the next call of ToTell
+	pending      []quarantine.Record // returned by the next call of DueForPeers
 	applied      []quarantine.Record // passed to Apply so far
-	startedPeers int                 // number of calls of PeerStarted
+	startedPeers int                 // number of calls of NotePeerStarted
 }
 
-func (q *fakeQuarantine) PeerStarted() { q.startedPeers++ }
+func (q *fakeQuarantine) NotePeerStarted() { q.startedPeers++ }
 
-func (q *fakeQuarantine) ToTell() []quarantine.Record {
+func (q *fakeQuarantine) DueForPeers() []quarantine.Record {
 	records := q.pending
 	q.pending = nil
 	return records
 }
 
-func (q *fakeQuarantine) Apply(records []quarantine.Record) {
+func (q *fakeQuarantine) ApplyRecords(records []quarantine.Record) {
 	q.applied = append(q.applied, records...)
 }
 
--- a/internal/loadshare/probe.go
+++ b/internal/loadshare/probe.go
@@ -32,7 +32,7 @@
 		for _, addr := range s.peersToProbe(time.Now()) {
 			if isProcessStopped(ctx, addr) {
 				s.log.Info("peer has stopped", "addr", addr.String())
-				s.quotas.Forget(addr.String())
+				s.quotas.RemovePeer(addr.String())
 				s.markPeerStopped(addr)
 			}
 		}
--- a/internal/loadshare/quota_test.go
+++ b/internal/loadshare/quota_test.go
@@ -71,10 +71,10 @@
 // fakeQuotas sends the addresses of dropped peers to a channel and ignores all other calls.
 type fakeQuotas struct{ removed chan string }
 
-func (fakeQuotas) Report() quota.Report       { return quota.Report{} }
-func (fakeQuotas) Apply(string, quota.Report) {}
-func (fakeQuotas) AddPeer(string)             {}
-func (q fakeQuotas) Forget(addr string)       { q.removed <- addr }
+func (fakeQuotas) Report() quota.Report             { return quota.Report{} }
+func (fakeQuotas) ApplyReport(string, quota.Report) {}
+func (fakeQuotas) AddPeer(string)                   {}
+func (q fakeQuotas) RemovePeer(addr string)         { q.removed <- addr }
 
 // Guards against quotas that a killed process keeps, so that others refuse requests: its host refuses
 // connections, which shows that it has stopped. A silent peer whose process is live must keep its share of
--- a/internal/loadshare/receive.go
+++ b/internal/loadshare/receive.go
@@ -91,7 +91,7 @@
 		}
 		updates = append(updates, s.applyHeartbeat(now, p, h, isCrossDomain))
 		if h.hasStopped {
-			s.quotas.Forget(p.addr.String())
+			s.quotas.RemovePeer(p.addr.String())
 		} else {
 			heartbeatReports = append(heartbeatReports, peerReport{addr: p.addr, name: p.name})
 		}
@@ -122,8 +122,8 @@
 // that arrived through hubs. An empty report still records in the quotas that its gateway is live.
 func (s *Sharer) applyAdmissionsAndRecords(reports []peerReport) {
 	for _, r := range reports {
-		s.quarantine.Apply(s.decodeRecords(r.Quarantine, r.addr))
-		s.quotas.Apply(r.addr.String(), quota.Report{StartID: string(r.name), IsAfterStart: r.IsFirst, Counts: decodeCounts(r.Admitted), ForwardDelay: maxHubDelay})
+		s.quarantine.ApplyRecords(s.decodeRecords(r.Quarantine, r.addr))
+		s.quotas.ApplyReport(r.addr.String(), quota.Report{StartID: string(r.name), IsAfterStart: r.IsFirst, Counts: decodeCounts(r.Admitted), ForwardDelay: maxHubDelay})
 	}
 }
 
--- a/internal/node/entryquarantine.go
+++ b/internal/node/entryquarantine.go
@@ -22,8 +22,8 @@
 	changed chan struct{}
 }
 
-// ReportSoon implements quarantine.Fleet.
-func (n crashNotifier) ReportSoon() {
+// RequestReport implements quarantine.Fleet.
+func (n crashNotifier) RequestReport() {
 	select {
 	case n.changed <- struct{}{}:
 	default:
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -20,7 +20,7 @@
 			b.Run(fmt.Sprintf("%d bytes, %d records", size, recordCount), func(b *testing.B) {
 				q := newTestQuarantine(&testFleet{result: platform.ProbeGone})
 				for i := range recordCount {
-					q.BrokenOff(quarantine.BrokenRun{
+					q.NoteBrokenOff(quarantine.BrokenRun{
 						Content: testContent(fmt.Sprint(i)), Target: serving.Target{ID: "t"}, BeganAt: time.Now(), HasCrashed: true, Err: errors.New("EOF"),
 					})
 				}
@@ -31,7 +31,7 @@
 					if q.Check(c) != nil || q.AdmitRequest(c) != nil {
 						b.Fatal("request without crashes is rejected, want it admitted")
 					}
-					q.Served(c)
+					q.NoteServed(c)
 				}
 			})
 		}
--- a/internal/quarantine/interrupted.go
+++ b/internal/quarantine/interrupted.go
@@ -56,11 +56,11 @@
 	return rest, atTarget
 }
 
-// Interrupted notes a run that this process has ended, such as that of a batch item whose slot an online
+// NoteInterrupted notes a run that this process has ended, such as that of a batch item whose slot an online
 // request needs. If the target breaks off another run within interruptionWindow before or after, the ended
 // run is as suspect as that one: when a target crashes, this process may end some of its runs before the
 // target breaks them off, because the first broken-off run already makes the target suspect.
-func (q *Quarantine) Interrupted(b quarantine.BrokenRun) {
+func (q *Quarantine) NoteInterrupted(b quarantine.BrokenRun) {
 	if !q.isOn || !b.CountsAgainstRequest() {
 		return
 	}
--- a/internal/quarantine/logstore_test.go
+++ b/internal/quarantine/logstore_test.go
@@ -37,7 +37,7 @@
 		}
 		for i := range quarantine.DefaultThreshold {
 			q := []*Quarantine{first, second}[i%2]
-			q.BrokenOff(quarantine.BrokenRun{
+			q.NoteBrokenOff(quarantine.BrokenRun{
 				Content: testContent("body"), Target: serving.Target{ID: fmt.Sprint(i)}, BeganAt: time.Now().Add(-runDuration), HasCrashed: true, Err: fmt.Errorf("crashed"),
 			})
 			time.Sleep(time.Second)
--- a/internal/quarantine/many_test.go
+++ b/internal/quarantine/many_test.go
@@ -117,7 +117,7 @@
 		r.mu.Lock()
 		r.crashAt = append(r.crashAt, time.Now())
 		r.mu.Unlock()
-		q.BrokenOff(quarantine.BrokenRun{Content: c, Target: serving.Target{ID: target}, BeganAt: beganAt, Err: errors.New("EOF")})
+		q.NoteBrokenOff(quarantine.BrokenRun{Content: c, Target: serving.Target{ID: target}, BeganAt: beganAt, Err: errors.New("EOF")})
 	}()
 }
 
@@ -137,10 +137,10 @@
 // exchangeReports sends the records that are due at each gateway to all others, and loses one in ten reports.
 func exchangeReports(quarantines []*Quarantine, rng *rand.Rand) {
 	for i, from := range quarantines {
-		records := from.ToTell()
+		records := from.DueForPeers()
 		for k, to := range quarantines {
 			if len(records) > 0 && k != i && rng.IntN(10) > 0 {
-				to.Apply(records)
+				to.ApplyRecords(records)
 			}
 		}
 	}
--- a/internal/quarantine/probe.go
+++ b/internal/quarantine/probe.go
@@ -22,7 +22,7 @@
 const bufferedDataWindow = 50 * time.Millisecond
 
 // probe probes a target that has broken off a request at brokenAt, and counts its crash if it does not run any
-// more. If no probe shows whether it runs, only its removal from the list of targets does; see TargetsGone.
+// more. If no probe shows whether it runs, only its removal from the list of targets does; see NoteTargetsGone.
 func (q *Quarantine) probe(t serving.Target, brokenAt time.Time) {
 	for needsProbe := true; needsProbe; brokenAt = time.Now() {
 		result, probedAt := q.probeUntilConclusive(t, brokenAt)
@@ -39,7 +39,7 @@
 func (q *Quarantine) probeUntilConclusive(t serving.Target, brokenAt time.Time) (result platform.ProbeResult, probedAt time.Time) {
 	for i, delay := range probeDelays {
 		sleep.For(context.Background(), delay)
-		if dataSince := brokenAt.Add(bufferedDataWindow); i > 0 && q.fleet.HeardSince(t.ID, dataSince) {
+		if dataSince := brokenAt.Add(bufferedDataWindow); i > 0 && q.fleet.HasActivitySince(t.ID, dataSince) {
 			return platform.ProbeAlive, dataSince
 		}
 		if !q.hasSuspects(t.ID) {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -44,10 +44,10 @@
 type Fleet interface {
 	// IsInService reports whether a target is on the list of targets and not leaving.
 	IsInService(id string) bool
-	// HeardSince reports whether a target has sent data to this process after a time.
-	HeardSince(id string, t time.Time) bool
-	// ReportSoon sends a report to peers soon, instead of when the next one is due.
-	ReportSoon()
+	// HasActivitySince reports whether a target has sent data to this process after a time.
+	HasActivitySince(id string, t time.Time) bool
+	// RequestReport sends a report to peers soon, instead of when the next one is due.
+	RequestReport()
 }
 
 // NoFleet is a Fleet and a platform.TargetProber without targets and peers. It is for processes that do not
@@ -57,11 +57,11 @@
 // IsInService implements Fleet.
 func (NoFleet) IsInService(string) bool { return true }
 
-// HeardSince implements Fleet.
-func (NoFleet) HeardSince(string, time.Time) bool { return false }
+// HasActivitySince implements Fleet.
+func (NoFleet) HasActivitySince(string, time.Time) bool { return false }
 
-// ReportSoon implements Fleet.
-func (NoFleet) ReportSoon() {}
+// RequestReport implements Fleet.
+func (NoFleet) RequestReport() {}
 
 // Probe implements platform.TargetProber.
 func (NoFleet) Probe(context.Context, serving.Target) platform.ProbeResult {
@@ -263,8 +263,8 @@
 	return q.registry.IsSuspect(subject)
 }
 
-// Passed notes that a run of a request has passed; see quarantine.MinPassDuration.
-func (q *Quarantine) Passed(c *quarantine.Content) {
+// NotePassed notes that a run of a request has passed; see quarantine.MinPassDuration.
+func (q *Quarantine) NotePassed(c *quarantine.Content) {
 	if !q.isOn || !q.hasScopes {
 		return
 	}
@@ -283,9 +283,9 @@
 	}
 }
 
-// Served notes that a target has served a request completely, which clears the content and counts as a pass.
-func (q *Quarantine) Served(c *quarantine.Content) {
-	q.Passed(c)
+// NoteServed notes that a target has served a request completely, which clears the content and counts as a pass.
+func (q *Quarantine) NoteServed(c *quarantine.Content) {
+	q.NotePassed(c)
 	if q.IsEmpty() {
 		return
 	}
@@ -328,7 +328,7 @@
 
 // propagate causes the records that are due to be sent to peers and written to the store soon.
 func (q *Quarantine) propagate() {
-	q.fleet.ReportSoon()
+	q.fleet.RequestReport()
 	q.signalWriter()
 }
 
@@ -344,8 +344,8 @@
 // to the report.
 const maxRecordsPerReport = 8
 
-// ToTell returns the records for the next report to peers: those that are due, at most maxRecordsPerReport.
-func (q *Quarantine) ToTell() []quarantine.Record {
+// DueForPeers returns the records for the next report to peers: those that are due, at most maxRecordsPerReport.
+func (q *Quarantine) DueForPeers() []quarantine.Record {
 	if q.IsEmpty() {
 		return nil
 	}
@@ -354,24 +354,24 @@
 	return q.registry.DueForPeers(time.Now(), maxRecordsPerReport)
 }
 
-// PeerStarted notes that a message from a peer was received for the first time. It sends all quarantined
+// NotePeerStarted notes that a message from a peer was received for the first time. It sends all quarantined
 // records to peers again.
-func (q *Quarantine) PeerStarted() {
+func (q *Quarantine) NotePeerStarted() {
 	if q.IsEmpty() {
 		return
 	}
 	q.mu.Lock()
 	q.registry.ResendQuarantined(time.Now())
 	q.mu.Unlock()
-	q.fleet.ReportSoon()
+	q.fleet.RequestReport()
 }
 
 // peerWriteTimeout is how long a peer that has sent a record to this gateway may take to write the record to
 // the store. After that, this gateway writes it.
 const peerWriteTimeout = 5 * time.Second
 
-// Apply merges records that were received in a report from a peer.
-func (q *Quarantine) Apply(records []quarantine.Record) {
+// ApplyRecords merges records that were received in a report from a peer.
+func (q *Quarantine) ApplyRecords(records []quarantine.Record) {
 	if !q.isOn || len(records) == 0 {
 		return
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -27,7 +27,7 @@
 	result     platform.ProbeResult // result of each probe
 	isLeaving  bool                 // no target is in service
 	lastDataAt time.Time            // when each target last sent data
-	reports    int                  // number of calls of ReportSoon
+	reports    int                  // number of calls of RequestReport
 	// probeResult, if not nil, returns the result of a probe of a target in place of result.
 	probeResult func(target string) platform.ProbeResult
 }
@@ -57,15 +57,15 @@
 	return !f.isLeaving
 }
 
-// HeardSince implements Fleet.
-func (f *testFleet) HeardSince(_ string, t time.Time) bool {
+// HasActivitySince implements Fleet.
+func (f *testFleet) HasActivitySince(_ string, t time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lastDataAt.After(t)
 }
 
-// ReportSoon implements Fleet.
-func (f *testFleet) ReportSoon() {
+// RequestReport implements Fleet.
+func (f *testFleet) RequestReport() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.reports++
@@ -105,7 +105,7 @@
 func breakOffAndWait(q *Quarantine, body, target string) {
 	beganAt := time.Now()
 	time.Sleep(runDuration)
-	q.BrokenOff(quarantine.BrokenRun{Content: testContent(body), Target: serving.Target{ID: target}, BeganAt: beganAt, Err: errors.New("EOF")})
+	q.NoteBrokenOff(quarantine.BrokenRun{Content: testContent(body), Target: serving.Target{ID: target}, BeganAt: beganAt, Err: errors.New("EOF")})
 	time.Sleep(time.Second)
 	synctest.Wait()
 }
@@ -129,15 +129,15 @@
 		{name: "only the connection is lost", fleet: &testFleet{result: platform.ProbeAlive}, wantProbes: 3},
 		{name: "the target sends data for other requests", fleet: &testFleet{lastDataAt: time.Now().Add(100 * 365 * 24 * time.Hour)}, wantProbes: 3},
 		{name: "targets are unreachable, and gone from the list of targets", fleet: &testFleet{}, wantQuarantined: true, wantProbes: 12,
-			afterRun: func(q *Quarantine, target string) { q.TargetsGone([]string{target}) }},
+			afterRun: func(q *Quarantine, target string) { q.NoteTargetsGone([]string{target}) }},
 		{name: "targets are unreachable, and still on the list of targets", fleet: &testFleet{}, wantProbes: 18},
 		{name: "targets are unreachable, and gone from the list of targets too late", fleet: &testFleet{}, wantProbes: 18,
 			afterRun: func(q *Quarantine, target string) {
 				time.Sleep(suspicionTTL)
-				q.TargetsGone([]string{target})
+				q.NoteTargetsGone([]string{target})
 			}},
 		{name: "targets are alive when probed, and gone from the list of targets soon after", fleet: &testFleet{result: platform.ProbeAlive}, wantProbes: 3,
-			afterRun: func(q *Quarantine, target string) { q.TargetsGone([]string{target}) }},
+			afterRun: func(q *Quarantine, target string) { q.NoteTargetsGone([]string{target}) }},
 		{name: "a supervisor accepts connections until the restarted process responds", fleet: &testFleet{probeResult: goneAfter(700 * time.Millisecond)}, wantQuarantined: true, wantProbes: 12},
 		{name: "leaving", fleet: &testFleet{result: platform.ProbeGone, isLeaving: true}},
 	}
@@ -176,7 +176,7 @@
 		beganAt := time.Now()
 		time.Sleep(runDuration)
 		for i := range quarantine.DefaultThreshold {
-			q.BrokenOff(quarantine.BrokenRun{Content: testContent("body"), Target: serving.Target{ID: fmt.Sprint(i)}, BeganAt: beganAt, Err: errors.New("EOF")})
+			q.NoteBrokenOff(quarantine.BrokenRun{Content: testContent("body"), Target: serving.Target{ID: fmt.Sprint(i)}, BeganAt: beganAt, Err: errors.New("EOF")})
 		}
 		time.Sleep(100 * time.Millisecond)
 		if !isQuarantined(q, "body") {
@@ -186,7 +186,7 @@
 		if isQuarantined(q, "body") || q.AdmitRequest(testContent("body")) != nil || q.AdmitRequest(testContent("body")) == nil {
 			t.Error("a second after three simultaneous crashes: not exactly one of two requests is admitted as a trial")
 		}
-		q.Served(testContent("body"))
+		q.NoteServed(testContent("body"))
 		if isQuarantined(q, "body") || q.AdmitRequest(testContent("body")) != nil {
 			t.Error("content that the trial has served is still quarantined")
 		}
@@ -220,7 +220,7 @@
 		f := &testFleet{result: platform.ProbeAlive}
 		q := newTestQuarantine(f)
 		breakOff := func(body string, beganAt time.Time) {
-			q.BrokenOff(quarantine.BrokenRun{Content: testContent(body), Target: serving.Target{ID: "t"}, BeganAt: beganAt, Err: errors.New("EOF")})
+			q.NoteBrokenOff(quarantine.BrokenRun{Content: testContent(body), Target: serving.Target{ID: "t"}, BeganAt: beganAt, Err: errors.New("EOF")})
 		}
 		breakOff("first", time.Now())
 		lastProbeAt := probeDelays[0] + probeDelays[1]
@@ -252,7 +252,7 @@
 		run := func(i int, from, to string) {
 			beganAt := time.Now()
 			time.Sleep(runDuration)
-			q.BrokenOff(quarantine.BrokenRun{Content: testContent("long"), Target: serving.Target{ID: fmt.Sprint("t", i)}, BeganAt: beganAt, FromEvent: from, ToEvent: to, Err: errors.New("EOF")})
+			q.NoteBrokenOff(quarantine.BrokenRun{Content: testContent("long"), Target: serving.Target{ID: fmt.Sprint("t", i)}, BeganAt: beganAt, FromEvent: from, ToEvent: to, Err: errors.New("EOF")})
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}
@@ -276,7 +276,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		q := newTestQuarantine(&testFleet{})
 		for i := range 2 * maxSuspects {
-			q.BrokenOff(quarantine.BrokenRun{Content: testContent(fmt.Sprint(i)), Target: serving.Target{ID: fmt.Sprint(i % 7)}, Err: errors.New("EOF")})
+			q.NoteBrokenOff(quarantine.BrokenRun{Content: testContent(fmt.Sprint(i)), Target: serving.Target{ID: fmt.Sprint(i % 7)}, Err: errors.New("EOF")})
 		}
 		if q.suspects.len() > maxSuspects {
 			t.Errorf("%d suspects after twice the maximum of broken-off runs, want at most the maximum", q.suspects.len())
@@ -343,7 +343,7 @@
 				t.Errorf("gateway %d does not quarantine the content after three crashes at three gateways", i)
 			}
 		}
-		quarantines[1].Served(testContent("body"))
+		quarantines[1].NoteServed(testContent("body"))
 		time.Sleep(time.Second)
 		for i, q := range append(quarantines, late) {
 			if isQuarantined(q, "body") {
@@ -364,7 +364,7 @@
 		secondView.Set(keyedlog.Faults{Refuse: true})
 		for i := range quarantine.DefaultThreshold {
 			breakOffAndWait(first, "body", fmt.Sprint(i))
-			second.Apply(first.ToTell())
+			second.ApplyRecords(first.DueForPeers())
 		}
 		if !isQuarantined(first, "body") || !isQuarantined(second, "body") {
 			t.Fatal("content is not quarantined at both gateways after three crashes while the store is unavailable")
--- a/internal/quarantine/suspects.go
+++ b/internal/quarantine/suspects.go
@@ -107,9 +107,9 @@
 	return ok && !t.lastBrokenAt.Before(since)
 }
 
-// BrokenOff notes a run that a target has broken off. If it is not known yet whether the target has crashed or
+// NoteBrokenOff notes a run that a target has broken off. If it is not known yet whether the target has crashed or
 // only the connection was lost, it starts a probe of the target.
-func (q *Quarantine) BrokenOff(b quarantine.BrokenRun) {
+func (q *Quarantine) NoteBrokenOff(b quarantine.BrokenRun) {
 	now := time.Now()
 	s := newSuspect(b, now)
 	q.brokenOff.Inc(1)
@@ -146,7 +146,7 @@
 // checkForCrash counts the crash of a run's target against the request if the crash is already known.
 // Otherwise it adds the run to the suspects and starts a probe of the target if one is needed.
 func (q *Quarantine) checkForCrash(run suspectAtTarget) {
-	hasSentData := q.fleet.HeardSince(run.target.ID, run.beganAt)
+	hasSentData := q.fleet.HasActivitySince(run.target.ID, run.beganAt)
 	evidence, needsProbe := q.addSuspect(run.suspect, run.target.ID, hasSentData)
 	if evidence != "" {
 		q.noteCrash(run.suspect, run.target.ID, evidence)
@@ -157,9 +157,9 @@
 	}
 }
 
-// FellSilent notes a run that this process has ended because its target sent nothing for too long. Such a
+// NoteSilent notes a run that this process has ended because its target sent nothing for too long. Such a
 // target does not answer probes either: only its removal from the list of targets shows that it has crashed.
-func (q *Quarantine) FellSilent(b quarantine.BrokenRun) {
+func (q *Quarantine) NoteSilent(b quarantine.BrokenRun) {
 	now := time.Now()
 	if !q.isOn || !q.wasInService(b.Target.ID) {
 		return
@@ -225,9 +225,9 @@
 	return "", needsProbe
 }
 
-// TargetsGone notes the ids of targets that are no longer on the list of targets. Their suspects count as
+// NoteTargetsGone notes the ids of targets that are no longer on the list of targets. Their suspects count as
 // crashes.
-func (q *Quarantine) TargetsGone(ids []string) {
+func (q *Quarantine) NoteTargetsGone(ids []string) {
 	for _, id := range ids {
 		q.confirmCrash(id, "gone from the list")
 	}
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -80,16 +80,16 @@
 	q.ledger.AddPeer(time.Now(), quota.PeerAddr(addr))
 }
 
-// Forget removes the peer at addr, which is known to have stopped. Its share of the quotas goes to the other
+// RemovePeer removes the peer at addr, which is known to have stopped. Its share of the quotas goes to the other
 // gateways.
-func (q *Quotas) Forget(addr string) {
+func (q *Quotas) RemovePeer(addr string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.RemovePeer(time.Now(), quota.PeerAddr(addr))
 }
 
-// Apply charges the quotas with the admissions in a report from the peer at addr.
-func (q *Quotas) Apply(addr string, r quota.Report) {
+// ApplyReport charges the quotas with the admissions in a report from the peer at addr.
+func (q *Quotas) ApplyReport(addr string, r quota.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.ApplyReport(time.Now(), quota.PeerAddr(addr), r)
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -77,8 +77,8 @@
 
 // TargetObserver is called when targets leave the target list.
 type TargetObserver interface {
-	// TargetsGone is called with the ids of the targets that a read has removed from the list.
-	TargetsGone(ids []string)
+	// NoteTargetsGone is called with the ids of the targets that a read has removed from the list.
+	NoteTargetsGone(ids []string)
 }
 
 // Options are the dependencies and settings of a Watch.
@@ -274,7 +274,7 @@
 	}
 	w.view.UpdateTargets(changes.put, changes.goneIDs)
 	w.view.EndTargets(changes.endedIDs)
-	w.observer.TargetsGone(changes.goneIDs)
+	w.observer.NoteTargetsGone(changes.goneIDs)
 	for _, t := range changes.put {
 		w.targetLog.Info(time.Now(), "target", "target", t.ID, "addr", t.Addr, "service", t.Service, "slots", t.Slots, "domain", t.Domain, "draining", t.IsDraining)
 	}
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -36,11 +36,11 @@
 	revokeWithin   time.Duration
 	suspendedNanos atomic.Int64
 	quotas         fakeQuotas
-	goneIDs        []string // ids passed to TargetsGone
+	goneIDs        []string // ids passed to NoteTargetsGone
 }
 
-// TargetsGone implements TargetObserver.
-func (d *fakeDirectory) TargetsGone(ids []string) {
+// NoteTargetsGone implements TargetObserver.
+func (d *fakeDirectory) NoteTargetsGone(ids []string) {
 	d.update(func(d *fakeDirectory) { d.goneIDs = append(d.goneIDs, ids...) })
 }
 
