--- a/core/fleet/batch.go
+++ b/core/fleet/batch.go
@@ -14,11 +14,11 @@
 // has received a report of what that gateway has started.
 const staggerInterval = 12 * time.Millisecond
 
-// PickBatch chooses the target for a batch item: one with free slots beyond Options.MinFreeAfterStart, and none of
-// those in tried. ok is false if there is none. Gateways stagger their starts in the order of their
-// Demand.StartKey: the n-th gateway may take the n-th free slot of a target immediately, and an earlier slot only
-// after it has stayed free for a multiple of staggerInterval. Otherwise all gateways would start an item in
-// the same slot, and all but one would preempt it again.
+// PickBatch chooses the target for a batch item: one with free slots beyond Options.MinFreeAfterStart, and
+// none of those in tried. ok is false if there is none. Gateways stagger their starts in the order of their
+// Demand.StartKey: the n-th gateway may take the n-th of these free slots of a target immediately, and an
+// earlier one only after it has stayed free for a multiple of staggerInterval. Otherwise all gateways would
+// start an item in the same slot, and all but one would preempt it again.
 func (f *Fleet) PickBatch(now time.Time, service string, tried []string) (c Choice, ok bool) {
 	list := f.candidates(now, service, tried, func(ts *targetState) bool { return ts.health.canTakeBatch(now) })
 	ahead := f.gatewaysAhead()
@@ -60,8 +60,8 @@
 	return gatewaysWithoutSlot <= 0 || now.Sub(c.target.freeSince) >= time.Duration(gatewaysWithoutSlot)*staggerInterval
 }
 
-// gatewaysAhead is how many gateways start batch items before this one, by their Demand.StartKey. It is 0 while
-// staggered starts are disabled.
+// gatewaysAhead is how many gateways start batch items before this one, by their Demand.StartKey. It is 0
+// while staggered starts are disabled.
 func (f *Fleet) gatewaysAhead() int {
 	ahead := 0
 	if !f.opts.Disabled.IsEnabled(policy.StaggeredStarts) {
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -71,8 +71,8 @@
 	peerBatch map[Peer]int
 	// freeSince is when the target last went from no free slots to some.
 	freeSince time.Time
-	// tieBreak orders targets that are equal otherwise, lowest first. It differs between gateways, so that
-	// they do not all pick the same target.
+	// tieBreak decides between targets of the same tier and cost, lowest first. It differs between gateways,
+	// so that they do not all pick the same target.
 	tieBreak uint64
 }
 
@@ -87,9 +87,9 @@
 // Demand describes the batch items that a gateway has ready to start.
 type Demand struct {
 	Items int // batch items that wait for a slot
-	// StartKey is the start key of the first of them; the gateway with the lowest one starts first. It is when the
-	// item is due, in milliseconds since 1970, plus a fixed time for each rank and for items that would be
-	// late.
+	// StartKey is the start key of the first of them; the gateway with the lowest one starts first. It is when
+	// the item is due, in milliseconds since 1970, plus a fixed time for each rank and for items that would
+	// be late.
 	StartKey int64
 }
 
@@ -223,11 +223,11 @@
 	IsIdle bool
 }
 
-// ApplyHeartbeat applies a forwarded sign of life of the peer from. The peer's last report stays valid, unless the
-// peer is idle. A sign of life older than Options.PeerTTL is ignored.
-func (f *Fleet) ApplyHeartbeat(now time.Time, from Peer, s Heartbeat) {
+// ApplyHeartbeat applies a forwarded sign of life of the peer from. The peer's last report stays valid, unless
+// the peer is idle. A sign of life older than Options.PeerTTL is ignored.
+func (f *Fleet) ApplyHeartbeat(now time.Time, from Peer, h Heartbeat) {
 	f.expirePeers(now)
-	if now.Sub(s.LastSeen) > f.opts.PeerTTL {
+	if now.Sub(h.LastSeen) > f.opts.PeerTTL {
 		return
 	}
 	p, ok := f.peers[from]
@@ -235,12 +235,12 @@
 		p = &peer{}
 		f.peers[from] = p
 	}
-	if s.IsIdle && p.hasState() {
+	if h.IsIdle && p.hasState() {
 		f.replaceReport(now, from, p, &Report{})
 		p.Report = Report{}
 	}
-	if s.LastSeen.After(p.lastSeen) {
-		p.lastSeen, p.StoreContact = s.LastSeen, s.StoreContact
+	if h.LastSeen.After(p.lastSeen) {
+		p.lastSeen, p.StoreContact = h.LastSeen, h.StoreContact
 	}
 	if expiry := p.lastSeen.Add(f.opts.PeerTTL); expiry.Before(f.nextExpiry) {
 		f.nextExpiry = expiry
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -159,7 +159,7 @@
 func TestActivityEndsSuspicion(t *testing.T) {
 	f := testFleet("self", 1)
 	if !f.RecordFailure(start, "t0") || f.RecordFailure(start, "t0") {
-		t.Error("two failures in a row: want the first one to make the target suspect and the second one not to count; at least one of these is not the case")
+		t.Error("of two failures in a row, the result of RecordFailure is wrong for the first (want true: the target becomes suspect) or the second (want false: not counted)")
 	}
 	if _, ok := f.PickBatch(start, "llm", nil); ok {
 		t.Error("a batch item was sent to a suspect target, want none")
--- a/core/fleet/health.go
+++ b/core/fleet/health.go
@@ -21,7 +21,7 @@
 // Time limits by which the health of targets is judged.
 const (
 	// defaultSilenceLimit is how long a target with requests may send nothing before it counts as silent,
-	// until the event times of its service are known; see SilenceLimit.
+	// while the event times of its service are unknown or the adaptive limit is disabled; see SilenceLimit.
 	defaultSilenceLimit = 450 * time.Millisecond
 	// minSuspectTime and maxSuspectTime bound how long a target is suspect after a failure. The time doubles
 	// with each consecutive failure.
@@ -34,7 +34,7 @@
 // health tracks the health of one target by the outcomes of its requests. Targets are not probed: probes add
 // load, and their result can be wrong.
 type health struct {
-	failures     int       // consecutive failures; 0 after the target has sent something
+	failures     int       // consecutive failures, or 1 for a peer's report; 0 after the target has sent something
 	suspectUntil time.Time // the target is suspect until then
 	lastStart    time.Time // when the last request was about to be sent to the target
 	lastReceived time.Time // when the target last sent something
@@ -79,8 +79,8 @@
 	}
 }
 
-// RecordFailure records that a target has failed a request of this gateway, for instance by a refused or closed
-// connection or by silence. It reports whether that makes the target suspect. Failures of a target that is
+// RecordFailure records that a target has failed a request of this gateway, for instance by a refused or
+// closed connection or by silence. It reports whether that makes the target suspect. Failures of a target that is
 // already suspect do not count, because requests that were sent together fail together.
 func (f *Fleet) RecordFailure(now time.Time, id string) bool {
 	ts, ok := f.targets[id]
@@ -161,8 +161,8 @@
 }
 
 // IsSilentSince reports whether a target has been silent for longer than a working target ever is: it has sent
-// nothing to this gateway within the silence limit and QueueWait, counted from its last activity or from the
-// time sent of a request, whichever is later. QueueWait is added because with many gateways each has few
+// nothing to this gateway within the silence limit and QueueWait, counted from its last activity or from sent,
+// when a request was sent to it, whichever is later. QueueWait is added because with many gateways each has few
 // requests at a target, and one that waits in the queue there receives nothing. It is false while silence
 // detection is disabled.
 func (f *Fleet) IsSilentSince(now, sent time.Time, id string) bool {
--- a/core/fleet/pick.go
+++ b/core/fleet/pick.go
@@ -73,8 +73,8 @@
 	return Choice{}, false
 }
 
-// bestCandidate prefers a free slot, then a target with preemptible batch items, then the shortest queue.
-// Among equal targets it prefers the gateway's own failure domain, because traffic between domains is costly.
+// bestCandidate returns the candidate with the best tier and, within it, the lowest cost. tieBreak decides
+// between equal ones, so that gateways do not all pick the same target.
 func bestCandidate(list []candidate) candidate {
 	return slices.MinFunc(list, func(a, b candidate) int {
 		return cmp.Or(
@@ -108,8 +108,9 @@
 	}
 }
 
-// onlineDomainBonus is how many more requests a target in the gateway's own failure domain may have than one
-// in another domain and still be preferred.
+// onlineDomainBonus is the number of requests that a target in another failure domain counts in addition to
+// its load, because traffic between domains is costly. With exactly that many more requests, a target in the
+// gateway's own domain has the same cost as one in another domain.
 const onlineDomainBonus = 2
 
 // cost orders candidates of the same tier, lowest first. It is the load in requests, plus onlineDomainBonus
--- a/core/fleet/timing.go
+++ b/core/fleet/timing.go
@@ -37,8 +37,8 @@
 	*mean += time.Duration(meanWeight * float64(d-*mean))
 }
 
-// RecordFirstEvent records how long a stream of a service took from its request to its first event. It is called
-// only for requests that did not wait for a slot.
+// RecordFirstEvent records how long a stream of a service took from its request to its first event. It is
+// called only for requests that did not wait for a slot.
 func (f *Fleet) RecordFirstEvent(service string, elapsed time.Duration) {
 	timing := f.timings[service]
 	updateMean(&timing.firstEvent, elapsed)
--- a/core/fleet/timing_test.go
+++ b/core/fleet/timing_test.go
@@ -32,7 +32,7 @@
 			t.Errorf("%s: silence limit %v, want %v", c.name, got, c.want)
 		}
 		if f.IsSilentSince(start.Add(c.want), start, "t0") || !f.IsSilentSince(start.Add(c.want+ms), start, "t0") {
-			t.Errorf("%s: want the target not to count as silent after %v without activity, and to count as silent 1 ms later; at least one of these is not the case", c.name, c.want)
+			t.Errorf("%s: whether the target counts as silent is wrong after %v without activity (want false) or 1 ms later (want true)", c.name, c.want)
 		}
 	}
 }
--- a/core/fleet/wait.go
+++ b/core/fleet/wait.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RecordHoldTime records that an online request of a service has held its slot for d. It is called only for requests
-// that did not wait for a slot: for others the time at which they began to run is unknown.
+// RecordHoldTime records that an online request of a service has held its slot for d. It is called only for
+// requests that did not wait for a slot: for others the time at which they began to run is unknown.
 func (f *Fleet) RecordHoldTime(service string, d time.Duration) {
 	mean := f.holdTimes[service]
 	updateMean(&mean, d)
@@ -14,29 +14,29 @@
 type Estimate struct {
 	// Wait is how long the request would wait for a slot at the target that PickOnline chooses, by the loads
 	// of all gateways: 0 if a slot is free there or batch items can be preempted, if no target can be chosen,
-	// or while Hold is unknown.
+	// or while HoldTime is unknown.
 	Wait time.Duration
 	// HoldTime is the mean time for which online requests of the service hold a slot; 0 if unknown.
 	HoldTime time.Duration
-	// StartRate is how many requests per second this gateway may start: the capacity of all targets, divided by
-	// the number of live gateways; 0 if unknown.
+	// StartRate is how many online requests of the service this gateway may start per second: the capacity of
+	// the service's targets, divided by the number of live gateways; 0 if unknown.
 	StartRate float64
 }
 
 // Estimate returns the estimate for an online request of a service that arrives now.
 func (f *Fleet) Estimate(now time.Time, service string) Estimate {
-	p := Estimate{HoldTime: f.holdTimes[service]}
-	if p.HoldTime <= 0 {
-		return p
+	e := Estimate{HoldTime: f.holdTimes[service]}
+	if e.HoldTime <= 0 {
+		return e
 	}
-	p.StartRate = float64(f.totalSlots(now, service)) / p.HoldTime.Seconds() / float64(1+len(f.peers))
+	e.StartRate = float64(f.totalSlots(now, service)) / e.HoldTime.Seconds() / float64(1+len(f.peers))
 	c, ok := f.PickOnline(now, service, nil)
 	if !ok || !c.IsQueued() || c.Target.Slots == 0 {
-		return p
+		return e
 	}
 	queuedAhead := c.Load.Online - c.Target.Slots // requests that are queued at the target
-	p.Wait = p.HoldTime * time.Duration(queuedAhead+1) / time.Duration(c.Target.Slots)
-	return p
+	e.Wait = e.HoldTime * time.Duration(queuedAhead+1) / time.Duration(c.Target.Slots)
+	return e
 }
 
 // totalSlots is how many requests the service's targets process at once, without draining and suspect
@@ -51,6 +51,6 @@
 	return sum
 }
 
-// IsQueued reports whether the request has to wait for a slot at the chosen target, because online requests hold
-// all of them.
+// IsQueued reports whether the request has to wait for a slot at the chosen target, because online requests
+// hold all of them.
 func (c Choice) IsQueued() bool { return c.Load.Online >= c.Target.Slots }
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -19,14 +19,14 @@
 	// RetryLater rejects the first attempt of a request that would miss its latency goal, with a time to retry
 	// after; off, the request is sent to a target.
 	RetryLater Mechanism = "come-back"
-	// QueueRetries queues the second attempt of a request that would miss its latency goal at the gateway until a
-	// target has capacity; off, the request is sent to a target.
+	// QueueRetries queues the second attempt of a request that would miss its latency goal at the
+	// gateway until a target has capacity; off, the request is sent to a target.
 	QueueRetries Mechanism = "hold"
 	// Preemption preempts batch items whose slots at a target online requests need; off, online requests wait
 	// until the items have finished.
 	Preemption Mechanism = "give-way"
-	// StaggeredStarts makes gateways start batch items one after the other in a free slot of a target; off, several
-	// gateways may start one in the same slot.
+	// StaggeredStarts makes gateways start batch items one after the other in a free slot of a target;
+	// off, several gateways may start one in the same slot.
 	StaggeredStarts Mechanism = "turns"
 	// FeasibleFirst starts batch items that can meet their due time before those that cannot; off, they are
 	// started in the order of rank and due time.
@@ -37,23 +37,23 @@
 	// PeerLoads counts the requests that other gateways report to have at a target; off, each gateway counts
 	// only its own requests.
 	PeerLoads Mechanism = "peer-loads"
-	// PeerSuspicion suspects targets that other gateways report as suspect; off, each gateway suspects a target
-	// only after a failure of its own request.
+	// PeerSuspicion suspects targets that other gateways report as suspect; off, each gateway suspects a
+	// target only after a failure of its own request.
 	PeerSuspicion Mechanism = "peer-word"
-	// SilenceDetection suspects targets that send nothing for too long while requests wait for them; off, targets are
-	// suspected only after other failures, for instance of a connection.
+	// SilenceDetection suspects targets that send nothing for too long while requests wait for them;
+	// off, targets are suspected only after other failures, for instance of a connection.
 	SilenceDetection Mechanism = "silence"
-	// AdaptiveSilenceLimit derives how long a target may send nothing from the times between events of its service;
-	// off, the same limit applies to all services.
+	// AdaptiveSilenceLimit derives how long a target may send nothing from the times between events of
+	// its service; off, the same limit applies to all services.
 	AdaptiveSilenceLimit Mechanism = "learned-silence"
 	// Checkpoints stores the progress of running batch items regularly; off, a gateway stores it only when a
 	// run fails or when it hands its items over to another gateway.
 	Checkpoints Mechanism = "checkpoints"
-	// StoreThroughPeers sends requests to the platform's store through other gateways while a gateway cannot reach
-	// it; off, the gateway waits until it reaches the store itself.
+	// StoreThroughPeers sends requests to the platform's store through other gateways while a gateway
+	// cannot reach it; off, the gateway waits until it reaches the store itself.
 	StoreThroughPeers Mechanism = "store-peers"
-	// ReportRelays makes one gateway of each failure domain forward the load reports of others; off, each gateway
-	// sends its reports to every other gateway.
+	// ReportRelays makes one gateway of each failure domain forward the load reports of others; off,
+	// each gateway sends its reports to every other gateway.
 	ReportRelays Mechanism = "relays"
 	// Quarantine rejects requests whose content has crashed targets; off, they are sent to further targets.
 	Quarantine Mechanism = "quarantine"
--- a/core/shed/fairness_test.go
+++ b/core/shed/fairness_test.go
@@ -16,10 +16,10 @@
 const (
 	burstFactor    = 8
 	workspaceCount = 10
-	baseRate       = 4.0 // requests per second of each workspace
-	quotaRate      = 1.6 * baseRate
+	baseRate       = 4.0            // requests per second of each workspace
+	quotaRate      = 1.6 * baseRate // rate in requests per second, and burst in requests, of each quota
 	slotCount      = 32
-	holdTime       = 800 * ms
+	holdTime       = 800 * ms // how long a request holds its slot
 	latencyGoal    = 300 * ms
 	callerTimeout  = 5 * time.Second
 	burstDuration  = 10 * time.Second
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -20,13 +20,15 @@
 	// maxWaitShare is the share of its goal that a request may wait for a slot. The rest is for prefilling
 	// the prompt, which takes 50 to 70 ms of a goal of 300 ms.
 	maxWaitShare = 0.75
-	// MaxRetryDivisor limits the retry time: callers honour one of up to their remaining time divided by MaxRetryDivisor.
+	// MaxRetryDivisor limits the retry time: callers honour one of up to their remaining time divided by
+	// MaxRetryDivisor.
 	MaxRetryDivisor = 3
 	// minRetryHoldTimes is the shortest retry time, as a multiple of the time for which a request holds a
 	// slot. Earlier than that the targets are as full as before.
 	minRetryHoldTimes = 1.5
 	// queuedWaitShare is the longest expected wait for a slot with which a queued request is sent, as a share
-	// of the wait allowed to a request that can still meet its goal.
+	// of its maxWait. It is below 1 because newly arrived requests, which are sent up to their maxWait, come
+	// first.
 	queuedWaitShare = 0.34
 	// maxQueueTimeShare is the longest time that a request is queued, as a share of the time for which its
 	// caller waits. After that it is sent regardless of the engines' queues: it must still get its first
@@ -37,7 +39,7 @@
 	// overload has ended.
 	minDequeueRateShare = 0.1
 	// gapWeight is the weight of a new observation in the moving average of the time between two dequeued
-	// requests, 0 to 1.
+	// requests (see dequeueGap), 0 to 1.
 	gapWeight = 0.2
 )
 
@@ -116,8 +118,8 @@
 	Disabled policy.Disabled
 
 	queue       []*QueuedRequest // in order of arrival
-	dequeueGap  time.Duration    // moving average of the time between two dequeued requests; 0 if unknown
-	lastDequeue time.Time        // when a request was last dequeued or the queue last became non-empty
+	dequeueGap  time.Duration    // moving average of the time between two requests sent from the queue, without expired ones; 0 if unknown
+	lastDequeue time.Time        // when an unexpired request was last sent from the queue, or when the queue last became non-empty
 }
 
 // Arrive decides on a request that has just arrived. With the verdict Queue the request is in the queue until
@@ -147,8 +149,8 @@
 	return max(1, int(c.dequeueRate(now, r.StartRate)*r.maxQueueTime().Seconds()))
 }
 
-// dequeueRate is how many queued requests per second are expected to be sent: the start rate until a request
-// has been dequeued. startRate is in requests per second.
+// dequeueRate is how many queued requests per second are expected to be sent. It is startRate, in requests per
+// second, while no time between two of them has been observed.
 func (c *Controller) dequeueRate(now time.Time, startRate float64) float64 {
 	gap := c.dequeueGap
 	if len(c.queue) > 0 {
--- a/core/shed/timeouts.go
+++ b/core/shed/timeouts.go
@@ -9,8 +9,8 @@
 	// minSamples is how many requests of a route must arrive before its callers' timeout counts as known:
 	// right after the start of a gateway most requests are second attempts.
 	minSamples = 10
-	// typicalShare is the share of a route's requests that must have the same remaining time for it to count
-	// as the timeout of first attempts. The remaining times of second attempts differ from each other.
+	// typicalShare is the smallest share of a route's requests that must have the same remaining time, in
+	// steps of bucketWidth, for it to count as the timeout of first attempts. The remaining times of second attempts differ from each other.
 	typicalShare = 0.2
 	// bucketWidth is the width of a bucket of remaining times that count as equal.
 	bucketWidth = 50 * time.Millisecond
@@ -41,8 +41,8 @@
 	return &CallerTimeouts{routes: make(map[string]*routeTimeouts)}
 }
 
-// Observe records the remaining time of a caller of a route; a time of 0 or less is not recorded. It returns how
-// long callers of that route wait for an answer to their first attempt; 0 while that is unknown.
+// Observe records the remaining time of a caller of a route; a time of 0 or less is not recorded. It returns
+// how long callers of that route wait for an answer to their first attempt; 0 while that is unknown.
 func (c *CallerTimeouts) Observe(route string, remaining time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
