--- a/core/quota/compare_test.go
+++ b/core/quota/compare_test.go
@@ -21,7 +21,8 @@
 )
 
 // runTotals sums the results of many simulations. overBound is the number of simulations that admitted more
-// than the bound, excess the largest of all, and worstSeed the seed of that simulation.
+// than the bound (see simLoad.excess), excess the largest excess of all, and worstSeed the seed of the
+// simulation that had it.
 type runTotals struct {
 	entitled, rejected, messages, overBound int
 	excess                                  float64
--- a/core/quota/peers.go
+++ b/core/quota/peers.go
@@ -14,12 +14,12 @@
 // Report is the message in which a gateway sends its peers the counts that have changed recently.
 type Report struct {
 	StartID string // identifies the start of the sending process; its counts begin at 0
-	// IsAfterStart is set in the first reports after that start: a peer that receives one of them has received the
-	// counts from 0 on.
+	// IsAfterStart is set in the first reports after that start: a peer that receives one of them has
+	// received the counts from 0 on.
 	IsAfterStart bool
 	Counts       []Count
-	// ForwardDelay is how much longer than usual the next report of the sender may take, because other gateways
-	// forward it; 0 if it is sent directly.
+	// ForwardDelay is how much longer than usual the next report of the sender may take, because other
+	// gateways forward it; 0 if it is sent directly.
 	ForwardDelay time.Duration
 }
 
@@ -100,7 +100,7 @@
 }
 
 // partitionSilence is the silence of a peer beyond which it counts as cut off by a network partition: it may
-// have used the share reserved for it. After a shorter silence only reports of it count as lost.
+// have used the share reserved for it. A shorter silence only means that reports of it were lost.
 const partitionSilence = time.Second
 
 // resumePeer handles the first report of a peer after a silence.
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// headroomShare is the share of the tolerated excess that buckets hold in addition to the burst. The
-	// buckets of different gateways and the clock of a caller never agree exactly, and that must not cause a
-	// request within the limit to be rejected. The rest of the excess is left for admissions that have not
-	// been reported to all gateways yet.
+	// headroomShare is the share of the tolerated excess (Options) that a bucket holds beyond its burst.
+	// Without it, a caller that keeps exactly to its quota could be rejected, because buckets of gateways
+	// differ slightly and its clock differs from theirs. The rest of the excess covers admissions that have
+	// not been reported yet.
 	headroomShare = 0.08
-	// initialShare is how full a bucket is at first, 0 to 1, because earlier admissions are unknown: after
-	// the start of this process, or when a workspace gets its first quota.
-	initialShare = 0.6
+	// initialFill is the fill level of a new bucket, 0 to 1. It is below 1 because earlier admissions are
+	// unknown: after the start of this process, or when a workspace gets its first quota.
+	initialFill = 0.6
 	// peerSilenceLimit is how long after its last report a peer counts as silent. Peers report at least five
 	// times a second. A peer whose report was lost counts as silent until the next one arrives, and its share
 	// of the buckets is unavailable for as long.
@@ -36,15 +36,18 @@
 
 // Options are the settings of a Limiter.
 type Options struct {
-	// Window is the length of the period for which MaxExcessShare and MaxExcessRequests bound the requests beyond the quota.
+	// Window is the length of the period for which MaxExcessShare and MaxExcessRequests bound the requests
+	// beyond the quota.
 	Window time.Duration
-	// MaxExcessShare is how many requests beyond the quota are tolerated in a window, as a share of what the quota
-	// allows in it, 0 to 1.
+	// MaxExcessShare is how many requests beyond the quota are tolerated in a window, as a share of what the
+	// quota allows in it, 0 to 1.
 	MaxExcessShare float64
-	// MaxExcessRequests is how many more requests beyond the quota are tolerated in a window, in addition to MaxExcessShare.
+	// MaxExcessRequests is how many more requests beyond the quota are tolerated in a window, in addition to
+	// MaxExcessShare.
 	MaxExcessRequests float64
-	// PeerShareTTL is how long after its last report a peer keeps its share of the buckets. After that it has
-	// stopped, or may not admit requests any more.
+	// PeerShareTTL is how long after its last report a peer keeps its share of the buckets. It must be long
+	// enough that a peer silent for this time has stopped, or has lost the proof (package freshness) that it
+	// needs to admit requests.
 	PeerShareTTL time.Duration
 }
 
@@ -66,8 +69,8 @@
 	startedAt  time.Time
 	// hasRunningPeers is set if peers were admitting requests before this process started.
 	hasRunningPeers bool
-	// hasQuotas is set if SetQuotas has been called.
-	hasQuotas bool
+	// areQuotasSet is set if SetQuotas has been called, even if no workspace has a quota.
+	areQuotasSet bool
 }
 
 // New returns a Limiter without workspaces for a gateway that starts now.
@@ -99,7 +102,7 @@
 			l.setQuota(now, w.Name, w.Quota)
 		}
 	}
-	l.hasQuotas = true
+	l.areQuotasSet = true
 	for name := range l.buckets {
 		if !limited[name] {
 			delete(l.buckets, name)
@@ -118,9 +121,10 @@
 	b.quota = q
 	b.headroom = l.opts.headroom(q)
 	if !ok {
-		b.tokens = initialShare * b.capacity(l.share)
+		b.tokens = initialFill * b.capacity(l.share)
 	}
-	if !ok && l.hasRunningPeers && !l.hasQuotas {
+	if !ok && l.hasRunningPeers && !l.areQuotasSet {
+		// Peers may use all tokens that they have left, an unknown number; see capInitialTokens.
 		b.tokens = min(b.tokens, 1)
 	}
 	b.tokens = min(b.tokens, b.capacity(l.share))
@@ -169,13 +173,13 @@
 	Tokens float64
 	// Share is the share of the bucket that this gateway may use, 0 to 1.
 	Share float64
-	// IsNearLimit is set if few tokens were left: the workspace's request rate is above its quota in the long
-	// run.
+	// IsNearLimit is set if the bucket was less than nearLimitFill full before the request: the workspace's
+	// request rate is above its quota in the long run.
 	IsNearLimit bool
 }
 
-// nearLimitShare is how full a bucket is at most for its workspace to count as near its limit, 0 to 1.
-const nearLimitShare = 0.25
+// nearLimitFill is the fill level of a bucket, 0 to 1, below which its workspace counts as near its limit.
+const nearLimitFill = 0.25
 
 // Admit decides on one request of the workspace called name, and takes a token if it is admitted. Requests of
 // workspaces without a quota are always admitted.
@@ -186,7 +190,7 @@
 	}
 	l.updateShare(now)
 	b.refill(now, l.share)
-	d := Decision{IsAdmitted: b.tokens >= 1, Tokens: b.tokens, Share: l.share, IsNearLimit: b.tokens < nearLimitShare*b.capacity(l.share)}
+	d := Decision{IsAdmitted: b.tokens >= 1, Tokens: b.tokens, Share: l.share, IsNearLimit: b.tokens < nearLimitFill*b.capacity(l.share)}
 	if !d.IsAdmitted {
 		d.RetryAfter = time.Duration((1 - b.tokens) / (l.share * b.quota.PerSecond) * float64(time.Second))
 		return d
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -11,12 +11,12 @@
 
 const perSecond, burst = 10, 20 // requests per second and requests
 
-// options returns the settings of the tests.
+// options returns the options of the limiters under test.
 func options() Options {
 	return Options{Window: 5 * time.Second, MaxExcessShare: 0.1, MaxExcessRequests: 20, PeerShareTTL: 6 * time.Second}
 }
 
-// workspacesWithQuota returns a workspace with a quota of perSecond and burst.
+// workspacesWithQuota returns a list of one workspace, with a quota of perSecond and burst.
 func workspacesWithQuota(name string) []workspace.Workspace {
 	return []workspace.Workspace{{Name: name, Quota: workspace.Quota{PerSecond: perSecond, Burst: burst}}}
 }
--- a/core/quota/sim_test.go
+++ b/core/quota/sim_test.go
@@ -57,7 +57,7 @@
 // simGateway is the state of one gateway.
 type simGateway struct {
 	isDown         bool
-	startCount     int
+	startCount     int       // number of the present start, from 0; incremented when the gateway is killed
 	storeLostSince time.Time // zero while it reaches the store
 }
 
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -64,7 +64,7 @@
 // report sends report number n since the start of gateway from to all others, and schedules the next one.
 func (r *reportedCounts) report(s *simulation, from, startCount, n int) {
 	if s.gateways[from].startCount != startCount {
-		return // the gateway has restarted since
+		return // the gateway has been killed since
 	}
 	report := Report{StartID: fmt.Sprint(startCount), IsAfterStart: n < simFirstReports, Counts: r.limiters[from].Counts()}
 	for to := range s.gateways {
--- a/core/serving/config.go
+++ b/core/serving/config.go
@@ -32,8 +32,8 @@
 	return [...]string{"unsafe", "safe", "stream", "batch"}[k]
 }
 
-// ServiceWeight is the weight of one of the services between which the requests of a route are divided. A service
-// gets its weight divided by the sum of all weights.
+// ServiceWeight is the weight of one of the services between which the requests of a route are divided. The
+// share of the requests that a service gets is its weight divided by the sum of all weights.
 type ServiceWeight struct {
 	Service string
 	Weight  int
@@ -55,8 +55,8 @@
 	// Ranks are the different ranks that online requests to the route's services can have, most urgent first.
 	// NewRouter sets them.
 	Ranks []int
-	// EventTimeout is how long a caller waits for the first event of a stream, or for the next one, before it gives
-	// up; 0 if it waits until its deadline.
+	// EventTimeout is how long a caller waits for the first event of a stream, or for the next one, before it
+	// gives up; 0 if it waits until its deadline.
 	EventTimeout time.Duration
 	MaxAttempts  int // largest number of targets that one request may be sent to
 	// IsResumable reports that a stream may continue at another target after the last event that was received.
--- a/core/serving/ranks_test.go
+++ b/core/serving/ranks_test.go
@@ -21,7 +21,8 @@
 	return Route{Name: name, Kind: kind, Rank: rank, ServiceWeights: []ServiceWeight{{Service: service, Weight: 1}}}
 }
 
-// The rank of a workspace takes precedence over that of a route, and the ranks of batch routes are left out.
+// Route.Ranks contains the ranks that online requests to the route's services can have: the workspace's if it
+// has one, otherwise the route's. Batch routes add none.
 func TestRouteRanks(t *testing.T) {
 	routes := func() []Route {
 		return []Route{routeTo("x", "s", KindStream, 0), routeTo("y", "s", KindSafe, 2), routeTo("z", "t", KindSafe, 5), routeTo("b", "s", KindBatch, 9)}
@@ -53,6 +54,6 @@
 	}
 	workspaceRank, route := 1, Route{Rank: 3}
 	if (Caller{Rank: &workspaceRank}).RankOn(&route) != 1 || (Caller{}).RankOn(&route) != 3 {
-		t.Error("want rank 1 for a caller whose workspace has rank 1, and rank 3 of the route for one whose workspace has none; at least one of these is not the case")
+		t.Error("RankOn a route of rank 3 is wrong for a caller whose workspace has rank 1 (want 1) or for a caller without a workspace rank (want 3)")
 	}
 }
--- a/core/serving/target.go
+++ b/core/serving/target.go
@@ -1,11 +1,11 @@
 package serving
 
-// Target is one start of a program that serves requests of a service. A restart is a new target, even under
-// the same name and at the same address, because nothing recorded about the previous start applies to it.
+// Target is one run of a program that serves requests of a service. A restart creates a new target, even with
+// the same name and address, because nothing recorded about the previous run applies to it.
 type Target struct {
-	ID         string // identifies this start
-	Name       string // name in the list of targets; a restart may have it again
-	StartedMs  int64  // time of the start in milliseconds since 1970; 0 if unknown
+	ID         string // identifies this run
+	Name       string // name of its entry in the list of targets; a restarted target may reuse it
+	StartedMs  int64  // start of this run in milliseconds since 1970; 0 if unknown
 	Service    string
 	Addr       string // IP:port
 	Domain     string // failure domain
