--- a/core/freshness/model_test.go
+++ b/core/freshness/model_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// The model has one gateway, the store, one API key and discrete time. The tests explore every sequence of up
-// to modelDepth events. Once the store has confirmed the revocation of the key, a request with it must not
-// run if it is sent later than the bound after that.
+// The model has one gateway, the platform's store, which holds the configuration, one API key and time in
+// steps. The tests explore every sequence of up to modelDepth events. A request with the key must not run if
+// it is sent more than modelBound steps after the store has confirmed the revocation of the key.
 
 const (
 	modelBound = 3 // bound of the proof, in steps
@@ -37,7 +37,7 @@
 // modelState is the state of the gateway, the store and the messages between them.
 type modelState struct {
 	now                 int   // steps since the host's start, including suspension
-	revoked             int   // when the revocation was confirmed; -1 before it
+	revokedAt           int   // when the revocation was confirmed; -1 before it
 	proof               Proof // of the gateway
 	isRevocationApplied bool  // the gateway's configuration does not contain the key
 
@@ -47,7 +47,7 @@
 	isAnswered      bool // the store has answered
 	hasMessage      bool // a peer's message is in the socket buffer
 	hasKeyInMessage bool // it is about a configuration that contains the key
-	messageAge      int  // age of the peer's proof that it states, in steps
+	messageAge      int  // how old the message says that the peer's proof is, in steps
 	isPeerTrusted   bool // messages of peers count as proof: an alternative that the package rejects
 }
 
@@ -61,10 +61,10 @@
 	case suspend:
 		m.now++
 	case revoke:
-		if m.revoked >= 0 {
+		if m.revokedAt >= 0 {
 			return false
 		}
-		m.revoked = m.now
+		m.revokedAt = m.now
 	case readBegin:
 		if m.isReading {
 			return false
@@ -75,18 +75,19 @@
 	case restart:
 		m.proof, m.isRevocationApplied, m.isReading, m.hasMessage = New(modelBound*step), false, false, false
 	case peerSend:
-		m.hasMessage, m.hasKeyInMessage, m.messageAge = true, m.revoked < 0, 0
+		m.hasMessage, m.hasKeyInMessage, m.messageAge = true, m.revokedAt < 0, 0
 	case peerReceive:
 		return m.receiveMessage()
 	}
 	return true
 }
 
-// answerRead answers a read in progress. The store may answer at any time between request and answer; the
-// model uses the earliest.
+// answerRead makes the store answer a read in progress. The store may answer at any time between the request
+// and the receipt of the answer. The model uses the earliest time, at which the answer is the oldest and the
+// key most likely still in it.
 func (m *modelState) answerRead() {
 	if m.isReading && !m.isAnswered {
-		m.isAnswered, m.hasKeyInAnswer = true, m.revoked < 0
+		m.isAnswered, m.hasKeyInAnswer = true, m.revokedAt < 0
 	}
 }
 
@@ -116,9 +117,9 @@
 }
 
 // isViolated reports whether the gateway would now run a request with the key later than the bound after the
-// revocation.
+// revocation. It would run one if its proof is fresh and its configuration still contains the key.
 func (m *modelState) isViolated() bool {
-	isLate := m.revoked >= 0 && m.now-m.revoked > modelBound
+	isLate := m.revokedAt >= 0 && m.now-m.revokedAt > modelBound
 	return isLate && m.proof.IsFresh(time.Duration(m.now)*step) && !m.isRevocationApplied
 }
 
@@ -143,15 +144,16 @@
 	return nil
 }
 
-// initialState is a gateway that has just read a configuration with the key.
+// initialState returns the state at step 0, in which the gateway has just read a configuration with the key.
 func initialState(isPeerTrusted bool) modelState {
-	m := modelState{revoked: -1, proof: New(modelBound * step), isPeerTrusted: isPeerTrusted}
+	m := modelState{revokedAt: -1, proof: New(modelBound * step), isPeerTrusted: isPeerTrusted}
 	m.proof.Confirm(0)
 	return m
 }
 
 // Guards against use of a revoked key later than the bound after its revocation. That would happen if a
-// confirmation counted as more recent than the start of the read that it comes from.
+// confirmation were dated later than the start of its read: the key may be revoked after the store has
+// answered and before the gateway receives the answer.
 func TestNoSequenceAdmitsARevokedKeyAfterTheBound(t *testing.T) {
 	m := initialState(false)
 	for range modelBound {
@@ -162,8 +164,8 @@
 	}
 }
 
-// Guards against use of a revoked key: if messages of peers counted as proof, one that stays in the socket
-// buffer while the host is suspended would count as recent. The model must find such a sequence.
+// Shows why messages of peers do not count as proof: one that stays in the socket buffer while the host is
+// suspended would count as recent, and a revoked key would be used. The model must find such a sequence.
 func TestPeerMessagesAreUnsafeAsProof(t *testing.T) {
 	m := initialState(true)
 	violation := explore(m, modelDepth, nil)
