--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -248,7 +248,7 @@
 	}
 	for _, c := range cases {
 		if got := pick(c.self, c.freeSlots, c.freeFor); got != c.want {
-			t.Errorf("whether gateway %s may start an item while %d slots have been free for %v: got %v, want the other of true and false", c.self, c.freeSlots, c.freeFor, got)
+			t.Errorf("whether gateway %s may start an item while %d slots have been free for %v: got %v, want the opposite", c.self, c.freeSlots, c.freeFor, got)
 		}
 	}
 }
--- a/core/fleet/wait_test.go
+++ b/core/fleet/wait_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Each gateway may start its share of what all targets can serve, so that all gateways together start no more
-// than that.
+// Each gateway may start its share of what all targets that are neither draining nor suspect can serve, so
+// that all gateways together start no more than that.
 func TestStartRateIsShareOfTotalCapacity(t *testing.T) {
 	const holdTime = 500 * time.Millisecond
 	f := testFleet("self", 3)
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -25,8 +25,8 @@
 	// Preemption preempts batch items whose slots at a target online requests need; off, online requests wait
 	// until the items have finished.
 	Preemption Mechanism = "give-way"
-	// StaggeredStarts makes gateways start batch items one after the other in a free slot of a target;
-	// off, several gateways may start one in the same slot.
+	// StaggeredStarts makes the gateways start batch items in the free slots of a target one after the
+	// other; off, several gateways may start an item in the same slot.
 	StaggeredStarts Mechanism = "turns"
 	// FeasibleFirst starts batch items that can meet their due time before those that cannot; off, they are
 	// started in the order of rank and due time.
--- a/core/shed/fairness_test.go
+++ b/core/shed/fairness_test.go
@@ -146,7 +146,7 @@
 	return least, float64(sum) / float64(total)
 }
 
-// retryAndRecheck sends the retries that are due and rechecks the queued requests.
+// retryAndRecheck passes the retries that are due to arrive and rechecks the queued requests.
 func (s *fairnessSim) retryAndRecheck() {
 	slices.SortStableFunc(s.pendingRetries, func(a, b call) int { return cmp.Compare(a.attemptTime.UnixNano(), b.attemptTime.UnixNano()) })
 	for len(s.pendingRetries) > 0 && !s.pendingRetries[0].attemptTime.After(s.now) {
@@ -166,8 +166,9 @@
 	}
 }
 
-// Guards against a workspace whose burst starves the others. With quotas the others are served as before, and
-// the least served of them gets at least half of their average.
+// Guards against a workspace whose burst starves the others. With quotas more of the others' requests must meet
+// the latency goal than in order of arrival, and the least served of them must get at least half of their
+// average.
 func TestBurstOfOneWorkspaceDoesNotStarveOthers(t *testing.T) {
 	const seeds = 20
 	variants := []struct {
@@ -188,6 +189,6 @@
 		}
 	}
 	if shares["quotas"] <= shares["order of arrival"] || shares["quotas, near the limit last"] <= shares["quotas"] {
-		t.Errorf("shares of the others' requests within the goal are %v, want order of arrival below quotas below near the limit last", shares)
+		t.Errorf("shares of the others' requests within the goal are %v, want a larger share with quotas than in order of arrival, and the largest with quotas and near the limit last", shares)
 	}
 }
--- a/core/shed/shed_test.go
+++ b/core/shed/shed_test.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// Guards against callers rejected in a burst that all retry at the same moment and cause the next overload.
-// That happens when a hundred callers are rejected within a second and their retry times, which do not depend
-// on each other, all end at the same moment.
+// Guards against callers rejected within a second, a hundred or more, that all retry at the same moment and
+// cause the next overload. That happens when their retry times end at a common moment and do not count from
+// each caller's own rejection.
 func TestRetryTimesAreSpreadOut(t *testing.T) {
 	var c Controller
 	r := typicalRequest()
