--- a/internal/fleetview/run.go
+++ b/internal/fleetview/run.go
@@ -104,7 +104,7 @@
 	v.removeRun(r)
 	v.removePreemptible(r)
 	signal(v.loadsChanged)
-	signal(v.roomFreed)
+	signal(v.slotFreed)
 }
 
 // RecordActivity records that the target of the run has just sent data to this process.
@@ -114,9 +114,9 @@
 	r.view.fleet.RecordActivity(time.Now(), r.Target.ID)
 }
 
-// RecordEvent records that an event of the run's stream has just arrived, and adds the time it took to the response
-// times of the service; the first event is left out there if the run may have waited for a slot. RecordEvent returns
-// how long ago the first event of the run arrived, 0 for the first event.
+// RecordEvent records that an event of the run's stream has just arrived, and adds the time it took to the
+// response times of the service; the first event is left out there if the run may have waited for a slot.
+// RecordEvent returns how long ago the first event of the run arrived, 0 for the first event.
 func (r *Run) RecordEvent() (sinceFirst time.Duration) {
 	v := r.view
 	v.mu.Lock()
@@ -146,8 +146,8 @@
 	return time.Since(r.firstEventAt)
 }
 
-// EventTimes returns how long after the start of the run its first event arrived, and how long ago its last event
-// arrived. Both are the time since the start of the run if no event has arrived.
+// EventTimes returns how long after the start of the run its first event arrived, and how long ago its last
+// event arrived. Both are the time since the start of the run if no event has arrived.
 func (r *Run) EventTimes() (first, sinceLast time.Duration) {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
@@ -189,15 +189,16 @@
 	return r.view.fleet.IsSilentSince(time.Now(), sentAt, r.Target.ID)
 }
 
-// MaxQueueWait returns the longest time that the run may have to wait for a slot at its target, by the known loads.
+// MaxQueueWait returns the longest time that the run may have to wait for a slot at its target, computed from the
+// loads that this process knows.
 func (r *Run) MaxQueueWait() time.Duration {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	return r.view.fleet.QueueWait(r.Target.ID)
 }
 
-// RecordHoldTime records that the run has received its complete answer. The duration of the run counts towards the mean
-// time that requests of its service hold a slot, unless the run may have waited for a slot.
+// RecordHoldTime records that the run has received its complete answer. The duration of the run counts towards
+// the mean time that requests of its service hold a slot, unless the run may have waited for a slot.
 func (r *Run) RecordHoldTime() {
 	if r.Choice.IsQueued() {
 		return
--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -21,13 +21,13 @@
 	preemptible map[string][]*Run
 	// active holds, by target id, all runs of this process, including preempted ones that are not done yet.
 	active map[string]map[*Run]struct{}
-	// listRevision counts the calls of Put.
+	// listRevision counts the calls of UpdateTargets.
 	listRevision uint64
 
 	// loadsChanged holds a value while a load report to the peers is due; see LoadsChanged.
 	loadsChanged chan struct{}
-	// roomFreed holds a value while a slot may have become free for a batch item; see SlotFreed.
-	roomFreed chan struct{}
+	// slotFreed holds a value while a slot may have become free for a batch item; see SlotFreed.
+	slotFreed chan struct{}
 }
 
 // New returns a view without targets.
@@ -37,16 +37,16 @@
 		preemptible:  make(map[string][]*Run),
 		active:       make(map[string]map[*Run]struct{}),
 		loadsChanged: make(chan struct{}, 1),
-		roomFreed:    make(chan struct{}, 1),
+		slotFreed:    make(chan struct{}, 1),
 	}
 }
 
-// LoadsChanged returns the channel on which a value arrives after a run of this process has started or finished, a
-// target became suspect, or RequestReport was called. A receiver sends a load report to the peers.
+// LoadsChanged returns the channel on which a value arrives after a run of this process has started or finished,
+// a target has become suspect, or RequestReport was called. A receiver sends a load report to the peers.
 func (v *View) LoadsChanged() <-chan struct{} { return v.loadsChanged }
 
 // SlotFreed returns the channel on which a value arrives when a slot may have become free for a batch item.
-func (v *View) SlotFreed() <-chan struct{} { return v.roomFreed }
+func (v *View) SlotFreed() <-chan struct{} { return v.slotFreed }
 
 // signal sends a value on c unless one is pending. It never blocks.
 func signal(c chan struct{}) {
@@ -111,7 +111,7 @@
 	v.fleet.ApplyReport(now, from, report)
 	victims := v.takeVictims(now)
 	v.mu.Unlock()
-	signal(v.roomFreed)
+	signal(v.slotFreed)
 	preemptAll(victims)
 }
 
@@ -138,12 +138,13 @@
 	}
 	victims := v.takeVictims(now)
 	v.mu.Unlock()
-	signal(v.roomFreed)
+	signal(v.slotFreed)
 	preemptAll(victims)
 }
 
 // Report returns the load report of this process for its peers: its runs at each target, the batch items that
-// it waits to start, when the store last answered it, and the targets that it suspects.
+// it waits to start, when the platform's store last answered it, and the targets that are suspect after a failed
+// run (see Run.RecordFailure).
 func (v *View) Report() fleet.Report {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -171,8 +172,8 @@
 	return v.fleet.LivePeerCount(time.Now())
 }
 
-// IsStoreDownForPeers reports whether no live peer has reached the platform's store since this process last reached
-// it. It is false without live peers, since this process alone may be separated from the store.
+// IsStoreDownForPeers reports whether no live peer has reached the platform's store since this process last
+// reached it. It is false without live peers, since this process alone may be separated from the store.
 func (v *View) IsStoreDownForPeers() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -192,11 +193,11 @@
 	}
 	victims := v.takeVictims(now)
 	v.mu.Unlock()
-	signal(v.roomFreed)
+	signal(v.slotFreed)
 	preemptAll(victims)
 }
 
-// ListRevision returns the revision of the target list, which rises by 1 with each call of Put.
+// ListRevision returns the revision of the target list, which rises by 1 with each call of UpdateTargets.
 func (v *View) ListRevision() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/fleetview/view_test.go
+++ b/internal/fleetview/view_test.go
@@ -34,17 +34,18 @@
 	}
 	online, ok := v.StartOnline("s", nil)
 	if !ok || len(preempted) != 1 || preempted[0] != 1 {
-		t.Fatalf("preempted runs %v, want [1], the younger of two", preempted)
+		t.Fatalf("online request at a full target: preempted runs %v, want a target and [1], the younger of two", preempted)
 	}
+	// After each report the view decides again which runs must be preempted.
 	v.ApplyReport("peer", fleet.Report{})
 	if len(preempted) != 1 {
-		t.Errorf("preempted runs %v, want only [1] while run 1 is not done yet", preempted)
+		t.Errorf("preempted runs %v after a report while run 1 is not done yet, want only [1]", preempted)
 	}
 	runs[1].Done()
-	runs[1].Done()
+	runs[1].Done() // must not release a second slot
 	v.ApplyReport("peer", fleet.Report{})
 	if len(preempted) != 1 || v.Report().Loads["t"] != (fleet.Load{Online: 1, Batch: 1}) {
-		t.Errorf("preempted runs %v with load %+v, want [1] with 1 online and 1 batch run", preempted, v.Report().Loads["t"])
+		t.Errorf("after run 1 is done: preempted runs %v and load %+v, want [1] and 1 online and 1 batch run", preempted, v.Report().Loads["t"])
 	}
 	online.Done()
 	runs[0].Done()
@@ -64,7 +65,7 @@
 	}
 	r, ok := v.StartOnline("s", nil)
 	if !ok || !r.RecordFailure() || preempted != 3 {
-		t.Errorf("%d of 3 batch runs at a failed target were preempted, want 3", preempted)
+		t.Errorf("failed online run at a target with 3 batch runs: %d were preempted, want a suspect target and 3", preempted)
 	}
 }
 
