--- a/internal/watch/access_test.go
+++ b/internal/watch/access_test.go
@@ -78,8 +78,8 @@
 		if caller, err := w.Authorize(nil, workspace.Credential{}); err != nil || !caller.IsUnidentified {
 			t.Errorf("call about jobs without a key: caller %+v, error %v, want an unidentified caller", caller, err)
 		}
-		for _, c := range []workspace.Credential{{}, newCredential("k3"), newCredential("")} {
-			if caller, err := w.Authorize(public, c); err != nil || caller.Workspace != "" {
+		for _, credential := range []workspace.Credential{{}, newCredential("k3"), newCredential("")} {
+			if caller, err := w.Authorize(public, credential); err != nil || caller.Workspace != "" {
 				t.Errorf("public route, request without a valid key: caller %+v, error %v, want no workspace", caller, err)
 			}
 		}
@@ -170,8 +170,8 @@
 		_, errWithoutPeers := w.Authorize(route, newCredential("k1"))
 		v.ApplyReport("peer", fleet.Report{})
 		_, errWithPeers := w.Authorize(route, newCredential("k1"))
-		if alone, withPeers := errs.As(errWithoutPeers).RetryAfterMs, errs.As(errWithPeers).RetryAfterMs; alone <= 0 || alone >= withPeers {
-			t.Errorf("retry after %d ms without peers and %d ms with peers, want the first above 0 and below the second", alone, withPeers)
+		if withoutPeers, withPeers := errs.As(errWithoutPeers).RetryAfterMs, errs.As(errWithPeers).RetryAfterMs; withoutPeers <= 0 || withoutPeers >= withPeers {
+			t.Errorf("retry after %d ms without peers and %d ms with peers, want the first above 0 and below the second", withoutPeers, withPeers)
 		}
 	})
 }
--- a/internal/watch/targets.go
+++ b/internal/watch/targets.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// onStoreRecovered records that the store answers again after an outage.
-func (l *targetList) onStoreRecovered(now time.Time) { l.storeBackAt = now }
+// recordRecovery records that the store answers again after an outage.
+func (l *targetList) recordRecovery(now time.Time) { l.storeBackAt = now }
 
 // update applies the result of a read that ended at now, and returns the changes of the list.
 func (l *targetList) update(now time.Time, news platform.TargetNews) targetChanges {
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -132,8 +132,8 @@
 	return w.config.Version
 }
 
-// IsReady reports whether a configuration and at least a part of the target list have been read. Before that this
-// process rejects all requests, while other processes can serve them.
+// IsReady reports whether a configuration and at least a part of the target list have been read. Before that
+// this process rejects all requests, while other processes can serve them.
 func (w *Watch) IsReady() bool {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -246,7 +246,7 @@
 	link.Follow(ctx, targetPauses, read, func(isBack bool) {
 		now := time.Now()
 		if isBack {
-			list.onStoreRecovered(now)
+			list.recordRecovery(now)
 		}
 		w.applyTargets(list.update(now, news))
 		w.markTargetsKnown(news.Whole || len(news.Present) > 0)
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -177,7 +177,7 @@
 		d.update(func(d *fakeDirectory) { d.isDown = true })
 		time.Sleep(2 * time.Second)
 		if w.IsReady() {
-			t.Error("the process reports that it is ready without a configuration and targets")
+			t.Error("IsReady is true before a configuration and targets are read, want false")
 		}
 		d.update(func(d *fakeDirectory) {
 			d.isDown = false
@@ -194,7 +194,7 @@
 		})
 		time.Sleep(time.Second)
 		if !w.IsReady() {
-			t.Error("the process reports that it is not ready with a configuration and targets")
+			t.Error("IsReady is false after a configuration and targets are read, want true")
 		}
 	})
 }
@@ -277,12 +277,12 @@
 		})
 		time.Sleep(time.Second)
 		if n := len(v.Targets()); n != 2 {
-			t.Errorf("%d targets right after the outage, want 2", n)
+			t.Errorf("%d targets on the list right after the outage, want 2: lives and gone", n)
 		}
 		d.update(func(d *fakeDirectory) { d.targets = append(d.targets, platform.TargetNews{Known: 3, Present: all[:1]}) })
 		time.Sleep(4 * time.Second)
-		if left := v.Targets(); len(left) != 1 || left[0].ID != "lives" {
-			t.Errorf("targets after the grace period: %v, want only lives", left)
+		if remaining := v.Targets(); len(remaining) != 1 || remaining[0].ID != "lives" {
+			t.Errorf("targets after the grace period: %v, want only lives", remaining)
 		}
 	})
 }
@@ -339,9 +339,9 @@
 			d.targets = append(d.targets, platform.TargetNews{Known: 2, Present: []serving.Target{draining}, Gone: []string{"a"}})
 		})
 		time.Sleep(time.Second)
-		left := v.Targets()
-		if len(left) != 1 || !left[0].IsDraining {
-			t.Errorf("targets %v after a left and b started to drain, want only b, draining", left)
+		remaining := v.Targets()
+		if len(remaining) != 1 || !remaining[0].IsDraining {
+			t.Errorf("targets %v after a has left and b has started to drain, want only b with IsDraining true", remaining)
 		}
 		if _, ok := v.StartOnline("s", nil); ok {
 			t.Error("an online request was sent to a draining target")
