--- a/internal/storepath/paths.go
+++ b/internal/storepath/paths.go
@@ -14,10 +14,11 @@
 )
 
 const (
-	// hedgeDelay is how long a direct call may take before a second copy of it is sent through a peer. A slow
-	// store takes up to 300 ms. If the store does not answer a Join, the copy of it must renew the lease of
-	// 1.5 s in time. Reads are not hedged: a page of 1 MB takes nearly as long as hedgeDelay on a link of
-	// 30 Mbit/s, and a second copy of the page slows down both.
+	// hedgeDelay is how long a small direct call may take before a second copy of it is sent through a peer. A
+	// slow store takes up to 300 ms. If the store does not answer a Join, the copy must renew a group membership
+	// with a lease of 1.5 s before the lease expires. Reads are not sent again after this delay: a page of 1 MB
+	// takes about 270 ms on a link of 30 Mbit/s, and longer from a slow store, and a second copy of the page
+	// slows down both.
 	hedgeDelay = 400 * time.Millisecond
 	// maxUnansweredCalls is how many direct calls in a row must remain unanswered until the direct path
 	// counts as lost. When the store discards its history, it breaks off all reads that wait for new records.
@@ -28,8 +29,8 @@
 	directProbeInterval = 500 * time.Millisecond
 	// maxPeerReadBytes bounds the records that one read returns through a peer, since they cross two links.
 	maxPeerReadBytes = 256 << 10
-	// maxPeerStores bounds the clients in Paths.peerStores, since gateways are added and removed. When the
-	// bound is reached, all clients are discarded, and each is created again when it is next used.
+	// maxPeerStores bounds the stores in Paths.peerStores, where those of removed gateways would otherwise
+	// accumulate. When the bound is reached, all are discarded, and each is created again when it is next used.
 	maxPeerStores = 256
 	// maxPeersPerCall is how many peers a call is sent to, one after another, until one returns an answer.
 	maxPeersPerCall = 2
@@ -52,7 +53,7 @@
 type Paths struct {
 	direct        platform.Store
 	peers         Peers
-	newPeerClient func(addr string) platform.Store // newPeerStore, or a fake in tests
+	makePeerStore func(addr string) platform.Store // newPeerStore, or a fake in tests
 	log           hclog.Logger
 	reg           metrics.Registry
 
@@ -61,29 +62,30 @@
 	lostSince       time.Time                 // when the direct path was lost; zero while it is good
 	nextProbeAt     time.Time                 // when the lost direct path may be probed next
 	directLost      chan struct{}             // closed when the direct path is lost, replaced when it is restored
-	peerStores      map[string]platform.Store // clients of relays, by address
-	lastPeer        string                    // address of the peer that answered the last relayed call; empty if none did
+	peerStores      map[string]platform.Store // stores that call through a peer, by the address of its relay
+	lastPeer        string                    // relay address of the peer that answered the last relayed call; empty if none did
 }
 
 // New returns a Paths whose direct path is direct. It counts the calls through peers in reg.
 func New(direct platform.Store, peers Peers, log hclog.Logger, reg metrics.Registry) *Paths {
 	return &Paths{
 		direct: direct, peers: peers, log: log, reg: reg, peerStores: make(map[string]platform.Store), directLost: make(chan struct{}),
-		newPeerClient: func(addr string) platform.Store { return newPeerStore(addr) },
+		makePeerStore: func(addr string) platform.Store { return newPeerStore(addr) },
 	}
 }
 
-// IsDirectLost reports whether the direct path is lost, that is, whether maxUnansweredCalls direct calls in a row were
-// not answered and no later one was.
+// IsDirectLost reports whether the direct path is lost, that is, whether maxUnansweredCalls direct calls in a row
+// were not answered and no later one was.
 func (p *Paths) IsDirectLost() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.lostSince.IsZero()
 }
 
-// Append implements platform.Store. A write without a condition may be sent twice: the sequence number of its
-// producer, or the meaning of its records, makes it idempotent. A write on condition that the partition ends at
-// a given position is sent on a second path only if the first copy was certainly not executed.
+// Append implements platform.Store. A write without a condition may be sent twice. If it has a producer, the
+// store executes its sequence number only once. Otherwise the second copy writes the same values under the same
+// keys, so the newest record of each key has the same value as after one copy. A write on condition that the
+// partition ends at a given position is sent on a second path only if the first copy was certainly not executed.
 func (p *Paths) Append(ctx context.Context, write platform.Append) (platform.Appended, error) {
 	return execute(ctx, p, callKind{isRepeatable: write.At == nil, canProbe: write.At == nil}, func(ctx context.Context, s platform.Store) (platform.Appended, error) {
 		return s.Append(ctx, write)
@@ -127,10 +129,10 @@
 // callKind holds the properties of a call that decide on which paths it is made.
 type callKind struct {
 	isRepeatable bool // a second copy of the call has no further effect
-	isBulk       bool // the answer may be large or wait for new records: the call is not hedged
-	// isPage marks a read of 1 MB. The store may reject it as busy, or delay it, while others read as much.
-	// That does not show a fault of the direct path: the store would reject the same read from a peer, and the
-	// page would cross two more links.
+	isBulk       bool // the answer may be large or wait for new records: no second copy after hedgeDelay
+	// isPage marks a read of a page of up to 1 MB. An unanswered direct call for it does not count towards the
+	// loss of the direct path, and is not repeated through peers while that path is good: the store may only be
+	// busy with other large reads. It would then reject a peer as well, and the page would cross two more links.
 	isPage   bool
 	canProbe bool // the call is small, and may be made directly to probe a lost direct path
 }
@@ -153,8 +155,10 @@
 	err   error
 }
 
-// isAnswered reports whether err, as returned by a call, means that the store has answered, be it with an error.
-// The other errors mean that the store was not reached, was busy, or that its answer did not arrive.
+// isAnswered reports whether err, as returned by a call, means that the call is answered: the store has processed
+// it, and err is nil or the error that resulted. A call is unanswered if the store was not reached or broke off
+// a read (errs.LogDown), if its answer to a write did not arrive (errs.AppendUnknown), or if it rejected the call
+// unprocessed because its rate limit is exceeded (errs.LogBusy).
 func isAnswered(err error) bool {
 	return err == nil || !(errs.Is(err, errs.LogDown) || errs.Is(err, errs.LogBusy) || errs.Is(err, errs.AppendUnknown))
 }
@@ -165,8 +169,8 @@
 	return isAnswered(err) || !k.isRepeatable && errs.Is(err, errs.AppendUnknown)
 }
 
-// execute makes a call on the path that choosePath returns, and on the other path if the first one gives no
-// answer.
+// execute makes a call on the path that choosePath returns. If the call remains unanswered there, execute also
+// makes it on the other path, unless isFinal or executeHedged rules that out.
 func execute[T any](ctx context.Context, p *Paths, kind callKind, call storeCall[T]) (T, error) {
 	chosenPath := p.choosePath(kind, time.Now())
 	if chosenPath == pathPeers {
@@ -179,7 +183,9 @@
 }
 
 // executeHedged makes a call directly. If the direct call takes longer than hedgeDelay, is not answered, or is
-// still running when the direct path is lost, executeHedged also makes the call through peers.
+// still running when the direct path is lost, executeHedged also makes the call through peers, with three
+// exceptions. The delay does not apply to a bulk call. An unanswered page is not repeated while the direct path
+// is good. A call that is not repeatable is made through peers only if the direct one was certainly not executed.
 func executeHedged[T any](ctx context.Context, p *Paths, kind callKind, chosenPath path, call storeCall[T]) result[T] {
 	directCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -310,7 +316,7 @@
 	p.lastPeer = addr
 }
 
-// peerStoreAt returns the client for the relay of the peer at addr, and creates and caches it at first use.
+// peerStoreAt returns the store that calls through the relay at addr, and creates and caches it at first use.
 func (p *Paths) peerStoreAt(addr string) platform.Store {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -319,7 +325,7 @@
 		if len(p.peerStores) >= maxPeerStores {
 			clear(p.peerStores)
 		}
-		s = p.newPeerClient(addr)
+		s = p.makePeerStore(addr)
 		p.peerStores[addr] = s
 	}
 	return s
--- a/internal/storepath/paths_test.go
+++ b/internal/storepath/paths_test.go
@@ -35,7 +35,7 @@
 	h := &host{store: keyedlog.New(2), knownPeers: []string{"peer"}}
 	h.direct, h.peer = h.store.View(), h.store.View()
 	h.paths = New(h.direct, h, hclog.NewNullLogger(), metrics.NewRegistry())
-	h.paths.newPeerClient = func(string) platform.Store { return h.peer }
+	h.paths.makePeerStore = func(string) platform.Store { return h.peer }
 	return h
 }
 
@@ -67,15 +67,15 @@
 
 // Guards against failed calls while one host cannot reach the store: its gateway must use the relay of a peer.
 func TestStoreUnreachableDirectlyIsReachedThroughPeer(t *testing.T) {
-	const afterHedge = hedgeDelay + 10*time.Millisecond
+	const hedgedCallTime = hedgeDelay + 10*time.Millisecond
 	cases := []struct {
 		name   string
 		faults keyedlog.Faults
 		within time.Duration // time limit of each of the first two calls; after them the direct path is lost
 	}{
 		{"refused", keyedlog.Faults{Refuse: true}, 0},
-		{"silent", keyedlog.Faults{Silent: true}, afterHedge},
-		{"writes late and unanswered", keyedlog.Faults{Late: 3 * time.Second}, afterHedge},
+		{"silent", keyedlog.Faults{Silent: true}, hedgedCallTime},
+		{"writes late and unanswered", keyedlog.Faults{Late: 3 * time.Second}, hedgedCallTime},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 				for i, within := range []time.Duration{c.within, c.within, 0} {
 					start := time.Now()
 					if _, err := h.paths.Append(t.Context(), newWrite("k")); err != nil || time.Since(start) > within {
-						t.Errorf("write %d: error %v after %v, want success in time", i, err, time.Since(start))
+						t.Errorf("write %d: error %v after %v, want success, within hedgeDelay plus 10 ms if silent or late and before write 2, else at once", i, err, time.Since(start))
 					}
 				}
 				if !h.paths.IsDirectLost() {
--- a/internal/storepath/relay_test.go
+++ b/internal/storepath/relay_test.go
@@ -51,7 +51,7 @@
 	view := store.View()
 	s, _ := newRelayedStore(t, view)
 	ctx := t.Context()
-	newFencedWrite := func(epoch, seq uint64) platform.Append {
+	newProducerWrite := func(epoch, seq uint64) platform.Append {
 		write := newWrite("a")
 		write.Producer = &platform.Producer{Name: "p", Epoch: epoch, Seq: seq}
 		return write
@@ -63,15 +63,15 @@
 	if _, err := s.Append(ctx, conditional); !errors.As(err, &moved) || moved.End != 0 {
 		t.Errorf("write on condition of end 7 to an empty partition: error %v, want platform.EndMoved with end 0", err)
 	}
-	if _, err := s.Append(ctx, newFencedWrite(2, 1)); err != nil {
+	if _, err := s.Append(ctx, newProducerWrite(2, 1)); err != nil {
 		t.Fatal(err)
 	}
 	var fenced *platform.Fenced
-	if _, err := s.Append(ctx, newFencedWrite(1, 1)); !errors.As(err, &fenced) {
+	if _, err := s.Append(ctx, newProducerWrite(1, 1)); !errors.As(err, &fenced) {
 		t.Errorf("write with epoch 1 after epoch 2: error %v, want platform.Fenced", err)
 	}
 	var outOfSequence *platform.OutOfSequence
-	if _, err := s.Append(ctx, newFencedWrite(2, 9)); !errors.As(err, &outOfSequence) || outOfSequence.Expected != 2 {
+	if _, err := s.Append(ctx, newProducerWrite(2, 9)); !errors.As(err, &outOfSequence) || outOfSequence.Expected != 2 {
 		t.Errorf("write with sequence number 9 after 1: error %v, want platform.OutOfSequence with 2 expected", err)
 	}
 	store.Forget()
