--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -20,21 +20,21 @@
 	rejected metrics.Counter
 	refunded metrics.Counter // admitted requests whose charge was returned
 
-	mu     sync.Mutex
-	ledger *quota.Limiter
+	mu      sync.Mutex
+	limiter *quota.Limiter
 	// reportsMade is how often Report was called.
 	reportsMade int
 }
 
-// maxFirstReports is how many reports after a start of the process are marked as first ones. A peer that
-// receives a first report concludes that it has missed only few admissions of this process.
+// maxFirstReports is how many reports after a start of the process are marked with quota.Report.IsAfterStart. A
+// peer that receives such a report concludes that it has missed only few admissions of this process.
 const maxFirstReports = 20
 
 // New returns quotas without workspaces. startID identifies this start of the process in its reports. The
 // metrics of the quotas are registered in reg.
 func New(startID string, o quota.Options, reg metrics.Registry) *Quotas {
 	q := &Quotas{
-		startID: startID, ledger: quota.New(time.Now(), o),
+		startID: startID, limiter: quota.New(time.Now(), o),
 		admitted: metrics.GetOrRegisterCounter("quota.admitted", reg),
 		rejected: metrics.GetOrRegisterCounter("quota.rejected", reg),
 		refunded: metrics.GetOrRegisterCounter("quota.refunded", reg),
@@ -47,7 +47,7 @@
 func (q *Quotas) SetWorkspaces(workspaces []workspace.Workspace) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.SetQuotas(time.Now(), workspaces)
+	q.limiter.SetQuotas(time.Now(), workspaces)
 }
 
 // Admit decides whether a request of a workspace is admitted. If so, it charges the quota of the workspace with
@@ -55,7 +55,7 @@
 func (q *Quotas) Admit(workspaceName string) quota.Decision {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	decision := q.ledger.Admit(time.Now(), workspaceName)
+	decision := q.limiter.Admit(time.Now(), workspaceName)
 	if decision.IsAdmitted {
 		q.admitted.Inc(1)
 	} else {
@@ -69,7 +69,7 @@
 func (q *Quotas) Refund(workspaceName string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.Refund(time.Now(), workspaceName)
+	q.limiter.Refund(time.Now(), workspaceName)
 	q.refunded.Inc(1)
 }
 
@@ -77,7 +77,7 @@
 func (q *Quotas) AddPeer(addr string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.AddPeer(time.Now(), quota.PeerAddr(addr))
+	q.limiter.AddPeer(time.Now(), quota.PeerAddr(addr))
 }
 
 // RemovePeer removes the peer at addr, which is known to have stopped. Its share of the quotas goes to the other
@@ -85,14 +85,14 @@
 func (q *Quotas) RemovePeer(addr string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.RemovePeer(time.Now(), quota.PeerAddr(addr))
+	q.limiter.RemovePeer(time.Now(), quota.PeerAddr(addr))
 }
 
 // ApplyReport charges the quotas with the admissions in a report from the peer at addr.
 func (q *Quotas) ApplyReport(addr string, r quota.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.ApplyReport(time.Now(), quota.PeerAddr(addr), r)
+	q.limiter.ApplyReport(time.Now(), quota.PeerAddr(addr), r)
 }
 
 // Report returns the next report for the peers, with the admissions of this gateway that have changed recently.
@@ -100,7 +100,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.reportsMade++
-	return quota.Report{StartID: q.startID, IsAfterStart: q.reportsMade <= maxFirstReports, Counts: q.ledger.Counts()}
+	return quota.Report{StartID: q.startID, IsAfterStart: q.reportsMade <= maxFirstReports, Counts: q.limiter.Counts()}
 }
 
 // Share returns the fraction of each quota that this gateway may use, from 0 to 1. It is below 1 while peers
@@ -108,12 +108,12 @@
 func (q *Quotas) Share() float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.ledger.Share(time.Now())
+	return q.limiter.Share(time.Now())
 }
 
 // Usage returns the limit of a workspace and how much of it is used; ok is false if the workspace has no limit.
 func (q *Quotas) Usage(workspaceName string) (usage quota.Usage, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.ledger.Usage(time.Now(), workspaceName)
+	return q.limiter.Usage(time.Now(), workspaceName)
 }
