--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -26,11 +26,11 @@
 	RetiredPeerKeys []string
 	// OperatorKeySums maps the name of an operator to the SHA-256 sum, in hex, of the operator's valid key.
 	OperatorKeySums map[string]string
-	// RevokedOperatorKeySums maps the name of an operator to the SHA-256 sum, in hex, of a key of the operator that
-	// was valid once and no longer is.
+	// RevokedOperatorKeySums maps the name of an operator to the SHA-256 sum, in hex, of a key of the operator
+	// that was valid once and no longer is.
 	RevokedOperatorKeySums map[string]string
-	// CallerCertificate and AdminCertificate are the certificates of the listener for callers and of the administration listener;
-	// nil means plain HTTP.
+	// CallerCertificate and AdminCertificate are the certificates of the listener for callers and of the
+	// administration listener; nil means plain HTTP.
 	CallerCertificate, AdminCertificate *tls.Certificate
 }
 
--- a/internal/keyring/operators.go
+++ b/internal/keyring/operators.go
@@ -8,8 +8,8 @@
 	"arbutusramp/core/errs"
 )
 
-// FindOperator returns the name of the operator whose valid key is key. Error: errs.Unauthenticated, whose text says
-// whether the key was valid once or is unknown.
+// FindOperator returns the name of the operator whose valid key is key. Error: errs.Unauthenticated, whose text
+// says whether the key was valid once or is unknown.
 func (k *Keyring) FindOperator(key string) (string, error) {
 	current := k.current.Load()
 	sum := sha256.Sum256([]byte(key))
--- a/internal/keyring/peers.go
+++ b/internal/keyring/peers.go
@@ -27,7 +27,7 @@
 		}
 	}
 	if isRetired != nil && isRetired(id) {
-		return settings.PeerKey{}, errs.Newf(errs.Unauthenticated, "peer key %q is an old one; it was retired here", id)
+		return settings.PeerKey{}, errs.Newf(errs.Unauthenticated, "peer key %q is an old one; it was retired in this process", id)
 	}
-	return settings.PeerKey{}, errs.Newf(errs.Unauthenticated, "peer key %q is not known here", id)
+	return settings.PeerKey{}, errs.Newf(errs.Unauthenticated, "peer key %q is not known to this process", id)
 }
