--- a/core/events/events_test.go
+++ b/core/events/events_test.go
@@ -22,7 +22,7 @@
 		for i, want := range wantEvents {
 			e, err := reader.Next()
 			if err != nil || e.ID != want.id || string(e.Data) != want.data {
-				t.Errorf("stream read %s: event %d has ID %q and %d bytes of data, error %v; want IDs 1, 2, none, 4 and 1, 3, 0, 10000 bytes", name, i, e.ID, len(e.Data), err)
+				t.Errorf("stream read %s: event %d, counted from 0, has ID %q and %d bytes of data, error %v; want no error, IDs 1, 2, none, 4 and 1, 3, 0, 10000 bytes of the right data", name, i, e.ID, len(e.Data), err)
 			}
 			raw.Write(e.Raw)
 		}
@@ -48,8 +48,8 @@
 	if _, err := NewReader(io.MultiReader(strings.NewReader("id: 1\n"), iotest.ErrReader(errReset))).Next(); !errors.Is(err, errReset) {
 		t.Errorf("connection reset inside an event: error %v, want the error of the connection", err)
 	}
-	endless := strings.NewReader(strings.Repeat("data: x\n", maxEventBytes/4))
-	if _, err := NewReader(endless).Next(); err == nil || err == io.ErrUnexpectedEOF {
+	oversized := strings.NewReader(strings.Repeat("data: x\n", maxEventBytes/4))
+	if _, err := NewReader(oversized).Next(); err == nil || err == io.ErrUnexpectedEOF {
 		t.Errorf("event above maxEventBytes: error %v, want one other than io.ErrUnexpectedEOF", err)
 	}
 }
@@ -69,7 +69,7 @@
 			raw.Write(e.Raw)
 		}
 		if !strings.HasPrefix(text, raw.String()) {
-			t.Errorf("raw bytes of the events are not a prefix of the stream")
+			t.Errorf("the raw bytes of the events are not a prefix of the stream")
 		}
 	})
 }
