--- a/core/sleep/sleep.go
+++ b/core/sleep/sleep.go
@@ -1,5 +1,5 @@
-// Package sleep provides waits that end early with a context, and timers that are safe in synctest bubbles under
-// the race detector.
+// Package sleep provides waits that end early with a context, and timers that do not crash the race detector in
+// tests that use testing/synctest.
 package sleep
 
 import (
@@ -11,8 +11,8 @@
 // at once, and reports whether ctx has not ended.
 func For(ctx context.Context, d time.Duration) bool { return ForOrSignal(ctx, d, nil) }
 
-// ForOrSignal waits like For, and also returns true as soon as a value arrives on signal or signal is closed. A nil
-// signal never ends the wait.
+// ForOrSignal waits like For, and also returns true as soon as a value arrives on signal or signal is closed. A
+// nil signal never ends the wait.
 func ForOrSignal(ctx context.Context, d time.Duration, signal <-chan struct{}) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/core/sleep/timer_test.go
+++ b/core/sleep/timer_test.go
@@ -47,17 +47,17 @@
 	})
 }
 
-// Guards against a test process that crashes with a segmentation fault inside the race detector; AfterFunc
-// describes the fault. Several loops in one bubble set timers that are due at once, or are busy while their
-// timers expire, and the clock of the bubble calls functions at the same moment. With time.NewTicker in place of
-// NewTimer this test crashed in 4 of 4 runs under the race detector, and likewise with time.AfterFunc in place
-// of AfterFunc.
+// Guards against a test process that crashes with a segmentation fault inside the race detector; the comment of
+// AfterFunc describes the fault. Several loops in one bubble set timers that are due at once, or are busy while
+// their timers expire, and the clock of the bubble calls the functions of other timers at the same moment. With
+// time.NewTicker in place of NewTimer this test crashed in 4 of 4 runs under the race detector, and likewise with
+// time.AfterFunc in place of AfterFunc.
 func TestTimersOfBusyLoopsDoNotCrashRaceDetector(t *testing.T) {
 	const (
-		loops     = 16
-		functions = 64
-		busyTime  = 5 * time.Millisecond
-		runTime   = 20 * time.Second
+		loops          = 16
+		afterFuncLoops = 64
+		busyTime       = 5 * time.Millisecond
+		runTime        = 20 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
@@ -76,7 +76,7 @@
 				}
 			}()
 		}
-		for range functions {
+		for range afterFuncLoops {
 			go func() {
 				started := make(chan struct{})
 				for For(ctx, busyTime) {
