--- a/core/backlog/types.go
+++ b/core/backlog/types.go
@@ -58,7 +58,7 @@
 	Item     string  `cbor:"3,keyasint"`           // id of the item
 	Outcome  Outcome `cbor:"4,keyasint"`           // Complete or Errored
 	Text     string  `cbor:"5,keyasint,omitempty"` // output of the item; empty if it is stored separately
-	// Index is the item's index in its job. Job, Index and Sum identify a separately stored text.
+	// Index is the item's index in its job. Job, Index and TextChecksum identify a separately stored text.
 	Index int `cbor:"6,keyasint,omitempty"`
 	// TextSize is the length in bytes of a separately stored text; 0 if Text holds the text.
 	TextSize int `cbor:"7,keyasint,omitempty"`
