--- a/internal/backlog/item.go
+++ b/internal/backlog/item.go
@@ -22,8 +22,9 @@
 const (
 	// itemIdleTimeout is how long an item's stream may be idle before its run is cancelled and the item is
 	// moved to another target. A stream may wait in its target's queue, so the timeout is longer than the one
-	// for a target that sends nothing on any stream. A watchdog waits longer if twice the time for which a
-	// working target of the service may send nothing exceeds this timeout.
+	// for a target that sends nothing on any stream. The watchdog's effective timeout is
+	// max(itemIdleTimeout, 2*Run.IdleLimit()) + Run.MaxQueueWait(): IdleLimit is the time for which a working target
+	// of the service may send nothing, MaxQueueWait the longest wait for a slot at the target.
 	itemIdleTimeout = 1500 * time.Millisecond
 	// watchdogInterval is the interval at which a watchdog checks its run.
 	watchdogInterval = 100 * time.Millisecond
@@ -31,9 +32,9 @@
 
 // Names of the histograms of the stages of an item in this process, in milliseconds.
 const (
-	waitMetric = "item.wait_ms" // from the creation of the item's task to its first run
-	runMetric  = "item.run_ms"  // duration of one run at a target
-	listMetric = "item.list_ms" // from the item's outcome until its result is in the store
+	waitMetric  = "item.wait_ms" // from the creation of the item's task to its first run
+	runMetric   = "item.run_ms"  // duration of one run at a target
+	storeMetric = "item.list_ms" // from the item's outcome until its result is in the store
 )
 
 // runVerdict is the outcome of one run of an item.
@@ -97,8 +98,9 @@
 func (t *task) finishRun(target string, v runVerdict) (isPreempted bool) {
 	result, isPreempted := t.applyVerdict(target, v)
 	if result != nil && !t.shard.enqueueResult(result) {
-		// A process that was frozen reads what its targets have sent in the meantime only after it has released
-		// its shards. If the result were discarded here, the next owner would run the whole item again.
+		// The shard has been released, so the result can't be written here. It is saved as progress, so that the
+		// next owner writes it without running the whole item again. This happens if the process was suspended and
+		// reads what its targets have sent meanwhile only after it has released its shards.
 		t.shard.m.log.Info("end handed over", "job", t.job.ID, "item", t.item().ID, "shard", t.shard.index, "epoch", t.shard.epoch, "outcome", result.outcome)
 		t.shard.m.saveProgress([]*task{t})
 	}
@@ -123,6 +125,7 @@
 		}
 	}
 	if t.isPreempted {
+		// The run was cancelled for online requests, not because of a fault of its target.
 		t.avoidTargets = nil
 		return nil, true
 	}
@@ -186,7 +189,7 @@
 		m.view.RemoveTarget(r.Target.ID)
 		return runInterrupted, errs.New(errs.TargetFailed, "the target's address now belongs to another target")
 	case answer.NotRun:
-		return runInterrupted, errs.Newf(errs.TargetFailed, "the target rejected the item with status %d", answer.Status)
+		return runInterrupted, errs.Newf(errs.TargetFailed, "the target did not start the item: status %d", answer.Status)
 	case answer.Foreign:
 		return runInterrupted, errs.New(errs.TargetFailed, "the answer belongs to another request")
 	case answer.Status == http.StatusOK:
--- a/internal/backlog/manager.go
+++ b/internal/backlog/manager.go
@@ -32,10 +32,11 @@
 type Quarantine interface {
 	// Check returns an error of type errs.Quarantined if items with the content must not be sent to a target.
 	Check(c *quarantine.Content) error
-	// IsSuspect reports whether the content may crash targets because others of its resource or job have.
+	// IsSuspect reports whether targets have crashed while running items of the content's resource or job. If so, an
+	// item with this content must not run beside another of the resource or job that has not passed; see NotePassed.
 	IsSuspect(c *quarantine.Content) bool
-	// AdmitRequest is called right before an item is sent. It returns an error like Check if the item must not be
-	// sent.
+	// AdmitRequest is called right before an item is sent. It returns an error of type errs.Quarantined if the item
+	// must not be sent. Unlike Check, it counts the item as the trial if a trial of its quarantined content is due.
 	AdmitRequest(c *quarantine.Content) error
 	// NoteBrokenOff records a run that its target has broken off, or whose connection was lost.
 	NoteBrokenOff(b quarantine.BrokenRun)
@@ -52,16 +53,17 @@
 
 // Options are the settings of a Manager.
 type Options struct {
-	// MemberID identifies this start of this process among the members of the group that owns the shards. It must
-	// never be reused.
+	// MemberID identifies this process instance among the members of the group that owns the shards. A restarted
+	// process needs a new one; an id must never be reused.
 	MemberID string
 	// Shards is the number of shards into which jobs are divided: the number of partitions of each of the store's
 	// topics.
 	Shards int
 	// MinTTL is the shortest time without a call after which the store may remove a member from the group.
 	MinTTL time.Duration
-	// MaxInlineReadBytes bounds the length of a text that is stored in the record of its result: all processes together
-	// read at most that many bytes of it. Longer texts are stored separately.
+	// MaxInlineReadBytes bounds the texts that are stored in the records of their results, which every process reads:
+	// the length of such a text times the number of live processes is at most MaxInlineReadBytes. Longer texts are
+	// stored separately.
 	MaxInlineReadBytes int
 	// KeepFor is the minimum time for which a job stays readable after its submission.
 	KeepFor time.Duration
@@ -69,8 +71,9 @@
 	Disabled policy.Disabled
 	// Quarantine decides before each run of an item whether it may be sent.
 	Quarantine Quarantine
-	// Rank returns how many other processes precede this one as members of the group; isKnown is false while
-	// that can't be determined. If Rank is nil, every process is a member.
+	// Rank returns the number of live processes that take precedence over this one for membership of the group
+	// that owns the shards. Only processes of low rank join; isKnown is false while the rank can't be determined.
+	// If Rank is nil, every process joins.
 	Rank func() (rank int, isKnown bool)
 }
 
@@ -114,9 +117,9 @@
 	return m
 }
 
-// IsLoaded reports whether all jobs have been read from the store, so that new ones can be accepted. The
-// results are many times as large; until they have been read, calls of Results return an error that asks for
-// a retry.
+// IsLoaded reports whether all jobs have been read from the store, so that new ones can be accepted. It
+// does not cover the results, which are many times as large: until these have been read, calls of Results return
+// an error that asks for a retry.
 func (m *Manager) IsLoaded() bool {
 	_, isLoaded := m.replica.nextOffset(jobPartition)
 	return isLoaded
--- a/internal/backlog/members_test.go
+++ b/internal/backlog/members_test.go
@@ -173,7 +173,7 @@
 		for name, c := range map[string]struct {
 			wait, took time.Duration
 			records    int
-			want       time.Duration // time from the request to the time of the state
+			want       time.Duration // time after the request up to which the state is known to be current
 		}{
 			"an immediate answer to a read without a wait":         {0, 0, 0, 0},
 			"a late answer to a read without a wait":               {0, lateAnswer, 0, 0},
@@ -186,7 +186,7 @@
 			time.Sleep(c.took)
 			got := provenCurrentAt(requestedAt, c.wait, platform.Records{Records: make([]platform.StoredRecord, c.records)})
 			if got.Sub(requestedAt) != c.want {
-				t.Errorf("%s: the state is proven current %v after the request, want %v", name, got.Sub(requestedAt), c.want)
+				t.Errorf("%s: the state is known to be current up to %v after the request, want %v", name, got.Sub(requestedAt), c.want)
 			}
 		}
 	})
--- a/internal/backlog/quarantine_test.go
+++ b/internal/backlog/quarantine_test.go
@@ -60,7 +60,7 @@
 		n.submit(j)
 		time.Sleep(w.route.RetainFor)
 		if lost := w.targets.crashCount(); lost < 3 || lost > 6 {
-			t.Errorf("%d targets lost, want 3 to 6", lost)
+			t.Errorf("%d targets were lost under the item, want 3 to 6", lost)
 		}
 		w.checkResults(others, n.results(others, w.route.RetainFor))
 	})
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -68,10 +68,10 @@
 	return errs.Newf(errs.NotFound, "batch job %q does not exist", id)
 }
 
-// Results returns a page of the results of the caller's job that begins at position after. If there is no
+// Results returns a page of the results of the caller's job that begins at position from. If there is no
 // result there yet, it waits for one, at most for the given time. Errors: errs.NotFound,
 // errs.Unauthenticated, errs.LogDown (this process can't read the results now).
-func (m *Manager) Results(ctx context.Context, caller serving.Caller, id string, after int, wait time.Duration) (backlog.ResultPage, error) {
+func (m *Manager) Results(ctx context.Context, caller serving.Caller, id string, from int, wait time.Duration) (backlog.ResultPage, error) {
 	id = backlog.ScopedID(caller.Workspace, id)
 	if err := m.ensureJobExists(ctx, caller, id); err != nil {
 		return backlog.ResultPage{}, err
@@ -82,8 +82,8 @@
 	defer m.replica.addWaiter(resultPartition)()
 	for {
 		var page backlog.ResultPage
-		changed := m.replica.withState(func(st *backlog.State) { page = st.Page(id, after, maxPageBytes) })
-		if len(page.Results) > 0 || after >= page.Total {
+		changed := m.replica.withState(func(st *backlog.State) { page = st.Page(id, from, maxPageBytes) })
+		if len(page.Results) > 0 || from >= page.Total {
 			return m.fillTexts(ctx, page)
 		}
 		select {
@@ -91,7 +91,7 @@
 			continue
 		case <-waitCtx.Done():
 		}
-		return m.currentPage(ctx, id, after)
+		return m.currentPage(ctx, id, from)
 	}
 }
 
@@ -108,16 +108,16 @@
 	}
 }
 
-// currentPage returns the page of a job's results that begins at position after, from a state no older than
+// currentPage returns the page of a job's results that begins at position from, from a state no older than
 // maxAnswerAge. The page may be empty.
-func (m *Manager) currentPage(ctx context.Context, id string, after int) (backlog.ResultPage, error) {
+func (m *Manager) currentPage(ctx context.Context, id string, from int) (backlog.ResultPage, error) {
 	if m.replica.stateAge(resultPartition) > maxAnswerAge {
 		if err := m.refresh(ctx); err != nil {
 			return backlog.ResultPage{}, err
 		}
 	}
 	var page backlog.ResultPage
-	m.replica.withState(func(st *backlog.State) { page = st.Page(id, after, maxPageBytes) })
+	m.replica.withState(func(st *backlog.State) { page = st.Page(id, from, maxPageBytes) })
 	return m.fillTexts(ctx, page)
 }
 
--- a/internal/backlog/replica.go
+++ b/internal/backlog/replica.go
@@ -64,7 +64,7 @@
 // Replica is this process's copy of the state of all jobs, built from the records of the job and result
 // partitions. It is safe for concurrent use.
 type Replica struct {
-	memberID string // identifies this start of this process
+	memberID string // identifies this process instance; see Options.MemberID
 	store    platform.Store
 	log      hclog.Logger
 	// onContact is called after each answered read of jobPartition. It records that this process reaches the
@@ -95,8 +95,8 @@
 	waiters int
 }
 
-// NewReplica returns a replica without records. memberID identifies this start of this process. onContact is
-// called after each answered read of jobPartition; peerCount returns the number of other live processes.
+// NewReplica returns a replica without records. memberID identifies this process instance. onContact is called
+// after each answered read of jobPartition; peerCount returns the number of other live processes.
 func NewReplica(memberID string, store platform.Store, onContact func(), peerCount func() int, log hclog.Logger) *Replica {
 	return &Replica{
 		memberID: memberID, store: store, log: log, onContact: onContact, peerCount: peerCount, state: backlog.NewState(), changed: make(chan struct{}),
--- a/internal/backlog/result_batch.go
+++ b/internal/backlog/result_batch.go
@@ -35,7 +35,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.pending[:b.pendingCount] {
-		telemetry.Observe(s.m.registry, listMetric, time.Since(p.receivedAt))
+		telemetry.Observe(s.m.registry, storeMetric, time.Since(p.receivedAt))
 		s.m.log.Info("item", "job", p.job.ID, "item", p.item(), "outcome", p.outcome, "bytes", len(p.text), "shard", s.index, "epoch", s.epoch)
 	}
 	s.pending = s.pending[b.pendingCount:]
@@ -116,9 +116,9 @@
 	return true
 }
 
-// hasPosition reports whether the item of p has a position already. An item may end twice in this process,
-// because another run of it was started while its first result was being written; it must not get a second
-// position. The caller holds the shard's lock.
+// hasPosition reports whether the result of p's item has a position already. If an item is run again while its
+// first result is being written, this process gets two results for it; the second must not get a position of its
+// own. The caller holds the shard's lock.
 func (s *shard) hasPosition(p *pendingResult) (hasResult bool) {
 	if s.positioned[p.key()] {
 		return true
@@ -139,7 +139,7 @@
 // owner exists or ctx ends. After a lost answer it repeats the write with the same sequence number, so that
 // the store does it only once.
 func (s *shard) writeResults(ctx context.Context, records []platform.KeyedRecord) bool {
-	isUnstored := true // no earlier attempt of this write may have been stored
+	isUnstored := true // true as long as it is certain that the store has done no earlier attempt of this write
 	for tries := 0; ; tries++ {
 		_, err := s.m.store.Append(ctx, platform.Append{Partition: resultPartition, Records: records, Producer: s.producer()})
 		if err == nil {
@@ -149,7 +149,8 @@
 		}
 		var outOfSequence *platform.OutOfSequence
 		if errors.As(err, &outOfSequence) && isUnstored && s.seq == 1 {
-			// The store may have counted the write of takeOver in the sequence.
+			// takeOver has sent an append without records under sequence number 0. It is uncertain whether the store
+			// has counted it, so the first write of results takes the number that the store expects.
 			s.seq = outOfSequence.Expected
 			continue
 		}
--- a/internal/backlog/scheduler.go
+++ b/internal/backlog/scheduler.go
@@ -293,8 +293,8 @@
 	}
 }
 
-// quarantineRecheckDelay is the time between two checks of a quarantined item. It leaves the quarantine if
-// another request with the same content is served meanwhile.
+// quarantineRecheckDelay is the time between two checks of a quarantined item. The item leaves the quarantine
+// if another request with the same content is served meanwhile.
 const quarantineRecheckDelay = time.Second
 
 // deferIfQuarantined reports whether a task's content is quarantined. If so, it defers the task as
--- a/internal/backlog/shard.go
+++ b/internal/backlog/shard.go
@@ -42,7 +42,7 @@
 	pending        []*pendingResult
 	nextPositions  map[string]int  // position of the next result, by job id
 	positioned     map[string]bool // items to which this owner has assigned a position, by job and item id
-	unconfirmed    *resultBatch    // the batch that may not have been stored; it is repeated unchanged
+	unconfirmed    *resultBatch    // the batch whose write the store has not acknowledged yet; it is repeated unchanged
 	flushRequested chan struct{}   // receives a token when results are pending
 	stopped        chan struct{}   // closed once run has returned
 	seq            uint64          // sequence number of the next write of results
--- a/internal/backlog/submit.go
+++ b/internal/backlog/submit.go
@@ -250,7 +250,7 @@
 	return err
 }
 
-// cancelJob cancels the job with a scoped id. Errors: those of End.
+// cancelJob cancels the job with a scoped id. Errors: those of Cancel.
 func (m *Manager) cancelJob(ctx context.Context, caller serving.Caller, id string) error {
 	if err := m.ensureJobExists(ctx, caller, id); err != nil {
 		return err
--- a/internal/backlog/task.go
+++ b/internal/backlog/task.go
@@ -22,7 +22,7 @@
 
 	content *quarantine.Content // the request as it is sent to targets
 
-	createdAt time.Time // start of the time that waitMetric measures
+	createdAt time.Time // creation of the task; waitMetric measures the time from here to the first run
 
 	mu             sync.Mutex
 	hasRun         bool                   // a run has begun in this process
--- a/internal/backlog/texts_test.go
+++ b/internal/backlog/texts_test.go
@@ -45,7 +45,7 @@
 	return &textStore{store: store.View(), log: testLogger("texts")}
 }
 
-// resultWithText returns a result of an item whose text is stored separately. Its TextAt is not set.
+// resultWithText returns a result of an item whose text is stored separately. Its TextOffset is not set.
 func resultWithText(job string, index int, text string) backlog.Result {
 	return backlog.Result{Job: job, Index: index, Outcome: backlog.Complete, TextSize: len(text), TextChecksum: backlog.Checksum(text)}
 }
@@ -77,7 +77,7 @@
 		n.fleet.ApplyReport("other", fleet.Report{})
 		for size, want := range map[int]bool{0: true, 50: true, 51: false} {
 			if got := n.manager.storesInline(strings.Repeat("x", size)); got != want {
-				t.Errorf("a text of %d bytes with one other process is stored inline: %v, want the opposite", size, got)
+				t.Errorf("a text of %d bytes with one other process: stored inline is %v, want true for 0 and 50 bytes and false for 51", size, got)
 			}
 		}
 		time.Sleep(2 * time.Second)
--- a/internal/backlog/watchdog.go
+++ b/internal/backlog/watchdog.go
@@ -10,8 +10,8 @@
 	"arbutusramp/internal/fleetview"
 )
 
-// watchdog cancels a run of an item if its target stops sending. The item can then resume at another target,
-// and a slot is freed that may belong to a target that has ended.
+// watchdog cancels a run of an item if its target stops sending. The item can then resume at another target.
+// The end of the run also releases its slot, which may belong to a target that has ended.
 type watchdog struct {
 	run *fleetview.Run
 	// hasCancelledRun is set once the watchdog has cancelled the run.
