--- a/core/quarantine/contain_sim_test.go
+++ b/core/quarantine/contain_sim_test.go
@@ -19,8 +19,8 @@
 type jobLoad struct {
 	targets       int     // number of targets
 	crashingShare float64 // share of the items that crash their target
-	// clients is the number of clients. They submit jobs in turn, one job every two seconds. The crashing
-	// items of a client share a resource.
+	// clients is how many clients submit jobs. They take turns, one job every two seconds. The items of a client
+	// that crash targets share a resource.
 	clients      int
 	hasSharedURI bool // all items of a client share a resource
 	hasLosses    bool // a target is lost every four seconds for an unrelated reason
@@ -38,7 +38,7 @@
 // third crash. These runs are trials of the resource that the items share.
 const maxLateCrashes = 3
 
-// containItem is a batch item.
+// containItem is an item of a simulated batch job.
 type containItem struct {
 	subject    Subject
 	isCrashing bool // each run crashes its target
@@ -48,14 +48,14 @@
 	recheckAt  time.Time // the item is not started until then
 }
 
-// containRun is a run of an item at a target.
+// containRun is a run of a containItem that is in progress at a containTarget.
 type containRun struct {
 	item      *containItem
 	beganAt   time.Time
 	hasPassed bool // see MinPassDuration
 }
 
-// containTarget is a target of a containFleet.
+// containTarget is a simulated process that runs up to simSlots items at once and restarts after each crash.
 type containTarget struct {
 	id   string // new after each crash
 	runs []*containRun
@@ -136,7 +136,8 @@
 	return false
 }
 
-// startItem starts a run of an item at the target with the most free slots, and reports whether it could.
+// startItem starts a run of an item at the target with the most free slots, and reports whether the run was
+// started.
 func (f *containFleet) startItem(item *containItem) bool {
 	if f.now.Before(item.recheckAt) {
 		return false
@@ -184,7 +185,7 @@
 	t.id, t.runs, t.upAt = fmt.Sprint("restart-", f.restarts), nil, f.now.Add(simRestartTime)
 }
 
-// noteCrash counts a crash that an item has caused, for the item's client.
+// noteCrash counts the crash of a target, and attributes it to the client of an item that has caused it.
 func (f *containFleet) noteCrash(t *containTarget) {
 	f.crashes++
 	for _, r := range t.runs {
@@ -232,7 +233,7 @@
 	f.waiting = slices.DeleteFunc(f.waiting, f.startItem)
 }
 
-// run simulates simDuration.
+// run simulates the fleet for simDuration of simulated time.
 func (f *containFleet) run() {
 	for at := time.Duration(0); at < simDuration; at += simStep {
 		f.now = testStart.Add(at)
--- a/core/quarantine/fingerprint.go
+++ b/core/quarantine/fingerprint.go
@@ -68,8 +68,8 @@
 // NewContent returns the content of r. The caller must not change r afterwards.
 func NewContent(r *serving.Request) *Content { return &Content{Request: r} }
 
-// SetRouteAndJob sets the name of the request's route and the id of its batch job, which is empty if the request has none.
-// It returns c and must be called before other goroutines use c.
+// SetRouteAndJob sets the name of the request's route and the id of its batch job; each is empty if the request
+// has none. It returns c and must be called before other goroutines use c.
 func (c *Content) SetRouteAndJob(route, job string) *Content {
 	c.route, c.job = route, job
 	return c
--- a/core/quarantine/message.go
+++ b/core/quarantine/message.go
@@ -8,7 +8,7 @@
 	"arbutusramp/core/errs"
 )
 
-// Message is the encoded form of a Record, in which gateways send it to each other and keep it in the store.
+// Message is the form of a Record that is encoded as CBOR. Gateways send it to each other and keep it in the store.
 // Times are in milliseconds since the start of 1970 (UTC).
 type Message struct {
 	Content   []byte         `cbor:"1,keyasint"`           // fingerprint of the content or scope
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -16,8 +16,8 @@
 const maxClockSkew = 10 * time.Second
 
 // minRestartDelay is how long after the crash of a target a run must begin to show that the target has
-// restarted under the same id, if Crash.StartDigest is unknown. It exceeds the usual difference between the clocks
-// of hosts.
+// restarted under the same id, if Crash.StartDigest is unknown. It exceeds the usual difference between the
+// clocks of hosts.
 const minRestartDelay = 2500 * time.Millisecond
 
 // Record holds the crashes of targets while running requests with one content or of one scope. Gateways
@@ -110,7 +110,7 @@
 }
 
 // addCrash adds a crash to r. If r already has it, as observed by another gateway, the lower value of each of
-// At, BeganAt, PrecedingCrashes and By is kept, so that the order of merging does not matter.
+// BrokenAt, BeganAt, PrecedingCrashes and ContentDigest is kept, so that the order of merging does not matter.
 func (r *Record) addCrash(c Crash) {
 	for i := range r.Crashes {
 		if existing := &r.Crashes[i]; existing.isSameCrash(c) {
@@ -122,9 +122,9 @@
 	r.Crashes = append(r.Crashes, c)
 }
 
-// isSameCrash reports whether c and other describe the same crash of a target. If Start is unknown in either,
-// a run that begins at least minRestartDelay after the crash of a target with the same id shows that the
-// target has restarted.
+// isSameCrash reports whether c and other describe the same crash of a target. If StartDigest is 0 in either, a run
+// that begins at least minRestartDelay after the crash of a target with the same id shows that the target has
+// restarted.
 func (c Crash) isSameCrash(other Crash) bool {
 	if c.StartDigest != 0 && other.StartDigest != 0 {
 		return c.StartDigest == other.StartDigest
@@ -144,9 +144,9 @@
 }
 
 // countSequential returns how many of the record's crashes are sequential: each happened in a run that began
-// after the previous crash, according to the clocks of the observing hosts or to PrecedingCrashes. Only sequential
-// crashes show that the content or scope causes them: targets that are lost together, for another reason, all
-// crash while running whatever content many callers send at that time.
+// after the previous crash, according to the clocks of the observing hosts or to PrecedingCrashes. Only
+// sequential crashes show that the content or scope causes them: targets that are lost together, for another
+// reason, all crash while running whatever content many callers send at that time.
 func (r Record) countSequential() int {
 	crashes := slices.SortedFunc(slices.Values(r.Crashes), func(a, b Crash) int {
 		return cmp.Or(cmp.Compare(a.PrecedingCrashes, b.PrecedingCrashes), a.BrokenAt.Compare(b.BrokenAt))
--- a/core/quarantine/registry.go
+++ b/core/quarantine/registry.go
@@ -334,9 +334,9 @@
 	return stored
 }
 
-// isExpired reports whether a record is no longer needed: Options.Hold after LastSeen for a content or scope with
-// enough crashes for a quarantine, suspectRetention after LastSeen or ClearedAt for others. Seen at other gateways
-// may be up to renewInterval later than in the record, so the hold is extended by that.
+// isExpired reports whether a record is no longer needed. A record with at least Options.Threshold crashes is kept
+// for Options.Hold after the later of LastSeen and ClearedAt, any other for suspectRetention. LastSeen at other
+// gateways may be up to renewInterval later than in the record, so the hold is extended by that.
 func (reg *Registry) isExpired(now time.Time, r Record) bool {
 	retention := suspectRetention
 	if len(r.Crashes) >= reg.opts.Threshold {
--- a/core/quarantine/scope.go
+++ b/core/quarantine/scope.go
@@ -29,8 +29,8 @@
 	HasPassed bool
 }
 
-// prefix64 returns the first 64 bits of a content's fingerprint, which serve as Crash.ContentDigest in the record of a
-// scope.
+// prefix64 returns the first 64 bits of a content's fingerprint, which serve as Crash.ContentDigest in the record
+// of a scope.
 func (f Fingerprint) prefix64() uint64 { return binary.BigEndian.Uint64(f[:]) }
 
 // hasPassed reports whether a run of the request's content has recently passed and no target has crashed while
--- a/core/quarantine/share.go
+++ b/core/quarantine/share.go
@@ -9,8 +9,8 @@
 	reg.scheduleWrite(e, now)
 }
 
-// scheduleWrite schedules the record of an entry to be written to the store at a time, or earlier if it
-// already was. If the store holds all of it, nothing is written.
+// scheduleWrite schedules the record of an entry to be written to the store at the time at, or leaves it scheduled
+// for an earlier time. If the store already holds all information of the record, no write is scheduled.
 func (reg *Registry) scheduleWrite(e *entry, at time.Time) {
 	if e.stored.covers(e.Record, reg.renewInterval()) {
 		e.writeAt = time.Time{}
@@ -57,7 +57,8 @@
 	return earliest
 }
 
-// ResendQuarantined schedules all quarantined records to be sent to peers at once, for a peer that has just started.
+// ResendQuarantined schedules all quarantined records to be sent to peers at once. It is meant for the time when a
+// peer has just started and has none of them.
 func (reg *Registry) ResendQuarantined(now time.Time) {
 	for _, e := range reg.entries {
 		if reg.isQuarantined(e) {
@@ -82,8 +83,8 @@
 	return due, next
 }
 
-// NoteStored notes that a record that DueForStore has returned was written to the store. If the record has changed
-// since, it stays due.
+// NoteStored notes that a record that DueForStore has returned was written to the store. If the record has gained
+// information since, it stays due.
 func (reg *Registry) NoteStored(r Record) {
 	e, ok := reg.entries[r.Content]
 	if !ok {
--- a/core/quarantine/sim_test.go
+++ b/core/quarantine/sim_test.go
@@ -44,7 +44,7 @@
 	simItemCount          = 30                      // items in the fleet, running or queued
 )
 
-// simRun is a run of a request at a target.
+// simRun is a run of a stream or batch item that is in progress at a simTarget.
 type simRun struct {
 	content    Fingerprint
 	beganAt    time.Time
@@ -61,7 +61,7 @@
 	isQueued bool
 }
 
-// simTarget is a target of a simFleet.
+// simTarget is a simulated process that runs up to simSlots requests at once and restarts after each crash.
 type simTarget struct {
 	id   string // new after each crash
 	runs []simRun
