--- a/internal/quarantine/probe.go
+++ b/internal/quarantine/probe.go
@@ -22,21 +22,25 @@
 const bufferedDataWindow = 50 * time.Millisecond
 
 // probe probes a target that has broken off a request at brokenAt, and counts its crash if it does not run any
-// more. If no probe shows whether it runs, only its removal from the list of targets does; see NoteTargetsGone.
+// more. If no probe shows whether it runs, only its removal from the list of targets does; see NoteTargetsGone. If
+// the target has broken off further requests meanwhile, it is probed again for these, with the present time as
+// brokenAt: all of them were broken off before.
 func (q *Quarantine) probe(t serving.Target, brokenAt time.Time) {
 	for needsProbe := true; needsProbe; brokenAt = time.Now() {
-		result, probedAt := q.probeUntilConclusive(t, brokenAt)
+		result, observedAt := q.probeUntilConclusive(t, brokenAt)
 		if result == platform.ProbeGone {
 			q.confirmCrash(t.ID, "refused or another start answered")
 		}
-		needsProbe = q.finishProbe(t.ID, result, probedAt)
+		needsProbe = q.finishProbe(t.ID, result, observedAt)
 	}
 }
 
 // probeUntilConclusive probes a target that has broken off a request at brokenAt until a probe shows whether
-// the target runs, or all of probeDelays have passed. Data that the target has sent since is as good as a
-// probe. probedAt is when the last probe began, or the time after which the target has sent data.
-func (q *Quarantine) probeUntilConclusive(t serving.Target, brokenAt time.Time) (result platform.ProbeResult, probedAt time.Time) {
+// the target runs, all of probeDelays have passed, or the target has no suspects any more. Data that the target
+// has sent more than bufferedDataWindow after brokenAt also shows that it runs; the first delay is shorter than
+// that, so there can be none after it. observedAt is when the last probe began or the time after which the target
+// has sent data; zero if there was no probe and no data.
+func (q *Quarantine) probeUntilConclusive(t serving.Target, brokenAt time.Time) (result platform.ProbeResult, observedAt time.Time) {
 	for i, delay := range probeDelays {
 		sleep.For(context.Background(), delay)
 		if dataSince := brokenAt.Add(bufferedDataWindow); i > 0 && q.fleet.HasActivitySince(t.ID, dataSince) {
@@ -45,20 +49,20 @@
 		if !q.hasSuspects(t.ID) {
 			break
 		}
-		probedAt = time.Now()
+		observedAt = time.Now()
 		if result = q.prober.Probe(context.Background(), t); result != platform.ProbeUnknown {
 			break
 		}
 	}
-	return result, probedAt
+	return result, observedAt
 }
 
-// finishProbe dismisses the suspects that the target broke off before probedAt if the result is that it runs.
-// It reports whether the target has to be probed again because it has broken off other requests since.
-func (q *Quarantine) finishProbe(target string, result platform.ProbeResult, probedAt time.Time) (needsProbe bool) {
+// finishProbe dismisses the suspects of the target whose runs ended before observedAt, if the result is that the
+// target runs. It reports whether the target has to be probed again because it has broken off other requests since.
+func (q *Quarantine) finishProbe(target string, result platform.ProbeResult, observedAt time.Time) (needsProbe bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if result == platform.ProbeAlive && q.suspects.dismiss(target, probedAt) {
+	if result == platform.ProbeAlive && q.suspects.dismiss(target, observedAt) {
 		return true
 	}
 	if t, ok := q.suspects.byTarget[target]; ok {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -27,7 +27,7 @@
 
 // Names of the metrics.
 const (
-	brokenOffMetric   = "quarantine.broken_off"  // runs that targets have broken off, except those that had certainly not begun
+	brokenOffMetric   = "quarantine.broken_off"  // runs that targets have broken off; callers report none that had certainly not begun
 	fellSilentMetric  = "quarantine.fell_silent" // runs that were ended because their targets sent nothing
 	crashesMetric     = "quarantine.crashes"     // crashes of targets that this process has counted against contents
 	rejectedMetric    = "quarantine.rejected"    // requests that were not sent because their content or a scope is quarantined
@@ -50,11 +50,11 @@
 	RequestReport()
 }
 
-// NoFleet is a Fleet and a platform.TargetProber without targets and peers. It is for processes that do not
-// detect crashes of targets themselves and exchange records through the store alone.
+// NoFleet is a Fleet and a platform.TargetProber for processes that do not observe targets and exchange records
+// through the store alone. It may be embedded to override some of its methods.
 type NoFleet struct{}
 
-// IsInService implements Fleet.
+// IsInService implements Fleet. It returns true: without a list of targets, none is known to be leaving.
 func (NoFleet) IsInService(string) bool { return true }
 
 // HasActivitySince implements Fleet.
@@ -79,7 +79,7 @@
 	Metrics   metrics.Registry
 }
 
-// Quarantine holds the records of crashes of this process in a quarantine.Registry and checks requests
+// Quarantine holds this process's records of target crashes in a quarantine.Registry and checks requests
 // against them. It detects crashes of targets and exchanges records with peers and the store. It is safe for
 // concurrent use.
 type Quarantine struct {
@@ -88,7 +88,7 @@
 	prober     platform.TargetProber
 	fleet      Fleet
 	log        hclog.Logger
-	routineLog *logging.Routine // for lines that may be frequent
+	routineLog *logging.Routine // limits the rate of lines that each request may cause
 	brokenOff  metrics.Counter
 	fellSilent metrics.Counter
 	crashes    metrics.Counter
@@ -188,7 +188,7 @@
 
 // AdmitRequest must be called immediately before a request is sent to a target. It returns an error of type
 // errs.Quarantined if the request must not be sent. If a trial is due, a quarantined request is admitted, to
-// find out whether it causes the crashes, and the trial is sent to peers.
+// find out whether it causes the crashes, and the record of the trial is sent to peers and to the store.
 func (q *Quarantine) AdmitRequest(c *quarantine.Content) error {
 	if q.IsEmpty() {
 		return nil
@@ -200,7 +200,7 @@
 	return err
 }
 
-// admit is AdmitRequest without sending a trial to peers; isTrial reports whether the request is one.
+// admit is AdmitRequest without propagating the record of a trial; isTrial reports whether the request is a trial.
 func (q *Quarantine) admit(c *quarantine.Content) (isTrial bool, err error) {
 	subject, now := q.subject(c), time.Now()
 	q.mu.Lock()
@@ -221,7 +221,7 @@
 	return isContentTrial || isScopeTrial, nil
 }
 
-// What is quarantined when a request is rejected, as it appears in log lines.
+// Values of the log key why for a rejected request: whether its content or one of its scopes is quarantined.
 const (
 	reasonContent = "content"
 	reasonScope   = "scope"
@@ -340,8 +340,8 @@
 	}
 }
 
-// maxRecordsPerReport bounds the number of records in one report to peers, which then adds some hundred bytes
-// to the report.
+// maxRecordsPerReport bounds the number of records in one report to peers, to keep reports small: each record
+// adds some hundred bytes.
 const maxRecordsPerReport = 8
 
 // DueForPeers returns the records for the next report to peers: those that are due, at most maxRecordsPerReport.
@@ -354,8 +354,8 @@
 	return q.registry.DueForPeers(time.Now(), maxRecordsPerReport)
 }
 
-// NotePeerStarted notes that a message from a peer was received for the first time. It sends all quarantined
-// records to peers again.
+// NotePeerStarted notes that a new or restarted peer was found, which has no records yet. It causes all quarantined
+// records to be sent to all peers again.
 func (q *Quarantine) NotePeerStarted() {
 	if q.IsEmpty() {
 		return
--- a/internal/quarantine/suspects.go
+++ b/internal/quarantine/suspects.go
@@ -31,12 +31,12 @@
 	return suspect{content: b.Content, start: b.StartID, beganAt: b.BeganAt, brokenAt: brokenAt, isUnpassed: !b.HasPassed}
 }
 
-// suspectTarget holds the state of a target that has recently broken off requests or fallen silent.
+// suspectTarget holds the state of a target that has broken off requests or fallen silent within suspicionTTL.
 type suspectTarget struct {
 	suspects     []suspect // runs for which it is not yet known whether the target has crashed
 	lastBrokenAt time.Time // when the target last broke off a run or fell silent
 	isProbing    bool      // a probe of the target is in progress
-	isSilent     bool      // the last of these runs was ended by this process because the target sent nothing
+	isSilent     bool      // at lastBrokenAt, the target fell silent: this process ended a run because it sent nothing
 	// evidence describes how a crash of the target was detected; empty if none was. crashedAt is when the
 	// crash was detected.
 	evidence  string
@@ -78,15 +78,15 @@
 	return list
 }
 
-// dismiss removes the suspects of a target that ended before aliveAt, a time at which the target was found to
-// run. It reports whether any suspects of the target remain.
-func (s *suspectTable) dismiss(id string, aliveAt time.Time) (hasRemaining bool) {
+// dismiss removes the suspects of a target whose runs ended before observedAt, a time at which the target was
+// found to run. It reports whether any suspects of the target remain.
+func (s *suspectTable) dismiss(id string, observedAt time.Time) (hasRemaining bool) {
 	t, ok := s.byTarget[id]
 	if !ok {
 		return false
 	}
 	s.count -= len(t.suspects)
-	t.suspects = slices.DeleteFunc(t.suspects, func(run suspect) bool { return run.brokenAt.Before(aliveAt) })
+	t.suspects = slices.DeleteFunc(t.suspects, func(run suspect) bool { return run.brokenAt.Before(observedAt) })
 	s.count += len(t.suspects)
 	return len(t.suspects) > 0
 }
