--- a/core/quarantine/contain_sim_test.go
+++ b/core/quarantine/contain_sim_test.go
@@ -209,16 +209,16 @@
 	for _, t := range f.targets {
 		hasCrashed := false
 		t.runs = slices.DeleteFunc(t.runs, func(r *containRun) bool {
-			ran := f.now.Sub(r.beganAt)
-			hasCrashed = hasCrashed || r.item.isCrashing && ran >= simCrashDelay
+			elapsed := f.now.Sub(r.beganAt)
+			hasCrashed = hasCrashed || r.item.isCrashing && elapsed >= simCrashDelay
 			if r.item.isCrashing {
 				return false
 			}
-			if f.rules.hasScopes && !r.hasPassed && ran >= simFirstEventDelay+MinPassDuration {
+			if f.rules.hasScopes && !r.hasPassed && elapsed >= simFirstEventDelay+MinPassDuration {
 				r.hasPassed = true
 				f.registry.NotePassed(f.now, r.item.subject)
 			}
-			if ran < containRunDuration {
+			if elapsed < containRunDuration {
 				return false
 			}
 			f.served++
--- a/core/quarantine/registry.go
+++ b/core/quarantine/registry.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// DefaultThreshold is the number of crashes of targets after which a content is quarantined. With two,
+	// DefaultThreshold is the number of crashes of targets after which a content is quarantined. With two crashes,
 	// more harmless requests would be quarantined: those that ran on the same targets as the one that causes
 	// crashes.
 	DefaultThreshold = 3
@@ -53,7 +53,8 @@
 	nextSendAt time.Time
 }
 
-// entry is the record of one content or scope, with the times at which it is next sent, written and tried.
+// entry is the record of one content or scope, with the times at which it is next sent to peers and written to the
+// store, and from which the next trial may be sent.
 type entry struct {
 	Record
 	// stored is the record of the content or scope that the store is known to hold.
--- a/core/quarantine/sim_test.go
+++ b/core/quarantine/sim_test.go
@@ -150,8 +150,8 @@
 // noteBroken counts the crash of a target against the content of a run that it broke off, and queues the item
 // or retries the stream of the run.
 func (f *simFleet) noteBroken(t *simTarget, r simRun) {
-	ran := max(0, f.now.Sub(r.beganAt)-simFirstEventDelay)
-	hasAdvanced := r.item != nil && r.item.progress > 0 && ran > 0
+	advance := max(0, f.now.Sub(r.beganAt)-simFirstEventDelay)
+	hasAdvanced := r.item != nil && r.item.progress > 0 && advance > 0
 	if !f.opts.hasProgress || !hasAdvanced {
 		f.registry.NoteCrash(f.now, r.content, NewCrash(t.id, t.id, r.beganAt, f.now))
 	}
@@ -159,7 +159,7 @@
 	case r.isCrashing:
 		return
 	case r.item != nil:
-		r.item.progress += ran
+		r.item.progress += advance
 		r.item.isQueued = true
 	default:
 		f.brokenStreams++
@@ -208,9 +208,9 @@
 		running := t.runs[:0:0]
 		hasCrashed := false
 		for _, r := range t.runs {
-			ran := f.now.Sub(r.beganAt)
-			hasCrashed = hasCrashed || r.isCrashing && ran >= simCrashDelay
-			if r.isCrashing || ran < r.duration {
+			elapsed := f.now.Sub(r.beganAt)
+			hasCrashed = hasCrashed || r.isCrashing && elapsed >= simCrashDelay
+			if r.isCrashing || elapsed < r.duration {
 				running = append(running, r)
 				continue
 			}
--- a/internal/quarantine/interrupted.go
+++ b/internal/quarantine/interrupted.go
@@ -23,7 +23,8 @@
 	target serving.Target
 }
 
-// interruptions are the runs that this process has ended within interruptionWindow, oldest first.
+// interruptions are the runs that this process has recently ended, oldest first. Those that were ended more than
+// interruptionWindow ago are removed when the list is next used.
 type interruptions []suspectAtTarget
 
 // prune removes the runs that were ended more than interruptionWindow before now.
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -44,7 +44,7 @@
 type Fleet interface {
 	// IsInService reports whether a target is on the list of targets and not leaving.
 	IsInService(id string) bool
-	// HasActivitySince reports whether a target has sent data to this process after a time.
+	// HasActivitySince reports whether a target has sent data to this process after t.
 	HasActivitySince(id string, t time.Time) bool
 	// RequestReport sends a report to peers soon, instead of when the next one is due.
 	RequestReport()
@@ -108,7 +108,7 @@
 	mu       sync.Mutex // guards the fields below
 	registry *quarantine.Registry
 	suspects suspectTable
-	// recentInterruptions are the runs that this process has ended within interruptionWindow.
+	// recentInterruptions are the runs that this process has recently ended; see NoteInterrupted.
 	recentInterruptions interruptions
 }
 
--- a/internal/quarantine/suspects.go
+++ b/internal/quarantine/suspects.go
@@ -31,7 +31,8 @@
 	return suspect{content: b.Content, start: b.StartID, beganAt: b.BeganAt, brokenAt: brokenAt, isUnpassed: !b.HasPassed}
 }
 
-// suspectTarget holds the state of a target that has broken off requests or fallen silent within suspicionTTL.
+// suspectTarget holds the state of a target that has broken off requests or fallen silent. It is kept for at least
+// suspicionTTL after lastBrokenAt.
 type suspectTarget struct {
 	suspects     []suspect // runs for which it is not yet known whether the target has crashed
 	lastBrokenAt time.Time // when the target last broke off a run or fell silent
@@ -43,7 +44,8 @@
 	crashedAt time.Time
 }
 
-// suspectTable holds the targets that have recently broken off requests or fallen silent, with their suspects.
+// suspectTable holds the targets that have recently broken off requests or fallen silent, with their suspects. It
+// is not safe for concurrent use.
 type suspectTable struct {
 	byTarget map[string]*suspectTarget // by the id of the target
 	count    int                       // number of suspects of all targets
@@ -101,7 +103,7 @@
 	return t
 }
 
-// hasBrokenSince reports whether a target has broken off a request or fallen silent at or after a time.
+// hasBrokenSince reports whether a target has broken off a request or fallen silent at the time since or later.
 func (s *suspectTable) hasBrokenSince(id string, since time.Time) bool {
 	t, ok := s.byTarget[id]
 	return ok && !t.lastBrokenAt.Before(since)
