--- a/core/quarantine/message.go
+++ b/core/quarantine/message.go
@@ -13,9 +13,9 @@
 type Message struct {
 	Content   []byte         `cbor:"1,keyasint"`           // fingerprint of the content or scope
 	Crashes   []CrashMessage `cbor:"2,keyasint,omitempty"` // newest first
-	ClearedAt int64          `cbor:"3,keyasint,omitempty"` // 0: never
-	LastSeen  int64          `cbor:"4,keyasint,omitempty"` // 0: never
-	LastTrial int64          `cbor:"5,keyasint,omitempty"` // 0: never
+	ClearedAt int64          `cbor:"3,keyasint,omitempty"` // Record.ClearedAt; 0: never
+	LastSeen  int64          `cbor:"4,keyasint,omitempty"` // Record.LastSeen; 0: never
+	LastTrial int64          `cbor:"5,keyasint,omitempty"` // Record.LastTrial; 0: never
 	IsScope   bool           `cbor:"6,keyasint,omitempty"` // Content identifies a scope
 	// Details holds the fields of each crash that CrashMessage lacks, in the order of Crashes. It is empty if
 	// the software version of the sender does not have these fields.
@@ -36,7 +36,7 @@
 type CrashDetails struct {
 	_         struct{} `cbor:",toarray"`
 	Start     uint64   // digest of the id of the target's process; 0 if unknown
-	Preceding int      // crashes that the sending gateway had received when the run began
+	Preceding int      // Crash.PrecedingCrashes: crashes known when the run began
 	By        uint64   // digest of the content that was run; 0 except in the record of a scope
 }
 
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -27,7 +27,9 @@
 
 // Names of the metrics.
 const (
-	brokenOffMetric   = "quarantine.broken_off"  // runs that targets have broken off; callers report none that had certainly not begun
+	// brokenOffMetric counts the runs that callers have reported as broken off by targets. A run that had certainly
+	// not begun is reported only if its target is known to have crashed.
+	brokenOffMetric   = "quarantine.broken_off"
 	fellSilentMetric  = "quarantine.fell_silent" // runs that were ended because their targets sent nothing
 	crashesMetric     = "quarantine.crashes"     // crashes of targets that this process has counted against contents
 	rejectedMetric    = "quarantine.rejected"    // requests that were not sent because their content or a scope is quarantined
--- a/internal/quarantine/suspects.go
+++ b/internal/quarantine/suspects.go
@@ -109,8 +109,8 @@
 	return ok && !t.lastBrokenAt.Before(since)
 }
 
-// NoteBrokenOff notes a run that a target has broken off. If it is not known yet whether the target has crashed or
-// only the connection was lost, it starts a probe of the target.
+// NoteBrokenOff notes a run that a target has broken off or during which the target was found to have crashed. If it
+// is not known yet whether the target has crashed or only the connection was lost, it starts a probe of the target.
 func (q *Quarantine) NoteBrokenOff(b quarantine.BrokenRun) {
 	now := time.Now()
 	s := newSuspect(b, now)
