--- a/core/quarantine/registry.go
+++ b/core/quarantine/registry.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// DefaultThreshold is the number of crashes of targets after which a content is quarantined. With two,
+	// DefaultThreshold is the number of crashes of targets after which a content is quarantined. With two crashes,
 	// more harmless requests would be quarantined: those that ran on the same targets as the one that causes
 	// crashes.
 	DefaultThreshold = 3
@@ -53,7 +53,8 @@
 	nextSendAt time.Time
 }
 
-// entry is the record of one content or scope, with the times at which it is next sent, written and tried.
+// entry is the record of one content or scope, with the times at which it is next sent to peers and written to the
+// store, and from which the next trial may be sent.
 type entry struct {
 	Record
 	// stored is the record of the content or scope that the store is known to hold.
@@ -334,9 +335,9 @@
 	return stored
 }
 
-// isExpired reports whether a record is no longer needed: Options.Hold after LastSeen for a content or scope with
-// enough crashes for a quarantine, suspectRetention after LastSeen or ClearedAt for others. Seen at other gateways
-// may be up to renewInterval later than in the record, so the hold is extended by that.
+// isExpired reports whether a record is no longer needed. A record with at least Options.Threshold crashes is kept
+// for Options.Hold after the later of LastSeen and ClearedAt, any other for suspectRetention. LastSeen at other
+// gateways may be up to renewInterval later than in the record, so the hold is extended by that.
 func (reg *Registry) isExpired(now time.Time, r Record) bool {
 	retention := suspectRetention
 	if len(r.Crashes) >= reg.opts.Threshold {
--- a/internal/quarantine/suspects.go
+++ b/internal/quarantine/suspects.go
@@ -31,19 +31,21 @@
 	return suspect{content: b.Content, start: b.StartID, beganAt: b.BeganAt, brokenAt: brokenAt, isUnpassed: !b.HasPassed}
 }
 
-// suspectTarget holds the state of a target that has recently broken off requests or fallen silent.
+// suspectTarget holds the state of a target that has broken off requests or fallen silent. It is kept for at least
+// suspicionTTL after lastBrokenAt.
 type suspectTarget struct {
 	suspects     []suspect // runs for which it is not yet known whether the target has crashed
 	lastBrokenAt time.Time // when the target last broke off a run or fell silent
 	isProbing    bool      // a probe of the target is in progress
-	isSilent     bool      // the last of these runs was ended by this process because the target sent nothing
+	isSilent     bool      // at lastBrokenAt, the target fell silent: this process ended a run because it sent nothing
 	// evidence describes how a crash of the target was detected; empty if none was. crashedAt is when the
 	// crash was detected.
 	evidence  string
 	crashedAt time.Time
 }
 
-// suspectTable holds the targets that have recently broken off requests or fallen silent, with their suspects.
+// suspectTable holds the targets that have recently broken off requests or fallen silent, with their suspects. It
+// is not safe for concurrent use.
 type suspectTable struct {
 	byTarget map[string]*suspectTarget // by the id of the target
 	count    int                       // number of suspects of all targets
@@ -78,15 +80,15 @@
 	return list
 }
 
-// dismiss removes the suspects of a target that ended before aliveAt, a time at which the target was found to
-// run. It reports whether any suspects of the target remain.
-func (s *suspectTable) dismiss(id string, aliveAt time.Time) (hasRemaining bool) {
+// dismiss removes the suspects of a target whose runs ended before observedAt, a time at which the target was
+// found to run. It reports whether any suspects of the target remain.
+func (s *suspectTable) dismiss(id string, observedAt time.Time) (hasRemaining bool) {
 	t, ok := s.byTarget[id]
 	if !ok {
 		return false
 	}
 	s.count -= len(t.suspects)
-	t.suspects = slices.DeleteFunc(t.suspects, func(run suspect) bool { return run.brokenAt.Before(aliveAt) })
+	t.suspects = slices.DeleteFunc(t.suspects, func(run suspect) bool { return run.brokenAt.Before(observedAt) })
 	s.count += len(t.suspects)
 	return len(t.suspects) > 0
 }
@@ -101,14 +103,14 @@
 	return t
 }
 
-// hasBrokenSince reports whether a target has broken off a request or fallen silent at or after a time.
+// hasBrokenSince reports whether a target has broken off a request or fallen silent at the time since or later.
 func (s *suspectTable) hasBrokenSince(id string, since time.Time) bool {
 	t, ok := s.byTarget[id]
 	return ok && !t.lastBrokenAt.Before(since)
 }
 
-// NoteBrokenOff notes a run that a target has broken off. If it is not known yet whether the target has crashed or
-// only the connection was lost, it starts a probe of the target.
+// NoteBrokenOff notes a run that a target has broken off or during which the target was found to have crashed. If it
+// is not known yet whether the target has crashed or only the connection was lost, it starts a probe of the target.
 func (q *Quarantine) NoteBrokenOff(b quarantine.BrokenRun) {
 	now := time.Now()
 	s := newSuspect(b, now)
