--- a/core/fanout/fanout_test.go
+++ b/core/fanout/fanout_test.go
@@ -69,7 +69,7 @@
 		t.Errorf("%d different ranks for %d gateways, want one for each gateway", len(ranks), len(members))
 	}
 	if CapacityFromCores(1000) != 255 || CapacityFromCores(-1) != 0 {
-		t.Error("the capacities of 1000 and -1 cores are not limited to 255 and 0")
+		t.Error("the capacities of 1000 and -1 cores are out of range, want 255 and 0")
 	}
 }
 
@@ -158,7 +158,7 @@
 	table.PutHeartbeat(Entry[int]{ID: 1, Seq: 2, LastSeen: now.Add(500 * time.Millisecond), IsIdle: true})
 	table.PutHeartbeat(Entry[int]{ID: 2, LastSeen: now, HasStopped: true})
 	if entries := table.TakeHeartbeats(); len(entries) != 2 || len(table.TakeHeartbeats()) != 0 {
-		t.Errorf("the first call returns the heartbeats %+v, want 2; the second call must return none", entries)
+		t.Errorf("the first call of TakeHeartbeats returns %+v, want 2 heartbeats; the second call must return none", entries)
 	}
 	now = now.Add(1200 * time.Millisecond)
 	entries := table.PruneAndList(now, 0)
@@ -174,6 +174,6 @@
 		t.Errorf("live entries %+v, want gateway 1 idle, not stopped and with report 0", entries)
 	}
 	if entries := table.PruneAndList(now.Add(time.Minute), 0); len(entries) != 0 || table.Len() != 0 {
-		t.Errorf("%d gateways are live after a minute of silence, want none, and an empty table", len(entries))
+		t.Errorf("PruneAndList returns %d gateways after a minute of silence, want 0 and a table of length 0", len(entries))
 	}
 }
--- a/core/fanout/table.go
+++ b/core/fanout/table.go
@@ -13,8 +13,9 @@
 	Seq uint64
 	// LastSeen is when a hub last received a report from the gateway, by this process's clock.
 	LastSeen time.Time
-	// LastStoreContact is when the platform's log store last answered the gateway. HasLostStore is set if the gateway has
-	// lost its own connection to that store.
+	// LastStoreContact is when the platform's log store last answered the gateway, as the gateway reports it.
+	// HasLostStore is set if the gateway has lost its direct connection to the store and reaches it through a
+	// peer, if at all.
 	LastStoreContact time.Time
 	HasLostStore     bool
 	// IsIdle is set if the report holds no load and no other content that other gateways need.
@@ -24,7 +25,7 @@
 	Report     R
 }
 
-// Table holds what a hub has collected: the newest report of each gateway of its domain, and the reports and
+// Table holds what a hub has received: the newest report of each gateway of its domain, and the reports and
 // heartbeats that hubs of other domains have sent to it. Its methods must not be called concurrently.
 type Table[R any] struct {
 	ttl   time.Duration
@@ -42,14 +43,15 @@
 	isHeartbeatPending bool // the row is in Table.heartbeats
 }
 
-// NewTable returns an empty table. Refresh drops gateways that have been silent for longer than ttl. merge
+// NewTable returns an empty table. PruneAndList drops gateways that have been silent for longer than ttl. merge
 // combines a report that was not forwarded yet with the next one of the same gateway.
 func NewTable[R any](ttl time.Duration, merge func(undelivered, next R) R) *Table[R] {
 	return &Table[R]{ttl: ttl, merge: merge, rows: make(map[ID]*row[R])}
 }
 
-// Put stores the report in e. If its sequence number is not larger than that of the stored report, e only
-// counts as a heartbeat. If isForwardDue is set, the next call of TakeChanges returns the report, unless both it
+// Put stores the report in e, merged with the stored one if that is still to be forwarded. If its sequence
+// number is not larger than that of the stored report, Put only records when the gateway was last seen and its
+// state. If isForwardDue is set, the next call of TakeChanges returns the report, unless both it
 // and the stored report are idle.
 func (t *Table[R]) Put(e Entry[R], isForwardDue bool) {
 	r := t.ensureRow(e)
@@ -96,15 +98,15 @@
 }
 
 // recordLiveness copies from e when the gateway was last seen, whether its process has stopped, and the state
-// of its connection to the store. It does nothing unless e.Heard is later than that of the row.
+// of its connection to the store. It does nothing unless e.LastSeen is later than that of the row.
 func (r *row[R]) recordLiveness(e Entry[R]) {
 	if e.LastSeen.After(r.LastSeen) {
 		r.LastSeen, r.LastStoreContact, r.HasLostStore, r.HasStopped = e.LastSeen, e.LastStoreContact, e.HasLostStore, e.HasStopped
 	}
 }
 
-// MarkStopped marks a gateway's process as stopped until a newer report or heartbeat arrives. An unknown id is
-// ignored.
+// MarkStopped marks a gateway's process as stopped until a report or heartbeat with a later LastSeen is stored.
+// An unknown id is ignored.
 func (t *Table[R]) MarkStopped(id ID) {
 	if r, ok := t.rows[id]; ok {
 		r.HasStopped = true
