--- a/core/fanout/overlay.go
+++ b/core/fanout/overlay.go
@@ -18,9 +18,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// hubsPerDomain is the number of hubs of a domain. All of them receive each report of its gateways. Each hub
-// forwards half of the reports at once and sends the state of all gateways again at regular intervals: the
-// loss of one hub delays half of the reports until it is detected.
+// hubsPerDomain is the number of hubs of a domain. All of them receive each report of the domain's gateways.
+// Each hub forwards half of the reports at once and sends the state of all gateways of the domain again at
+// regular intervals: the loss of one hub delays half of the reports until the loss is detected.
 const hubsPerDomain = 2
 
 // maxFlatReceivers is the largest number of receivers to which a hub sends directly. With more of them it
--- a/core/fanout/table.go
+++ b/core/fanout/table.go
@@ -13,7 +13,7 @@
 	Seq uint64
 	// LastSeen is when a hub last received a report from the gateway, by this process's clock.
 	LastSeen time.Time
-	// LastStoreContact is when the platform's log store last answered the gateway, as the gateway reports it.
+	// LastStoreContact is when the platform's store last answered the gateway, directly or through a peer.
 	// HasLostStore is set if the gateway has lost its direct connection to the store and reaches it through a
 	// peer, if at all.
 	LastStoreContact time.Time
