--- a/internal/loadshare/batch.go
+++ b/internal/loadshare/batch.go
@@ -26,18 +26,18 @@
 type batchContent struct {
 	_      struct{}        `cbor:",toarray"`
 	Hub    netip.AddrPort  // the hub that has built the batch
-	Intros []peerInfo      // descriptions of gateways whose ids the batch or an earlier one contains
-	News   []relayedReport // reports that are new, or repeated in a refresh
+	Intros []peerInfo      // descriptions of gateways whose ids this batch or an earlier one contains
+	News   []relayedReport // reports that are new, and reports that the hub repeats every refreshInterval
 	Signs  []byte          // heartbeats as encoded by appendHeartbeat
 }
 
-// peerInfo describes the gateway that an id in batches stands for. The id is derived from the name.
+// peerInfo describes the gateway that an id in batches stands for. The id is gatewayID(Name).
 type peerInfo struct {
 	_      struct{} `cbor:",toarray"`
 	Name   fleet.Peer
 	Addr   netip.AddrPort
 	Domain digest // digest of the name of the gateway's failure domain
-	// Capacity is the processor time available to the gateway.
+	// Capacity is the processor time available to the gateway; 0 if unknown.
 	Capacity fanout.Capacity
 }
 
@@ -69,14 +69,15 @@
 	}
 }
 
-// isIdle reports whether the report contains no loads, waiting items, suspects, counts or quarantine records.
+// isIdle reports whether the report contains no loads, waiting items, suspects, counts of admitted requests or
+// quarantine records.
 func (r relayedReport) isIdle() bool {
 	return len(r.Loads) == 0 && r.Items == 0 && len(r.Suspects) == 0 && len(r.Admitted) == 0 && len(r.Quarantine) == 0
 }
 
-// mergeReports combines two reports of a gateway, of which undelivered was not forwarded. It returns next
-// with the quarantine records of undelivered added, and with its counts of workspaces that next does not
-// count.
+// mergeReports combines two reports of a gateway, of which undelivered was not forwarded. It returns next, with
+// the quarantine records of undelivered added, and its counts of admitted requests for the workspaces that next
+// has no count for.
 func mergeReports(undelivered, next relayedReport) relayedReport {
 	isReported := make(map[string]bool, len(next.Admitted))
 	for _, c := range next.Admitted {
@@ -96,10 +97,10 @@
 	id              fanout.ID
 	seq             uint16        // the low 16 bits of the sequence number of its newest report
 	age             time.Duration // time since the gateway was last seen; limited to maxEncodedAge
-	storeContactAge time.Duration // time since the store last answered it; limited to maxEncodedStoreContactAge
+	storeContactAge time.Duration // time since the platform's store last answered it; limited to maxEncodedStoreContactAge
 	isIdle          bool          // its newest report holds nothing that other gateways need
 	hasStopped      bool          // a hub has detected that its process has stopped
-	hasLostStore    bool          // it has lost its own connection to the store
+	hasLostStore    bool          // it has no direct connection to the platform's store; see report.HasLostStore
 }
 
 // Encoding of a heartbeat: id and seq in little-endian order, then age, storeContactAge and flags in a byte
@@ -170,8 +171,9 @@
 	return b, c, heartbeats, err
 }
 
-// Largest numbers of entries of each kind in one batch. They keep it below 16 KiB unless reports are
-// unusually long.
+// Largest numbers of entries of each kind in one batch. They keep a batch below 16 KiB if each report
+// holds two loads and nothing else. Longer reports make a longer batch, which is received whole up to
+// maxDatagramBytes (60 KiB).
 const (
 	maxPeerInfos  = 64
 	maxReports    = 128
--- a/internal/loadshare/batch_test.go
+++ b/internal/loadshare/batch_test.go
@@ -74,7 +74,7 @@
 		counts[2] += len(decodedHeartbeats)
 	}
 	if counts != [3]int{gateways, gateways, gateways} {
-		t.Errorf("the batches contain %v descriptions, reports and heartbeats, want %d of each", counts, gateways)
+		t.Errorf("the batches contain %v descriptions, reports and heartbeats, want %d of each kind", counts, gateways)
 	}
 }
 
@@ -94,7 +94,9 @@
 	for name, b := range map[string]batch{"cut": {Content: encodedContent[:len(encodedContent)-1]}, "no hub": {Content: contentWithoutHub}, "empty": {}} {
 		data, err := cbor.Marshal(b)
 		if err != nil {
-			data = []byte{0x82, 0x80} // ends before the content
+			// The truncated content of the cut batch is not valid CBOR, which Marshal rejects. These bytes
+			// are a batch that ends before its content instead.
+			data = []byte{0x82, 0x80}
 		}
 		s.handleDatagram(data, testAddr(1))
 		if s.PeerCount() != 0 {
@@ -163,8 +165,8 @@
 		f.Fatal(err)
 	}
 	f.Add(validBatch)
-	f.Add([]byte{0x82, 0x80, 0x80})
-	f.Add([]byte{0xa1, 0x01, 0x61, 0x61})
+	f.Add([]byte{0x82, 0x80, 0x80})       // a batch whose content is an empty array
+	f.Add([]byte{0xa1, 0x01, 0x61, 0x61}) // a report with only the sender's name, a
 	s, _ := newTestSharer(f, "self")
 	f.Cleanup(func() { _ = s.conn.Close() })
 	f.Fuzz(func(_ *testing.T, data []byte) { s.handleDatagram(data, testAddr(1)) })
--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -123,7 +123,7 @@
 	return hubUpdate{changes: slices.DeleteFunc(slices.Clone(u.changes), isOtherDomain), heartbeats: slices.DeleteFunc(slices.Clone(u.heartbeats), isOtherDomain)}
 }
 
-// runHub distributes the reports that other gateways send to this one, until ctx ends.
+// runHub distributes the reports in this gateway's table as a hub, until ctx ends.
 func (s *Sharer) runHub(ctx context.Context) error {
 	refreshTimer := sleep.NewTimer(refreshInterval)
 	defer refreshTimer.Stop()
@@ -164,8 +164,8 @@
 	}
 }
 
-// HubReporterCount returns the number of gateways of the own domain whose reports this one forwards as a hub, at its last
-// refresh; 0 if it is no hub.
+// HubReporterCount returns the number of gateways of the own domain whose reports this gateway held as a hub at
+// its last refresh; 0 if it is no hub.
 func (s *Sharer) HubReporterCount() int {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
@@ -270,7 +270,8 @@
 	signal(h.changed)
 }
 
-// markStopped marks a gateway's process as stopped in the table, so that the next heartbeat says so.
+// markStopped marks a gateway's process as stopped in the table, so that the next heartbeat for the gateway has
+// hasStopped set.
 func (h *hub) markStopped(id fanout.ID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -49,10 +49,10 @@
 	silentAfter        = 3 * time.Second
 	silentSendInterval = time.Second
 	// removeAfter is the time without a report or heartbeat of a peer after which the peer is dropped. It is
-	// added again from the list of gateways in the store, or when it reports.
+	// added again from the list of gateways in the platform's store, or when it reports.
 	removeAfter = 60 * time.Second
-	// maxStoreContactAge is the longest time since the store last answered a peer for which the peer counts
-	// as having access to the store. Without faults the store answers each gateway at least every 0.6 s.
+	// maxStoreContactAge is the longest time since the platform's store last answered a peer for which the peer
+	// counts as having access to the store. Without faults the store answers each gateway at least every 0.6 s.
 	maxStoreContactAge = time.Second
 	// maxDatagramBytes is the largest size of a datagram that is received whole.
 	maxDatagramBytes = 60 << 10
@@ -74,14 +74,14 @@
 	// that is silent or whose domain is unknown; see silentSendInterval.
 	lastSent   time.Time
 	lastProbed time.Time // time of the last probe; see peersToProbe
-	// lastStoreContact is when the platform's log store last answered the peer. hasLostStore is set if the
-	// peer has lost its own connection to that store.
+	// lastStoreContact is when the platform's store last answered the peer, directly or through another gateway.
+	// hasLostStore is set if the peer has lost its direct connection to the store; see report.HasLostStore.
 	lastStoreContact time.Time
 	hasLostStore     bool
 }
 
-// hasStoreAccess reports whether the peer is live and the store has answered it over its own connection
-// within maxStoreContactAge.
+// hasStoreAccess reports whether the peer is live, has a direct connection to the platform's store, and was
+// answered by the store within maxStoreContactAge.
 func (p *peer) hasStoreAccess(now time.Time) bool {
 	return now.Sub(p.lastSeen) < PeerTTL && !p.hasLostStore && now.Sub(p.lastStoreContact) < maxStoreContactAge
 }
@@ -102,10 +102,10 @@
 	capacity  fanout.Capacity
 	hasRelays bool // policy.ReportRelays is enabled: gateways forward reports of others; see selectReceivers
 	view      *fleetview.View
-	// hasLostStore reports whether this process has lost its own connection to the store.
+	// hasLostStore reports whether this process has lost its direct connection to the platform's store.
 	hasLostStore func() bool
 	quotas       Quotas
-	// quarantine provides and receives records of requests under which targets crash.
+	// quarantine provides and receives records of requests during which targets crashed.
 	quarantine Quarantine
 	log        hclog.Logger
 	routineLog *logging.Routine // rate-limited logger for the "peer" line: many peers may start at once
@@ -121,7 +121,7 @@
 	// unknownIDs identify gateways that appear in the batches of hubs and are not in byID. The next report
 	// requests their descriptions.
 	unknownIDs map[fanout.ID]struct{}
-	// isPeerListLoaded is set once AddPeer has been called for every gateway listed in the store.
+	// isPeerListLoaded is set once AddPeer has been called for every gateway listed in the platform's store.
 	isPeerListLoaded bool
 	startTime        time.Time
 }
@@ -139,7 +139,7 @@
 	RemovePeer(addr string)
 }
 
-// Quarantine holds records of requests under which targets crash, which gateways exchange.
+// Quarantine holds records of requests during which targets crashed. Gateways exchange these records.
 type Quarantine interface {
 	// DueForPeers returns the records to send to peers now. It returns a record several times, at growing
 	// intervals.
@@ -151,7 +151,7 @@
 	NotePeerStarted()
 }
 
-// Options configure a Sharer.
+// Options holds the settings of a Sharer.
 type Options struct {
 	Addr   string     // IP:port to listen on
 	Self   fleet.Peer // name of this process, new with each start
@@ -163,8 +163,8 @@
 	Quotas   Quotas
 	// Quarantine provides the records that are sent with the loads, and receives those of the peers.
 	Quarantine Quarantine
-	// HasLostStore reports whether this process has lost its own connection to the store. It is not called
-	// before Run.
+	// HasLostStore reports whether this process has lost its direct connection to the platform's store. It is
+	// not called before Run.
 	HasLostStore func() bool
 	Log          hclog.Logger
 }
@@ -212,15 +212,15 @@
 	}
 }
 
-// MarkPeersListed records that AddPeer has been called for every gateway listed in the store. From then on Rank
-// reports isKnown.
+// MarkPeersListed records that AddPeer has been called for every gateway listed in the platform's store. From
+// then on Rank returns isKnown as true.
 func (s *Sharer) MarkPeersListed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.isPeerListLoaded = true
 }
 
-// peerListTimeout is how long after the start Rank reports isKnown as false if the list of gateways has not
+// peerListTimeout is how long after the start Rank returns isKnown as false if the list of gateways has not
 // been loaded.
 const peerListTimeout = time.Second
 
@@ -478,9 +478,9 @@
 	return isNew
 }
 
-// PeersWithStore returns the addresses (IP:port) of live peers that the store has answered over their own
-// connection within maxStoreContactAge. Each process returns them in another order, so that not all processes
-// use the same peer.
+// PeersWithStore returns the addresses (IP:port) of live peers that have a direct connection to the platform's
+// store and were answered by the store within maxStoreContactAge. Each process returns them in another order, so
+// that not all processes use the same peer.
 func (s *Sharer) PeersWithStore() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -32,7 +32,7 @@
 // fakeQuarantine returns its pending records once, and stores the records that are applied.
 type fakeQuarantine struct {
 	pending      []quarantine.Record // returned by the next call of DueForPeers
-	applied      []quarantine.Record // passed to Apply so far
+	applied      []quarantine.Record // passed to ApplyRecords so far
 	startedPeers int                 // number of calls of NotePeerStarted
 }
 
@@ -174,16 +174,16 @@
 	}
 	silentTime := now.Add(silentAfter + time.Second)
 	if len(s.selectReceivers(silentTime, 0)) != 1 || len(s.selectReceivers(silentTime.Add(silentSendInterval/2), 0)) != 0 || len(s.selectReceivers(silentTime.Add(2*silentSendInterval), 0)) != 1 {
-		t.Error("reports are not sent to a silent peer exactly once in silentSendInterval")
+		t.Error("a silent peer is not a receiver exactly once in silentSendInterval, want 1, 0 and 1 receivers after 0, 0.5 and 2 intervals")
 	}
 	if len(s.selectReceivers(now.Add(2*removeAfter), 0)) != 0 || s.PeerCount() != 0 {
-		t.Error("a peer that has been silent for twice removeAfter is still present, want it removed")
+		t.Error("a peer that has been silent for twice removeAfter is still a receiver or counted, want 0 receivers and 0 peers")
 	}
 }
 
 // Guards against store calls through peers that cannot reach the store: PeersWithStore returns only live
-// peers that the store has answered recently and that have not lost their own connection to it.
-func TestPeersWithStoreReturnsPeersWithOwnConnection(t *testing.T) {
+// peers that the store has answered recently and that have not lost their direct connection to it.
+func TestPeersWithStoreReturnsPeersWithDirectConnection(t *testing.T) {
 	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
 	reports := map[string]report{
--- a/internal/loadshare/message.go
+++ b/internal/loadshare/message.go
@@ -20,11 +20,11 @@
 	Loads []targetLoad `cbor:"3,keyasint"` // targets at which the sender has no load are left out
 	Items int          `cbor:"4,keyasint"` // number of batch items at the sender that wait for a slot
 	Due   int64        `cbor:"5,keyasint"` // when the earliest of them is due, in milliseconds since 1970
-	// StoreContactAgeMs is how long ago the store last answered the sender, in milliseconds. It is an age and not a
-	// time because the clocks of hosts differ.
+	// StoreContactAgeMs is how long ago the platform's store last answered the sender, directly or through a peer,
+	// in milliseconds. It is an age and not a time because the clocks of hosts differ.
 	StoreContactAgeMs int64 `cbor:"6,keyasint"`
-	// HasLostStore is set if the sender has lost its own connection to the store: it has reached the store through
-	// a peer, if at all, and cannot give others access to it.
+	// HasLostStore is set if the sender has lost its direct connection to the platform's store: it reaches the
+	// store through a peer, if at all, and cannot give others access to it.
 	HasLostStore bool `cbor:"7,keyasint,omitempty"`
 	// Domain is the digest of the name of the sender's failure domain.
 	Domain digest `cbor:"8,keyasint"`
@@ -40,15 +40,14 @@
 	// counts of admitted requests that have changed recently.
 	IsFirst  bool            `cbor:"12,keyasint,omitempty"`
 	Admitted []admittedCount `cbor:"13,keyasint,omitempty"`
-	// Quarantine holds quarantine records of requests under which targets crash, which some peers may not
-	// have yet.
+	// Quarantine holds records of requests during which targets crashed. Some peers may not have them yet.
 	Quarantine []quarantine.Message `cbor:"14,keyasint,omitempty"`
 	// Role is what the receiver does with the report as a hub.
 	Role hubRole `cbor:"15,keyasint,omitempty"`
 	// UnknownIDs identifies gateways that appear in the batches of hubs and that the sender has no description
 	// of. The receiver sends the descriptions that it has.
 	UnknownIDs []fanout.ID `cbor:"16,keyasint,omitempty"`
-	// Capacity is the processor time available to the sender.
+	// Capacity is the processor time available to the sender; 0 if unknown.
 	Capacity fanout.Capacity `cbor:"17,keyasint,omitempty"`
 }
 
@@ -95,7 +94,7 @@
 // newDigest returns the digest of a name.
 func newDigest(name string) digest { return digest(xxhash.Sum64String(name)) }
 
-// lastStoreContact returns when the store last answered the sender, by this process's clock.
+// lastStoreContact returns when the platform's store last answered the sender, by this process's clock.
 func (r report) lastStoreContact(now time.Time) time.Time {
 	return now.Add(-time.Duration(r.StoreContactAgeMs) * time.Millisecond)
 }
--- a/internal/loadshare/probe.go
+++ b/internal/loadshare/probe.go
@@ -24,7 +24,7 @@
 	maxProbesPerPass = 8
 )
 
-// probePeers detects which silent peers have stopped, until ctx ends: the host of a stopped process refuses
+// probePeers detects which silent peers have stopped, until ctx ends: the host of a stopped process refuses TCP
 // connections, while the host of a peer that is cut off does not answer. A stopped peer admits no requests,
 // so its share of the quotas goes to the other gateways at once.
 func (s *Sharer) probePeers(ctx context.Context) error {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// markPeerStopped marks the process of a peer as stopped in the table of this gateway as a hub.
+// markPeerStopped marks the process of a peer as stopped in the table that this gateway keeps as a hub.
 func (s *Sharer) markPeerStopped(addr netip.AddrPort) {
 	s.mu.Lock()
 	p, ok := s.peers[addr]
--- a/internal/loadshare/quota_test.go
+++ b/internal/loadshare/quota_test.go
@@ -105,7 +105,7 @@
 		select {
 		case addr := <-q.removed:
 			if addr != addrs[1].String() {
-				t.Errorf("peer %s was removed from the quotas, want only the stopped one", addr)
+				t.Errorf("peer %s was removed from the quotas, want only the peer that has stopped", addr)
 			}
 			isRemoved = true
 		case <-refreshTimer.C: // on a slow machine both peers may have been silent for longer than silentAfter, so that neither is probed
--- a/internal/loadshare/receivers.go
+++ b/internal/loadshare/receivers.go
@@ -60,7 +60,7 @@
 }
 
 // domainMembers returns the gateways of a domain that have not been silent for longer than silentAfter,
-// including this one. IsHeard is set for this one and for those whose name is known and which were seen within
+// including this one. IsLive is set for this one and for those whose name is known and which were seen within
 // PeerTTL. The caller holds the lock.
 func (s *Sharer) domainMembers(now time.Time, domain digest) []fanout.Member {
 	var members []fanout.Member
