--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -97,8 +97,9 @@
 	announced  []fanout.ID                   // gateways whose descriptions are sent
 }
 
-// takeUpdate returns what is to be sent now and clears what is pending. A refresh includes a heartbeat of
-// each live gateway of the hub's domain, and describes the next peerInfosPerRefresh of them again.
+// takeUpdate returns the reports and heartbeats that are to be forwarded and the gateways that are to be
+// described, and clears the lists of them. A refresh also includes a heartbeat of each live gateway of the
+// hub's domain, and describes the next peerInfosPerRefresh of them again.
 func (h *hub) takeUpdate(now time.Time, isRefresh bool, domain fanout.Domain) hubUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -54,7 +54,8 @@
 	// maxStoreContactAge is the longest time since the platform's store last answered a peer for which the peer
 	// counts as having access to the store. Without faults the store answers each gateway at least every 0.6 s.
 	maxStoreContactAge = time.Second
-	// maxDatagramBytes is the largest size of a datagram that is received whole.
+	// maxDatagramBytes is the largest size of a datagram that is received whole. A longer one is truncated and
+	// cannot be decoded.
 	maxDatagramBytes = 60 << 10
 )
 
@@ -86,8 +87,8 @@
 	return now.Sub(p.lastSeen) < PeerTTL && !p.hasLostStore && now.Sub(p.lastStoreContact) < maxStoreContactAge
 }
 
-// hubEntry returns the entry for a report of the peer in the table of this gateway as a hub. seenAt is when
-// the peer was last seen.
+// hubEntry returns the entry of a report of the peer for the table that this gateway keeps as a hub. seenAt is
+// when the peer was last seen.
 func (p *peer) hubEntry(r relayedReport, seenAt time.Time) fanout.Entry[relayedReport] {
 	return fanout.Entry[relayedReport]{
 		ID: p.id, Domain: fanout.Domain(p.domain), Seq: r.Seq, LastSeen: seenAt, LastStoreContact: p.lastStoreContact, HasLostStore: p.hasLostStore, IsIdle: r.isIdle(), Report: r,
@@ -339,7 +340,7 @@
 	return len(receivers)
 }
 
-// putOwnReport stores this gateway's own report in its table as a hub.
+// putOwnReport stores this gateway's own report in the table that it keeps as a hub.
 func (s *Sharer) putOwnReport(now time.Time, r report, role hubRole) {
 	self := peer{id: gatewayID(s.self), domain: s.domain, lastStoreContact: r.lastStoreContact(now), hasLostStore: r.HasLostStore}
 	s.hub.putReport(self.hubEntry(newRelayedReport(self.id, r), now), role == roleForward)
