--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -97,8 +97,9 @@
 	announced  []fanout.ID                   // gateways whose descriptions are sent
 }
 
-// takeUpdate returns what is to be sent now and clears what is pending. A refresh includes a heartbeat of
-// each live gateway of the hub's domain, and describes the next peerInfosPerRefresh of them again.
+// takeUpdate returns the reports and heartbeats that are to be forwarded and the gateways that are to be
+// described, and clears the lists of them. A refresh also includes a heartbeat of each live gateway of the
+// hub's domain, and describes the next peerInfosPerRefresh of them again.
 func (h *hub) takeUpdate(now time.Time, isRefresh bool, domain fanout.Domain) hubUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -123,7 +124,7 @@
 	return hubUpdate{changes: slices.DeleteFunc(slices.Clone(u.changes), isOtherDomain), heartbeats: slices.DeleteFunc(slices.Clone(u.heartbeats), isOtherDomain)}
 }
 
-// runHub distributes the reports that other gateways send to this one, until ctx ends.
+// runHub distributes the reports in this gateway's table as a hub, until ctx ends.
 func (s *Sharer) runHub(ctx context.Context) error {
 	refreshTimer := sleep.NewTimer(refreshInterval)
 	defer refreshTimer.Stop()
@@ -164,8 +165,8 @@
 	}
 }
 
-// HubReporterCount returns the number of gateways of the own domain whose reports this one forwards as a hub, at its last
-// refresh; 0 if it is no hub.
+// HubReporterCount returns the number of gateways of the own domain whose reports this gateway held as a hub at
+// its last refresh; 0 if it is no hub.
 func (s *Sharer) HubReporterCount() int {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
@@ -270,7 +271,8 @@
 	signal(h.changed)
 }
 
-// markStopped marks a gateway's process as stopped in the table, so that the next heartbeat says so.
+// markStopped marks a gateway's process as stopped in the table, so that the next heartbeat for the gateway has
+// hasStopped set.
 func (h *hub) markStopped(id fanout.ID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
