--- a/internal/dev/gateways_once.go
+++ b/internal/dev/gateways_once.go
@@ -77,7 +77,7 @@
 	if err := o.readJob(ctx, 1, gatewayJob); err != nil {
 		return err
 	}
-	if status, text := o.caller.End(o.addr(1), gatewayJob); status != http.StatusOK {
+	if status, text := o.caller.CancelJob(o.addr(1), gatewayJob); status != http.StatusOK {
 		return errs.Newf(errs.Internal, "the end was answered %d: %s", status, text)
 	}
 	fmt.Fprintf(o.out, "job: %d items, handed in at both gateways in %s, accepted once, read at the other one after %s\n",
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -176,7 +176,7 @@
 			}
 		}
 	}
-	if status, _ := s.caller.End(submitAddr, "job-1"); status != 200 {
+	if status, _ := s.caller.CancelJob(submitAddr, "job-1"); status != 200 {
 		s.t.Errorf("end of job-1: status %d, want 200", status)
 	}
 	if status, _ := s.caller.Results(submitAddr, "job-none", 0, 0); status != 404 {
