--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -161,7 +161,7 @@
 		return err
 	}
 	if a.hasTimedOut.Load() {
-		err := errs.New(timeoutType, "the target has sent nothing for too long")
+		err := errs.New(timeoutType, "the target sent nothing for too long")
 		a.gw.quarantine.NoteSilent(a.brokenRun(err))
 		return err
 	}
@@ -193,7 +193,7 @@
 		a.possibleRuns--
 		a.gw.view.RemoveTarget(a.run.Target.ID)
 		a.gw.log.Warn("target gone", "target", a.run.Target.ID, "addr", a.run.Target.Addr, "why", "another instance answers", "request", a.req.ID)
-		return errs.New(errs.TargetFailed, "another target uses the address").WithRan(errs.RanNo)
+		return errs.New(errs.TargetFailed, "the target's address now belongs to another target").WithRan(errs.RanNo)
 	case ans.NotRun:
 		a.possibleRuns--
 		a.run.RecordActivity()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -127,10 +127,10 @@
 	h.served++
 }
 
-// Version implements Beliefs.
+// Version implements ConfigStatus.
 func (h *harness) Version() uint64 { return 1 }
 
-// Age implements Beliefs.
+// Age implements ConfigStatus.
 func (h *harness) Age() time.Duration { return 0 }
 
 // fakeCaller is a platform.CallerAnswer that records the answer to one request.
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -25,7 +25,7 @@
 			h.gw.Serve(context.Background(), newRoute(serving.KindStream, 1, false), &serving.Request{ID: "id", Arrived: time.Now(), Deadline: time.Now().Add(timeLeft)}, caller)
 			return caller
 		}
-		for range 10 { // without queueing; the gateway derives from these requests how long callers wait and how long requests hold a slot
+		for range 10 { // none of them is queued; the gateway derives from them how long callers wait and how long requests hold a slot
 			if caller := send(callerTimeout); caller.err != nil {
 				t.Fatal(caller.err)
 			}
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(2, wholeAnswer(200, "ok", nil))
 		h.workspace = "w"
-		h.quarantineErr = errs.New(errs.Quarantined, "targets have crashed under it")
+		h.quarantineErr = errs.New(errs.Quarantined, "requests with this content have crashed targets")
 		caller := &fakeCaller{}
 		h.serve(context.Background(), newRoute(serving.KindSafe, 2, false), caller)
 		if len(h.sentTo) != 0 || h.admitted != 0 || caller.answeredAfter != 0 {
@@ -48,7 +48,7 @@
 func quarantineOnSend(h *harness, s script) script {
 	return func(ctx context.Context, c platform.TargetCall) (*platform.TargetAnswer, error) {
 		h.mu.Lock()
-		h.quarantineErr = errs.New(errs.Quarantined, "targets have crashed under it")
+		h.quarantineErr = errs.New(errs.Quarantined, "requests with this content have crashed targets")
 		h.mu.Unlock()
 		return s(ctx, c)
 	}
@@ -64,7 +64,7 @@
 		if len(h.silentRuns) != 1 || h.silentRuns[0].Target.ID != h.firstTarget() || len(h.brokenRuns) != 0 {
 			t.Errorf("runs reported as silent: %+v, want the one at the first target; as broken off: %+v, want none", h.silentRuns, h.brokenRuns)
 		}
-		time.Sleep(time.Second)
+		time.Sleep(time.Second) // advances the fake clock, so that goroutines that still wait on it can end
 	})
 }
 
@@ -115,7 +115,7 @@
 						t.Errorf("broken run reported as %+v, want %+v", got[i], c.want[i])
 					}
 				}
-				time.Sleep(time.Second)
+				time.Sleep(time.Second) // advances the fake clock, so that goroutines that still wait on it can end
 			})
 		})
 	}
