--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -133,7 +133,7 @@
 		Orders: c.fleet,
 		SeeAll: reconciler.Candidate,
 		Admin:  adminAPI.Handler,
-		Peers: servePeers([]peerRoute{
+		Peers: serveEntryPeers([]entryPeerRoute{
 			{batch.PeerPath, manager.PeerHandler},
 			{follow.PeerPath, c.config.PeerHandler},
 		}, c.logger),
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -8,7 +8,7 @@
 const (
 	configVersionMetric         = "config.version"
 	configAgeMetric             = "config.age_ms"
-	targetsMetric               = "targets"         // targets that are known
+	targetsMetric               = "targets"         // targets on the list of targets, as this gateway has read it
 	reportsHubMetric            = "reports.hub_for" // gateways whose load reports this one forwards
 	reportsSentMetric           = "reports.sent"
 	reportsSentBytesMetric      = "reports.sent_bytes"
@@ -21,7 +21,7 @@
 	itemsMetric                 = "backlog.items"
 	itemsRunningMetric          = "backlog.items_running"
 	shardsMetric                = "backlog.shards"
-	jobsAgeMetric               = "backlog.jobs_age_ms"
+	jobsAgeMetric               = "backlog.jobs_age_ms" // age of this gateway's copy of the state of jobs
 )
 
 // registerGauges registers the gauges, which read the state of the process when the metrics are requested.
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// peerIdleTimeout is how long a connection of a peer stays open between requests.
+	// peerIdleTimeout is how long a connection from another entry stays open between requests.
 	peerIdleTimeout = 2 * time.Minute
-	// peerReadTimeout bounds the time for reading one request of a peer.
+	// peerReadTimeout bounds the time for reading one request of another entry.
 	peerReadTimeout = time.Minute
 	// peerStopTimeout bounds the time that Close waits for requests in flight.
 	peerStopTimeout = time.Second
@@ -23,17 +23,19 @@
 	maxPeerBodyBytes = 64 << 20
 )
 
-// peerRoute is the handler for a path of the peer listener, which serves other entries, and for the paths below it.
-type peerRoute struct {
+// entryPeerRoute is the handler for a path of the peer listener, which serves other entries, and for the paths
+// below it.
+type entryPeerRoute struct {
 	path    string
 	handler fasthttp.RequestHandler
 }
 
-// servePeers returns a function that starts a server of routes on a listener and returns its closer.
-func servePeers(routes []peerRoute, logger hclog.Logger) func(net.Listener) io.Closer {
+// serveEntryPeers returns a function that starts a server of routes for other entries on a listener and returns
+// its closer.
+func serveEntryPeers(routes []entryPeerRoute, logger hclog.Logger) func(net.Listener) io.Closer {
 	return func(ln net.Listener) io.Closer {
 		s := &fasthttp.Server{
-			Handler:               routePeers(routes),
+			Handler:               routeEntryPeers(routes),
 			IdleTimeout:           peerIdleTimeout,
 			ReadTimeout:           peerReadTimeout,
 			MaxRequestBodySize:    maxPeerBodyBytes,
@@ -47,12 +49,12 @@
 				logger.Error("peer listener stopped", "error", err)
 			}
 		}()
-		return peerServer{s}
+		return entryPeerServer{s}
 	}
 }
 
-// routePeers returns a handler that calls the first of routes whose path matches.
-func routePeers(routes []peerRoute) fasthttp.RequestHandler {
+// routeEntryPeers returns a handler that calls the first of routes whose path matches.
+func routeEntryPeers(routes []entryPeerRoute) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		path := string(ctx.Path())
 		for _, r := range routes {
@@ -65,11 +67,11 @@
 	}
 }
 
-// peerServer is a server whose Close waits up to peerStopTimeout for requests in flight.
-type peerServer struct{ *fasthttp.Server }
+// entryPeerServer is a server whose Close waits up to peerStopTimeout for requests in flight.
+type entryPeerServer struct{ *fasthttp.Server }
 
 // Close implements io.Closer.
-func (s peerServer) Close() error {
+func (s entryPeerServer) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), peerStopTimeout)
 	defer cancel()
 	return s.ShutdownWithContext(ctx)
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -241,7 +241,9 @@
 	}
 	crashesBefore := f.crashCount()
 	f.sendCrashing("/once/x", 24, s.gateways...)
-	if n := f.crashCount() - crashesBefore; n > 2 { // at most two trial requests, since the crashes may have been concurrent
+	// Crashes that may have been concurrent do not prove that the request caused them. The gateways then send the
+	// next repeats of the caller as trials, until three crashes are sequential: at most two more.
+	if n := f.crashCount() - crashesBefore; n > 2 {
 		t.Errorf("%d more targets have crashed after all gateways had quarantined the request, want at most 2", n)
 	}
 	for _, g := range s.gateways {
@@ -316,7 +318,8 @@
 			t.Fatalf("submit of a job: status %d, text %s; want 202", status, text)
 		}
 	}
-	time.Sleep(2 * time.Second) // a run of the item takes a few milliseconds and is followed by a pause of the same length
+	// The backlog waits 80 ms after each run that a target broke off, so 2 s are enough for far more than maxCrashes runs.
+	time.Sleep(2 * time.Second)
 	if n := f.crashCount(); n < 3 || n > maxCrashes {
 		t.Errorf("%d targets have crashed, want 3 to %d", n, maxCrashes)
 	}
@@ -351,11 +354,11 @@
 // crashes by itself during an outage of the store.
 func TestCrashingRequestIsQuarantinedWithoutStore(t *testing.T) {
 	s := newSystemWithoutTargets(t, wiretest.Routes)
-	f := newCrashFleet(s, maxCrashes+2) // more targets can't be listed without the store
+	f := newCrashFleet(s, maxCrashes+2) // gateways don't learn of replacements during the outage
 	s.startGateways(3)
 	defer s.stopAll()
 	store := s.store.(*keyedlog.View)
-	f.s.store = store.Sibling() // not affected by the outage, for the list of targets
+	f.s.store = store.Sibling() // f edits the list of targets through a view of the store without the outage
 	defer f.replacements.Wait()
 	store.Set(keyedlog.Faults{Refuse: true})
 	f.sendCrashing("/once/x", 24, s.gateways...)
