--- a/core/backlog/state_test.go
+++ b/core/backlog/state_test.go
@@ -59,7 +59,7 @@
 			t.Fatalf("progress of i2 is %+v, want last event 2 and the two lines a and b", p)
 		}
 		if queued := s.QueuedTokens("", "r"); queued != 10 || s.QueuedTokens("", "other") != 0 {
-			t.Fatalf("%d tokens are queued on route r, want 10; if there are 10, the check of route other failed: it has queued tokens, want 0", queued)
+			t.Fatalf("%d tokens are queued on route r, want 10 there and none on route other", queued)
 		}
 	}
 }
--- a/core/fleet/bench_test.go
+++ b/core/fleet/bench_test.go
@@ -9,8 +9,7 @@
 	"arbutusramp/core/structs"
 )
 
-// fleetSizes are the numbers of targets to measure with: a deployment of some hundred hosts, and a much
-// larger one.
+// fleetSizes are the numbers of targets to benchmark with: a small fleet and a large one.
 var fleetSizes = []int{44, 3000}
 
 // benchFleet returns a fleet with that many targets of one service in five failure domains.
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -52,8 +52,9 @@
 	// StoreThroughPeers sends requests to the platform's store through other gateways while a gateway
 	// cannot reach it; off, the gateway waits until it reaches the store itself.
 	StoreThroughPeers Mechanism = "store-peers"
-	// ReportRelays makes one gateway of each failure domain forward the load reports of others; off,
-	// each gateway sends its reports to every other gateway.
+	// ReportRelays lets gateways forward the load reports of others: in small fleets a gateway sends each
+	// report to one gateway of each other failure domain, which forwards it to the gateways of its own domain;
+	// in large fleets hubs forward reports. Off, each gateway sends its reports to all others itself.
 	ReportRelays Mechanism = "relays"
 	// Quarantine rejects requests whose content has crashed targets; off, they are sent to further targets.
 	Quarantine Mechanism = "quarantine"
--- a/core/quarantine/registry_test.go
+++ b/core/quarantine/registry_test.go
@@ -195,8 +195,8 @@
 	for at := time.Duration(0); at < 10*time.Minute; at += 100 * time.Millisecond {
 		sendCount += len(reg.DueForPeers(testStart.Add(at), 8))
 	}
-	if first := reg.DueForPeers(testStart, 8); sendCount < 10 || sendCount > 20 || len(first) != 0 {
-		t.Errorf("record was sent %d times in 10 minutes, want 10 to 20 and none due at the end of them", sendCount)
+	if dueAgain := reg.DueForPeers(testStart, 8); sendCount < 10 || sendCount > 20 || len(dueAgain) != 0 {
+		t.Errorf("record was sent %d times in 10 minutes, want 10 to 20, and none due again at the start time", sendCount)
 	}
 }
 
@@ -269,7 +269,7 @@
 	}
 	peer.ResendQuarantined(testStart.Add(11 * time.Minute))
 	if len(peer.DueForPeers(testStart.Add(11*time.Minute), 8)) != 1 {
-		t.Error("record from a peer is not sent to a peer that has started")
+		t.Error("ResendQuarantined did not make the record received from a peer due, want it sent to newly started peers")
 	}
 }
 
--- a/internal/backlog/manager.go
+++ b/internal/backlog/manager.go
@@ -57,7 +57,7 @@
 	// process needs a new one; an id must never be reused.
 	MemberID string
 	// Shards is the number of shards into which jobs are divided: the number of partitions of each of the store's
-	// topics.
+	// topics. The store assigns partitions to the members, and a member runs the shards with their indexes.
 	Shards int
 	// MinTTL is the shortest time without a call after which the store may remove a member from the group.
 	MinTTL time.Duration
--- a/internal/backlog/members_test.go
+++ b/internal/backlog/members_test.go
@@ -165,15 +165,16 @@
 	})
 }
 
-// The time of a state must not be that at which the store's answer arrived: the answer may have been delayed
-// on the network, or the process may have waited for the CPU.
+// The time of a state is the latest moment at which the state is known to be current. That must not be when
+// the store's answer arrived: the answer may have been delayed on the network, or the process may have waited
+// for the CPU.
 func TestStateAgeCountsFromRequest(t *testing.T) {
 	const lateAnswer = time.Second
 	synctest.Test(t, func(t *testing.T) {
 		for name, c := range map[string]struct {
 			wait, took time.Duration
 			records    int
-			want       time.Duration // time after the request up to which the state is known to be current
+			want       time.Duration // time from the request to the latest moment at which the state is known to be current
 		}{
 			"an immediate answer to a read without a wait":         {0, 0, 0, 0},
 			"a late answer to a read without a wait":               {0, lateAnswer, 0, 0},
--- a/internal/loadshare/batch_test.go
+++ b/internal/loadshare/batch_test.go
@@ -63,7 +63,7 @@
 		}
 		data, err := cbor.Marshal(batch{Forward: []netip.AddrPort{testAddr(1)}, Content: encodedContent})
 		if err != nil || !isBatch(data) || len(data) > 16<<10 {
-			t.Fatalf("a batch has %d bytes and encoding error %v, want an encoded batch of at most 16 KiB", len(data), err)
+			t.Fatalf("a batch has %d bytes and encoding error %v, want at most 16 KiB, no error and data that is recognised as a batch", len(data), err)
 		}
 		_, content, decodedHeartbeats, err := decodeBatch(data)
 		if err != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// Guards against a batch that is damaged or names no hub, and still adds the peers that it describes.
+// Guards against adding the peers described by a batch that is damaged or names no hub.
 func TestDamagedBatchIsIgnored(t *testing.T) {
 	s, _ := newTestSharer(t, "self")
 	defer s.conn.Close()
@@ -94,8 +94,8 @@
 	for name, b := range map[string]batch{"cut": {Content: encodedContent[:len(encodedContent)-1]}, "no hub": {Content: contentWithoutHub}, "empty": {}} {
 		data, err := cbor.Marshal(b)
 		if err != nil {
-			// The truncated content of the cut batch is not valid CBOR, which Marshal rejects. These bytes
-			// are a batch that ends before its content instead.
+			// Marshal rejects the cut content because it is not valid CBOR. Use a batch that ends before its
+			// content instead.
 			data = []byte{0x82, 0x80}
 		}
 		s.handleDatagram(data, testAddr(1))
@@ -146,7 +146,7 @@
 	}
 	deliver(batchContent{Hub: testAddr(1), Signs: idleHeartbeat(6)})
 	if !hasFreeSlot() {
-		t.Error("a batch item finds no free slot after a heartbeat of the idle peer newer than its report, want a free slot")
+		t.Error("a batch item finds no free slot after an idle heartbeat newer than the peer's report, want a free slot")
 	}
 	deliver(batchContent{Hub: testAddr(1), News: []relayedReport{{ID: id, Seq: 6, Loads: []targetLoad{{Target: newDigest("t"), Online: 1}}}}})
 	if !hasFreeSlot() {
--- a/internal/quarantine/interrupted.go
+++ b/internal/quarantine/interrupted.go
@@ -59,8 +59,9 @@
 
 // NoteInterrupted notes a run that this process has ended, such as that of a batch item whose slot an online
 // request needs. If the target breaks off another run within interruptionWindow before or after, the ended
-// run is as suspect as that one: when a target crashes, this process may end some of its runs before the
-// target breaks them off, because the first broken-off run already makes the target suspect.
+// run is as suspect as that one. When a target crashes, its runs do not all break off at once. After the
+// first one, this process may itself cancel the others at that target, so they are noted here instead of as
+// broken off.
 func (q *Quarantine) NoteInterrupted(b quarantine.BrokenRun) {
 	if !q.isOn || !b.CountsAgainstRequest() {
 		return
