--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -168,7 +168,7 @@
 	}
 	link.Follow(ctx, readPauses, read, func(bool) {
 		if news.Unusable != nil {
-			w.log.Error("configuration unreadable; the version in force is kept", "in_force", w.Version(), "error", news.Unusable)
+			w.log.Error("configuration can't be read; the version in force is kept", "in_force", w.Version(), "error", news.Unusable)
 		}
 		w.applyConfig(news.Config)
 		if news.IsCurrent {
